--- a/crates/dunepond-prefilter/src/audit_budget.rs
+++ b/crates/dunepond-prefilter/src/audit_budget.rs
@@ -1,33 +1,35 @@
-//! How many audits may be made: a part of what is pruned, and none beyond it.
+//! Limits audits to a configured ratio of the pruned segments.
 
 #[cfg(test)]
 mod tests;
 
-/// A budget that pruned segments earn.
+/// Budget of audits. Each pruned segment adds a fraction of an audit, and each audit takes one.
 pub struct AuditBudget {
+    /// Audits added for each pruned segment.
     ratio: f64,
-    /// A burst of audits after a quiet hour would be a load of its own.
+    /// Most audits that accumulate: a burst of them after an hour without any would load the nodes noticeably.
     max: f64,
+    /// Audits that may be taken now; whole ones count.
     available: f64,
 }
 
 impl AuditBudget {
-    /// `ratio` audits for each pruned segment, at most `max` saved up.
+    /// Creates an empty budget that gains `ratio` audits for each pruned segment and accumulates at most `max`.
     pub fn new(ratio: f64, max: f64) -> Self {
         Self { ratio, max, available: 0.0 }
     }
 
-    /// Sets the ratio.
+    /// Sets the number of audits added for each pruned segment.
     pub fn set_ratio(&mut self, ratio: f64) {
         self.ratio = ratio;
     }
 
-    /// Adds what pruned segments earn.
-    pub fn earn(&mut self, pruned_segments: usize) {
+    /// Adds the audits for `pruned_segments` segments, up to the maximum.
+    pub fn deposit(&mut self, pruned_segments: usize) {
         self.available = (self.available + self.ratio * pruned_segments as f64).min(self.max);
     }
 
-    /// Takes one audit, if there is one.
+    /// Takes one audit from the budget. Returns whether there was one.
     pub fn try_take(&mut self) -> bool {
         let has_one = self.available >= 1.0;
         if has_one {
--- a/crates/dunepond-prefilter/src/backoff.rs
+++ b/crates/dunepond-prefilter/src/backoff.rs
@@ -1,5 +1,6 @@
-//! Which nodes can be asked. One that does not support the request, cannot be reached or does not answer in time costs every query that asks
-//! it a part of its time, so it is left alone: the longer, the more often in a row it failed.
+//! Back-off from nodes that do not answer can-match requests. A node that does not support the request, cannot be
+//! reached or does not answer in time delays every query that asks it. So it is not asked for a while, which grows with
+//! each consecutive failure.
 
 use std::collections::BTreeMap;
 
@@ -8,35 +9,40 @@
 #[cfg(test)]
 mod tests;
 
+/// Back-off after the first failure of a node.
 const INITIAL_BACKOFF_SECONDS: f64 = 0.5;
+/// Upper limit of a node's back-off.
 const MAX_BACKOFF_SECONDS: f64 = 64.0;
-/// A node that does not support the request will not learn it soon.
+/// Factor on the initial back-off of a node that does not support the request, as it is unlikely to do so soon.
 const UNSUPPORTED_FACTOR: f64 = 8.0;
 
-/// Why a request was not answered.
+/// Why a can-match request got no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestFailure {
-    /// The node closed the connection on it, or refused it as unknown.
+    /// The node does not know the request: it rejected it, or closed the connection on receiving it.
     Unsupported,
-    /// No connection to the node.
+    /// No connection to the node could be used.
     NoConnection,
-    /// Not by the deadline for asking.
+    /// The node did not answer by the deadline.
     Timeout,
-    /// The node drained, left, or was replaced.
+    /// The node was drained, left or was replaced.
     NodeGone,
-    /// The answer cannot be decoded, or is not about what was asked.
+    /// The response cannot be decoded, or is not about the segments asked for.
     Malformed,
 }
 
+/// Back-off of one node.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
+    /// Time until which the node is not asked.
     until: f64,
+    /// Length of the back-off.
     seconds: f64,
-    /// The one request sent after the backoff; no other is sent before it ends.
+    /// Number of the one request that was sent after the back-off; no other is sent before it has ended.
     probe: Option<u64>,
 }
 
-/// The nodes in backoff.
+/// The nodes whose last request failed, with their back-offs.
 #[derive(Default)]
 pub struct NodeBackoffs {
     by_node: BTreeMap<NodeId, Backoff>,
@@ -48,19 +54,20 @@
         self.by_node.get(&node).is_none_or(|backoff| now >= backoff.until && backoff.probe.is_none())
     }
 
-    /// Records that a request was sent.
+    /// Records that a request was sent. If the node was in back-off, the request becomes its probe.
     pub fn on_sent(&mut self, node: NodeId, request: u64) {
         if let Some(backoff) = self.by_node.get_mut(&node) {
             backoff.probe = Some(request);
         }
     }
 
-    /// Records an answer: the node is asked as usual.
+    /// Records an answer, which ends the node's back-off.
     pub fn on_response(&mut self, node: NodeId) {
         self.by_node.remove(&node);
     }
 
-    /// Records a failure. Requests that fail together count once: what was in flight when the backoff began does not lengthen it.
+    /// Records a failed request and starts or lengthens the node's back-off. Requests that were already in flight when
+    /// the back-off began do not lengthen it, so failures at the same time count once.
     pub fn on_failure(&mut self, now: f64, node: NodeId, request: u64, failure: RequestFailure) {
         if failure == RequestFailure::NodeGone {
             return self.remove_node(node);
@@ -74,12 +81,12 @@
         self.by_node.insert(node, Backoff { until: now + seconds, seconds, probe: None });
     }
 
-    /// Drops what is known of a node.
+    /// Forgets a node and its back-off.
     pub fn remove_node(&mut self, node: NodeId) {
         self.by_node.remove(&node);
     }
 
-    /// The number of nodes that are left alone now.
+    /// The number of nodes whose back-off has not ended.
     pub fn count(&self, now: f64) -> usize {
         self.by_node.values().filter(|backoff| now < backoff.until).count()
     }
--- a/crates/dunepond-prefilter/src/benefit.rs
+++ b/crates/dunepond-prefilter/src/benefit.rs
@@ -1,57 +1,60 @@
-//! Whether prefiltering is beneficial, for one query class: learned from the last queries with it and the last without, with occasional
-//! trials of the other way so that a change is noticed.
+//! Learns for one query class whether prefiltering is beneficial, from the latest queries that were prefiltered and the
+//! latest that were searched directly. Occasional trials of the alternative that is not in use detect changes.
 
 use std::collections::VecDeque;
 
 #[cfg(test)]
 mod tests;
 
-/// Samples of each kind that count, the latest ones.
+/// Number of the latest samples that are kept of prefiltered queries, and of direct searches.
 const MAX_SAMPLES: usize = 32;
-/// Samples of each kind that are needed for a decision.
+/// Samples of each kind that are needed before one is preferred.
 const MIN_SAMPLES: usize = 4;
-/// Where it is not beneficial, one query of this many is prefiltered as a trial. Each trial in vain doubles the number up to the maximum, and
-/// a successful one resets it.
+/// Initial number of queries per trial while prefiltering is not beneficial: one query in this many is prefiltered as a
+/// trial. Each unsuccessful trial doubles the number up to [`MAX_TRIAL_INTERVAL`], and a successful one resets it.
 const MIN_TRIAL_INTERVAL: u32 = 8;
+/// Upper limit of the number of queries per trial while prefiltering is not beneficial.
 const MAX_TRIAL_INTERVAL: u32 = 256;
-/// Where it is beneficial, one query of this many is searched directly, to learn how long that takes now.
+/// While prefiltering is beneficial, one query in this many is searched directly, to measure how long that takes now.
 const DIRECT_INTERVAL: u32 = 32;
-/// Prefiltering must save at least this part of the segments.
+/// Prefiltering is beneficial only if it prunes at least this ratio of the segments.
 const MIN_PRUNED_RATIO: f64 = 0.1;
-/// The whole query may take longer by this factor.
+/// Prefiltering is beneficial only if a whole query takes at most this multiple of the time of a direct search.
 const MAX_SLOWDOWN_RATIO: f64 = 1.25;
-/// Asking is not waited for longer than a direct search takes, but at least this long: else a hiccup would end it.
-const MIN_PATIENCE_SECONDS: f64 = 0.01;
+/// Lower limit of the time for which answers are awaited: with a shorter one, a brief delay would end the wait.
+const MIN_REQUEST_TIMEOUT_SECONDS: f64 = 0.01;
 
-/// How a prefiltered query went.
+/// Measurements of one prefiltered query.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefilterSample {
-    /// The part of its segments that were pruned.
+    /// Ratio of the query's segments that were pruned.
     pub pruned_ratio: f64,
-    /// How long asking took.
+    /// Time from the query's opening to its search plan.
     pub request_seconds: f64,
-    /// How long the whole query took.
+    /// Time from the query's opening to its end.
     pub total_seconds: f64,
 }
 
-/// What a prefiltered query takes at the median.
+/// Median times of the latest prefiltered queries.
 #[derive(Clone, Copy, Debug)]
 pub struct MedianTimes {
-    /// From the query's opening to its search plan.
+    /// Median time from a query's opening to its search plan.
     pub request_seconds: f64,
-    /// Time of the search after that.
+    /// Median time from the search plan to the query's end.
     pub search_seconds: f64,
 }
 
-/// The samples of one query class.
+/// The samples of one query class, and whether they show that prefiltering is beneficial.
 #[derive(Debug)]
 pub struct Benefit {
     prefiltered: VecDeque<PrefilterSample>,
     /// Durations of direct searches, in seconds.
     direct: VecDeque<f64>,
+    /// Queries since the last one that was handled the other way as a trial.
     queries_since_trial: u32,
+    /// Number of queries per trial while prefiltering is not beneficial.
     trial_interval: u32,
-    /// Prefiltered queries that have not ended; their samples are still to come.
+    /// Prefiltered queries that have not ended, so that their samples are missing.
     in_flight: usize,
 }
 
@@ -67,6 +70,7 @@
     }
 }
 
+/// Adds a sample and drops the oldest one beyond [`MAX_SAMPLES`].
 fn push_sample<T>(samples: &mut VecDeque<T>, sample: T) {
     samples.push_back(sample);
     if samples.len() > MAX_SAMPLES {
@@ -74,6 +78,7 @@
     }
 }
 
+/// The median; the upper one of an even number of samples. `None` without samples.
 fn median(samples: impl Iterator<Item = f64>) -> Option<f64> {
     let mut sorted: Vec<f64> = samples.collect();
     sorted.sort_unstable_by(f64::total_cmp);
@@ -81,10 +86,11 @@
 }
 
 impl Benefit {
-    /// Whether the next query is to be prefiltered.
+    /// Decides whether the next query is to be prefiltered, and counts it towards the next trial.
     pub fn should_prefilter(&mut self) -> bool {
         self.queries_since_trial += 1;
-        // Both ways are tried in turns until there are samples, one at a time: a burst before the first sample could be slow as a whole.
+        // Until there are enough samples, prefiltered and direct queries alternate, with one prefiltered query at a
+        // time: if a burst came before the first sample, all of it could be prefiltered and slow.
         if self.prefiltered.len() < MIN_SAMPLES || self.direct.len() < MIN_SAMPLES {
             return self.prefiltered.len() + self.in_flight <= self.direct.len();
         }
@@ -97,32 +103,36 @@
         is_beneficial
     }
 
-    /// What the samples show.
+    /// Whether the samples show that prefiltering prunes enough segments and is not too slow.
     pub fn is_beneficial(&self) -> bool {
-        let pruned = self.prefiltered.iter().map(|sample| sample.pruned_ratio).sum::<f64>()
+        let pruned_ratio = self.prefiltered.iter().map(|sample| sample.pruned_ratio).sum::<f64>()
             / self.prefiltered.len().max(1) as f64;
-        let with = median(self.prefiltered.iter().map(|sample| sample.total_seconds));
-        let without = self.direct_seconds();
-        let is_slower = with.zip(without).is_some_and(|(with, without)| with > MAX_SLOWDOWN_RATIO * without);
-        pruned >= MIN_PRUNED_RATIO && !is_slower
+        let prefiltered_seconds = median(self.prefiltered.iter().map(|sample| sample.total_seconds));
+        let direct_seconds = self.direct_seconds();
+        let is_slower = prefiltered_seconds
+            .zip(direct_seconds)
+            .is_some_and(|(prefiltered, direct)| prefiltered > MAX_SLOWDOWN_RATIO * direct);
+        pruned_ratio >= MIN_PRUNED_RATIO && !is_slower
     }
 
-    /// A query is being prefiltered.
+    /// Records that a query is being prefiltered.
     pub fn on_start(&mut self) {
         self.in_flight += 1;
     }
 
-    /// It ended, with an answer or without.
+    /// Records that a prefiltered query ended, with an answer or without.
     pub fn on_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// How long asking may be waited for, if a direct search was measured.
-    pub fn patience_seconds(&self) -> Option<f64> {
-        self.direct_seconds().map(|seconds| seconds.max(MIN_PATIENCE_SECONDS))
+    /// How long a query may wait for answers before it is searched: the median time of a direct search, but not less
+    /// than the minimum. `None` without samples of direct searches.
+    pub fn request_timeout_seconds(&self) -> Option<f64> {
+        self.direct_seconds().map(|seconds| seconds.max(MIN_REQUEST_TIMEOUT_SECONDS))
     }
 
-    /// Records a prefiltered query.
+    /// Records the measurements of a prefiltered query, and adapts the trial interval if prefiltering was not
+    /// beneficial before.
     pub fn record_prefiltered(&mut self, sample: PrefilterSample) {
         let was_beneficial = self.is_beneficial();
         push_sample(&mut self.prefiltered, sample);
@@ -135,19 +145,19 @@
         }
     }
 
-    /// Records a query that was searched directly.
+    /// Records the total time of a query that was searched directly.
     pub fn record_direct(&mut self, total_seconds: f64) {
         push_sample(&mut self.direct, total_seconds);
     }
 
-    /// What a prefiltered query takes at the median.
+    /// Median times of the latest prefiltered queries; `None` without samples.
     pub fn median_times(&self) -> Option<MedianTimes> {
         let request_seconds = median(self.prefiltered.iter().map(|sample| sample.request_seconds))?;
         let search = self.prefiltered.iter().map(|sample| sample.total_seconds - sample.request_seconds);
         Some(MedianTimes { request_seconds, search_seconds: median(search)? })
     }
 
-    /// What a query takes at the median that is searched directly.
+    /// Median total time of the latest queries that were searched directly; `None` without samples.
     pub fn direct_seconds(&self) -> Option<f64> {
         median(self.direct.iter().copied())
     }
--- a/crates/dunepond-prefilter/src/benefit/tests/mod.rs
+++ b/crates/dunepond-prefilter/src/benefit/tests/mod.rs
@@ -2,7 +2,7 @@
 
 use super::{Benefit, PrefilterSample};
 
-/// How many of so many queries were prefiltered, each with the same sample.
+/// Runs `queries` queries, each with the same times, and returns how many of them were prefiltered.
 fn run(benefit: &mut Benefit, queries: usize, sample: PrefilterSample, direct_seconds: f64) -> usize {
     let mut prefiltered = 0;
     for _ in 0..queries {
@@ -39,7 +39,7 @@
     assert!(prefiltered > 4);
 }
 
-/// All of them come before the first has ended.
+/// In a burst that comes before the first query has ended, only one query is prefiltered.
 #[test]
 fn one_trial_at_a_time_without_samples() {
     let mut benefit = Benefit::default();
--- a/crates/dunepond-prefilter/src/evidence.rs
+++ b/crates/dunepond-prefilter/src/evidence.rs
@@ -1,8 +1,10 @@
-//! What is known of which text in which segment, and from which node. Bounded; answers about another version are dropped.
+//! Evidence for pruning: which nodes denied that a query text matches in a segment. The table is bounded, and answers
+//! about earlier versions than the latest are dropped.
 //!
-//! An answer is about one version of a segment, and only the replicas know which version is the latest. A replica that lags behind may deny
-//! a match that a later version has; together with a true denial from before that version it would look like two that agree. So both denials
-//! must be fresh. An answer is as old as its request: what was in flight when a query came may have been decided before it came.
+//! An answer is about one version of a segment, and only the replicas know which version is the latest. A replica that
+//! lags behind may deny a match that a later version has. Together with a correct denial from before that version, this
+//! would look like two replicas that agree. So both denials must be fresh. An answer counts as being as old as its
+//! request: an answer that was in flight when a query arrived may have been decided before it arrived.
 
 use std::collections::VecDeque;
 
@@ -16,39 +18,39 @@
 /// Why a segment may be pruned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PruningBasis {
-    /// Two replicas deny a match in the same version.
+    /// Two replicas deny that the segment has a match in the same version.
     TwoReplicas(NodeId, NodeId),
-    /// One replica denies a match in the version in which our own search found nothing.
+    /// One replica denies that the segment has a match, in a version in which this process's own search found nothing.
     OwnSearch(NodeId),
 }
 
-/// When a request was sent or a search began. A search has no sequence number.
+/// When a request was sent or a search began.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SentAt {
-    /// The order among all requests.
+    /// Sequence number of the request among all requests; 0 for a search.
     pub sequence: u64,
-    /// When, in seconds.
+    /// Time of sending, in seconds.
     pub time: f64,
 }
 
-/// From when on answers count: after a sequence number, or later than a time. The number tells requests apart that were sent within one
-/// reading of the clock.
+/// The moment after which requests must have been sent for their answers to count: later than a sequence number, or
+/// later than a time. The sequence number distinguishes requests that were sent within one reading of the clock.
 #[derive(Clone, Copy, Debug)]
 pub struct CountsSince {
-    /// The last request sent before.
+    /// Sequence number of the last request that was sent before.
     pub sequence: u64,
-    /// When, in seconds.
+    /// Time after which requests count whatever their sequence number, in seconds.
     pub time: f64,
 }
 
 impl CountsSince {
-    /// Whether an answer to what was sent then counts.
+    /// Whether the result of a request or a search that was sent at `sent` counts.
     pub fn includes(&self, sent: SentAt) -> bool {
         sent.sequence > self.sequence || sent.time > self.time
     }
 }
 
-/// A node that denies a match, and when it was asked.
+/// A node's answer that a segment has no match, and when the node was asked.
 #[derive(Clone, Copy, Debug)]
 struct Denial {
     node: NodeId,
@@ -56,34 +58,35 @@
 }
 
 impl Denial {
+    /// Sort key by the time of asking; an empty place sorts before all denials.
     fn order(denial: &Option<Denial>) -> (f64, u64) {
         denial.map_or((f64::MIN, 0), |denial| (denial.sent.time, denial.sent.sequence))
     }
 }
 
-/// What is known of one text in one segment.
+/// Evidence on one query text in one segment, for one version of the segment.
 #[derive(Clone, Debug, Default)]
 struct Entry {
     version: Version,
-    /// Two are enough.
+    /// Denials of different nodes; the latest two are kept, as two are enough for pruning.
     denials: [Option<Denial>; 2],
-    /// When our last search began that found nothing in this version.
+    /// When the last search of this process began, if it found nothing in this version.
     own_search: Option<SentAt>,
 }
 
-/// The table of evidence. Cloning it costs one pointer.
+/// Table of evidence by query text and segment. A clone shares the memory of the maps until one of the two is changed.
 #[derive(Clone)]
 pub struct Evidence {
     entries: HashMap<(QueryKey, SegmentIndex), Entry>,
-    /// In the order of insertion.
+    /// Keys of `entries` in the order of insertion.
     order: VecDeque<(QueryKey, SegmentIndex)>,
     max_entries: usize,
-    /// The latest version stated of each segment; entries of earlier ones do not count.
+    /// The latest version of each segment that any replica has stated; entries of earlier versions do not count.
     versions: HashMap<SegmentIndex, Version>,
 }
 
 impl Evidence {
-    /// At most `max_entries` pairs of a text and a segment.
+    /// Creates an empty table of at most `max_entries` pairs of a text and a segment.
     pub fn new(max_entries: usize) -> Self {
         Self {
             entries: HashMap::new(),
@@ -93,12 +96,13 @@
         }
     }
 
-    /// Sets the bound; what exceeds it is dropped as new entries come.
+    /// Sets the maximum number of entries. Excess entries are dropped, oldest first, when the next new entry is added.
     pub fn set_max_entries(&mut self, max_entries: usize) {
         self.max_entries = max_entries.max(1);
     }
 
-    /// Records that a segment was seen in a version. False for an earlier version than the latest: its replica lags behind.
+    /// Records a version that a replica stated of a segment. Returns whether it is the latest version; otherwise the
+    /// replica lags behind.
     fn advance_version(&mut self, segment: SegmentIndex, version: Version) -> bool {
         let latest = self.versions.get(&segment).copied();
         if latest.is_none_or(|latest| version > latest) {
@@ -107,6 +111,8 @@
         latest.is_none_or(|latest| version >= latest)
     }
 
+    /// Returns the entry of a text and a segment in `version`. An entry of another version is reset, and a missing one
+    /// is added in place of the oldest if the table is full.
     fn entry(&mut self, key: QueryKey, segment: SegmentIndex, version: Version) -> &mut Entry {
         if !self.entries.contains_key(&(key, segment)) {
             while self.entries.len() >= self.max_entries
@@ -123,8 +129,8 @@
         entry
     }
 
-    /// Records a node's answer. Anything but a denial cancels all denials of this version: replicas that disagree are no evidence, whichever
-    /// of them is right.
+    /// Records a node's answer about a segment. Any answer but a denial cancels all denials in this version: replicas
+    /// that disagree are no evidence, whichever of them is right.
     pub fn record_answer(
         &mut self,
         sent: SentAt,
@@ -140,15 +146,16 @@
         let denials = &mut self.entry(key, segment, version).denials;
         match answer {
             CanMatch::CannotMatch => {
-                let own = denials.iter().position(|denial| denial.is_some_and(|denial| denial.node == node));
+                let same_node =
+                    denials.iter().position(|denial| denial.is_some_and(|denial| denial.node == node));
                 let oldest = usize::from(Denial::order(&denials[1]) < Denial::order(&denials[0]));
-                denials[own.unwrap_or(oldest)] = Some(Denial { node, sent });
+                denials[same_node.unwrap_or(oldest)] = Some(Denial { node, sent });
             }
             CanMatch::MayMatch | CanMatch::Unknown => *denials = [None; 2],
         }
     }
 
-    /// Records a search of our own, in the version that the replica stated with its result.
+    /// Records whether a search by this process found a match, in the version that the replica stated with its result.
     pub fn record_search(
         &mut self,
         started: SentAt,
@@ -167,13 +174,14 @@
         }
     }
 
-    /// The entry, if it is of the latest version.
+    /// The entry of a text and a segment, if it is of the latest version.
     fn current_entry(&self, key: QueryKey, segment: SegmentIndex) -> Option<&Entry> {
         let entry = self.entries.get(&(key, segment))?;
         (self.versions.get(&segment) == Some(&entry.version)).then_some(entry)
     }
 
-    /// Why a segment may be pruned, if it may, on what was sent since then. `is_trusted` tells whose answers count.
+    /// Returns why a segment may be pruned, from requests and searches sent after `since`; `None` if the segment must
+    /// be searched. `is_trusted` tells which nodes' denials count.
     pub fn basis(
         &self,
         key: QueryKey,
@@ -191,7 +199,8 @@
         nodes.next().map(|second| PruningBasis::TwoReplicas(first, second))
     }
 
-    /// The nodes that denied a match since then, in the latest version: another one's denial would complete the evidence.
+    /// The nodes that denied a match in the latest version when asked after `since`. Only the denial of another node
+    /// can complete the evidence.
     pub fn denied_since(
         &self,
         key: QueryKey,
@@ -205,7 +214,7 @@
         denials.filter(move |denial| since.includes(denial.sent)).map(|denial| denial.node)
     }
 
-    /// The nodes that deny a match in just this version.
+    /// The nodes that denied a match in exactly this version.
     pub fn denied_in_version(
         &self,
         key: QueryKey,
@@ -216,17 +225,17 @@
         entry.into_iter().flat_map(|entry| entry.denials.into_iter().flatten()).map(|denial| denial.node)
     }
 
-    /// Drops all denials of a node.
+    /// Removes all denials of a node.
     pub fn remove_node(&mut self, node: NodeId) {
         let is_of_node = |denial: &Denial| denial.node == node;
         let affected: Vec<_> = self
             .entries
             .iter()
             .filter(|(_, entry)| entry.denials.iter().flatten().any(is_of_node))
-            .map(|(at, _)| *at)
+            .map(|(key, _)| *key)
             .collect();
-        for at in affected {
-            if let Some(entry) = self.entries.get_mut(&at) {
+        for key in affected {
+            if let Some(entry) = self.entries.get_mut(&key) {
                 let of_node =
                     entry.denials.iter_mut().filter(|denial| denial.as_ref().is_some_and(is_of_node));
                 of_node.for_each(|denial| *denial = None);
--- a/crates/dunepond-prefilter/src/evidence/tests/mod.rs
+++ b/crates/dunepond-prefilter/src/evidence/tests/mod.rs
@@ -24,7 +24,8 @@
     assert_eq!(evidence.basis(1, 0, since(-0.5), |node| node != 8), None);
 }
 
-/// The content may have changed since, and a faulty replica could state the old version.
+/// Answers to old requests do not count: the content may have changed since, and a faulty replica could state the old
+/// version.
 #[test]
 fn stale_answers_do_not_count() {
     let mut evidence = Evidence::new(10);
@@ -33,7 +34,7 @@
     assert_eq!(evidence.basis(1, 0, since(1.5), ALL_TRUSTED), None);
     evidence.record_answer(at(3.0), 1, 0, 7, CanMatch::CannotMatch, 3);
     assert!(evidence.basis(1, 0, since(1.5), ALL_TRUSTED).is_some());
-    // A third replaces the oldest.
+    // A third denial replaces the oldest one.
     evidence.record_answer(at(4.0), 1, 0, 9, CanMatch::CannotMatch, 3);
     assert_eq!(evidence.basis(1, 0, since(2.5), ALL_TRUSTED), Some(PruningBasis::TwoReplicas(7, 9)));
 }
@@ -47,17 +48,17 @@
     assert_eq!(evidence.basis(1, 0, since(-0.5), ALL_TRUSTED), Some(PruningBasis::OwnSearch(7)));
 }
 
-/// The content has changed: answers about it before mean nothing now.
+/// A later version of the segment makes all denials in the earlier one useless.
 #[rstest]
-#[case::an_answer_shows_it(|e: &mut Evidence| e.record_answer(at(0.0), 2, 0, 9, CanMatch::Unknown, 4))]
-#[case::a_search_shows_it(|e: &mut Evidence| e.record_search(at(0.0), 2, 0, 4, true))]
-fn drops_other_versions(#[case] change: fn(&mut Evidence)) {
+#[case::answer_states_new_version(|e: &mut Evidence| e.record_answer(at(0.0), 2, 0, 9, CanMatch::Unknown, 4))]
+#[case::search_states_new_version(|e: &mut Evidence| e.record_search(at(0.0), 2, 0, 4, true))]
+fn drops_other_versions(#[case] record_new_version: fn(&mut Evidence)) {
     let mut evidence = Evidence::new(10);
     evidence.record_answer(at(0.0), 1, 0, 7, CanMatch::CannotMatch, 3);
     evidence.record_answer(at(0.0), 1, 0, 8, CanMatch::CannotMatch, 3);
-    change(&mut evidence);
+    record_new_version(&mut evidence);
     assert_eq!(evidence.basis(1, 0, since(-0.5), ALL_TRUSTED), None);
-    // A replica that lags behind cannot bring them back.
+    // A replica that lags behind cannot restore them.
     evidence.record_answer(at(0.0), 1, 0, 7, CanMatch::CannotMatch, 3);
     assert_eq!(evidence.basis(1, 0, since(-0.5), ALL_TRUSTED), None);
 }
--- a/crates/dunepond-prefilter/src/lib.rs
+++ b/crates/dunepond-prefilter/src/lib.rs
@@ -1,15 +1,18 @@
-//! The prefilter of wide queries: ask nodes first which segments can match, then search only those.
+//! The prefilter for queries over many segments: it first asks nodes which segments can match, and then has only those
+//! searched.
 //!
-//! Most segments of a wide query cannot match. Asking first saves the nodes most of the work, provided that it costs little and that no
-//! segment is pruned that might match.
+//! Most segments of such a query cannot match. Asking first saves the nodes most of the work, provided that asking is
+//! cheap and that no segment is pruned that might match.
 //!
-//! Without input and output. The host calls [`Prefilter::open`] for a query, sends the requests it is ordered to, reports what came back, and
-//! learns which segments to search. Times are seconds on a steady clock; nodes, segments and query classes are small indices; a query's text
-//! is identified by a hash.
+//! The crate performs no I/O. The host calls [`Prefilter::open`] for a query, sends the requests that
+//! [`Prefilter::flush`] returns, reports their results, and receives a [`SearchPlan`]. Times are in seconds on a
+//! monotonic clock; nodes, segments and query classes are small indices; a query's text is identified by a hash.
 //!
-//! A segment is pruned on evidence (`evidence`): two replicas that deny a match in the same version, or one and the last search of our own
-//! in that version. A node whose denial was refuted does not count until it has been right again for long enough (`trust`). A node that
-//! does not answer is in backoff (`backoff`). Whether asking first is beneficial at all is learned for each query class (`benefit`).
+//! A segment is pruned on evidence (`evidence`): two replicas deny a match in the same version, or one replica does and
+//! the last search by this process found nothing in that version. If a search refutes a node's denial, the node's
+//! denials do not count until enough of them have been confirmed (`trust`). A node that does not answer is not asked
+//! for a while (`backoff`). Whether asking first is beneficial is learned for each query class (`benefit`). Some pruned
+//! segments are searched all the same, to check the denials (`audit_budget`).
 #![warn(missing_docs)]
 
 mod audit_budget;
--- a/crates/dunepond-prefilter/src/model.rs
+++ b/crates/dunepond-prefilter/src/model.rs
@@ -1,19 +1,19 @@
-//! What the host exchanges with the prefilter.
+//! Types that the host and the prefilter exchange.
 
 use crate::evidence::PruningBasis;
 
-/// A node, by the host's own index.
+/// Index of a node, assigned by the host.
 pub type NodeId = usize;
-/// A segment, by the host's own index.
+/// Index of a segment, assigned by the host.
 pub type SegmentIndex = usize;
-/// The version of a segment's content, as its replicas number it.
+/// Version of a segment's content, as numbered by its replicas.
 pub type Version = u64;
-/// A hash of a query's text and class.
+/// Hash of a query's text and class, which identifies the text.
 pub type QueryKey = u64;
-/// A query, by the host's own number.
+/// Number of a query, assigned by the host.
 pub type QueryId = u64;
 
-/// What a node answers about one segment.
+/// Whether a segment can match a query text, by a node's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CanMatch {
     /// The segment may have matches.
@@ -27,108 +27,110 @@
 /// A node's answer about one segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentAnswer {
-    /// The segment.
+    /// Segment that the answer is about.
     pub segment: SegmentIndex,
-    /// Whether it can match.
+    /// Whether the segment can match.
     pub answer: CanMatch,
-    /// The version that the answer is about.
+    /// Version of the segment that the answer is about.
     pub version: Version,
 }
 
-/// What the operator configures.
+/// The operator's configuration of the prefilter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PrefilterConfig {
-    /// Queries of fewer segments are searched directly.
+    /// Minimum number of segments; queries of fewer segments are searched directly.
     pub min_segments: usize,
-    /// The part of the client's time that asking may take at most.
+    /// Maximum ratio of the query's remaining time that may be spent waiting for answers.
     pub time_ratio: f64,
-    /// Answers count for queries that come up to this long after the request. At 0 each query needs answers to requests sent after it came,
-    /// and a complete answer is as of then; above, it may be as old as this.
+    /// Maximum time from a request to the arrival of a query that uses its answer. At 0, each query needs answers to
+    /// requests that were sent after the query arrived, so a complete answer is current as of its arrival. Otherwise a
+    /// complete answer may be out of date by this time.
     pub max_age_seconds: f64,
-    /// Pairs of a text and a segment that are remembered.
+    /// Maximum number of pairs of a text and a segment for which evidence is kept.
     pub max_entries: usize,
-    /// Pruned segments that are searched all the same, as a part of all pruned ones.
+    /// Ratio of the pruned segments that are searched all the same, to check the denials.
     pub audit_ratio: f64,
 }
 
 /// A query that may be prefiltered.
 #[derive(Clone, Debug)]
 pub struct PrefilterQuery {
-    /// Its number.
+    /// Number of the query.
     pub id: QueryId,
-    /// Its class, by the host's own index.
+    /// Index of the query class, assigned by the host.
     pub query_class: usize,
-    /// Identifies its text.
+    /// Identifies the query's text.
     pub key: QueryKey,
-    /// It may run twice; others are searched directly.
+    /// Whether the query may be run twice; others are searched directly.
     pub idempotent: bool,
-    /// The part of its segments that makes its answer complete. Below 1 it is searched directly: of what such an answer counts, each segment
-    /// must have been searched.
+    /// Ratio of its segments that makes the query's answer complete. Below 1 the query is searched directly, because
+    /// only segments that were searched count towards such an answer.
     pub complete_at: f64,
-    /// How long its client still waits.
+    /// Time left until the query's deadline.
     pub time_left_seconds: f64,
-    /// The segments it concerns.
+    /// Segments that the query concerns.
     pub segments: Vec<SegmentIndex>,
 }
 
-/// What the host knows of the nodes at this moment.
+/// The host's current knowledge of the nodes.
 pub trait NodeView {
-    /// Replicas of a segment that new work may go to.
+    /// Nodes with a replica of the segment that may receive new work.
     fn replicas(&self, segment: SegmentIndex) -> Vec<NodeId>;
-    /// The host's work in flight at a node.
+    /// Number of the host's requests in flight at a node.
     fn outstanding(&self, node: NodeId) -> usize;
-    /// The nodes are near their limits: nothing may be sent that is not needed.
+    /// Whether the nodes are near their limits, so that nothing may be sent that is not necessary.
     fn is_congested(&self) -> bool;
 }
 
-/// A request to one node about all segments of a text that it is asked about at once.
+/// A request to one node, which asks in which of several segments a query text can match.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CanMatchRequest {
-    /// Its number.
+    /// Number of the request.
     pub id: u64,
-    /// The node to ask.
+    /// Node to ask.
     pub node: NodeId,
-    /// Identifies the text.
+    /// Identifies the query text.
     pub key: QueryKey,
-    /// The segments to ask about.
+    /// Segments to ask about.
     pub segments: Vec<SegmentIndex>,
 }
 
-/// A segment that need not be searched, and why.
+/// A segment that need not be searched, with the reason.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrunedSegment {
-    /// The segment.
+    /// Segment that is not searched.
     pub segment: SegmentIndex,
-    /// The evidence.
+    /// Evidence that the segment has no match.
     pub basis: PruningBasis,
 }
 
-/// Which segments of a query to search. Each opened query gets one, at its opening or later.
+/// Tells which segments of a query to search. Each opened query that does not end before gets one plan, at its opening
+/// or later.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SearchPlan {
-    /// The query.
+    /// Number of the query.
     pub query: QueryId,
     /// Segments to search.
     pub search: Vec<SegmentIndex>,
-    /// Segments not to search, and why.
+    /// Segments not to search, with the reason for each.
     pub pruned: Vec<PrunedSegment>,
 }
 
-/// What the host must do.
+/// An action that the host must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request.
+    /// Send a request to a node.
     Send(CanMatchRequest),
-    /// Search the segments.
+    /// Search the segments of a query by its plan.
     Search(SearchPlan),
 }
 
-/// A pruned segment that is to be searched all the same.
+/// A pruned segment that the host must search all the same, to check the denials on which it was pruned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Audit {
-    /// Identifies the text.
+    /// Identifies the query text.
     pub key: QueryKey,
-    /// The segment to search.
+    /// Segment to search.
     pub segment: SegmentIndex,
 }
 
@@ -139,27 +141,27 @@
     pub prefiltered: u64,
     /// Eligible queries that were searched directly.
     pub searched_directly: u64,
-    /// Requests sent.
+    /// Can-match requests sent.
     pub requests: u64,
-    /// Requests without a usable answer.
+    /// Can-match requests without a usable answer.
     pub failed_requests: u64,
-    /// Segments of prefiltered queries.
+    /// Total number of segments of prefiltered queries.
     pub segments: u64,
-    /// Segments pruned.
+    /// Segments that were pruned.
     pub pruned: u64,
-    /// Audits started.
+    /// Audits handed to the host.
     pub audits: u64,
-    /// Denials that a search refuted.
+    /// Denials that a search refuted by finding a match.
     pub false_denials: u64,
     /// Pruned segments that had to be searched after all.
     pub revoked: u64,
 }
 
-/// What waits for answers.
+/// Numbers of queries and requests that wait for answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InFlight {
-    /// Queries being prefiltered.
+    /// Queries that wait for answers.
     pub queries: usize,
-    /// Requests without an answer.
+    /// Requests that were sent and not answered yet.
     pub requests: usize,
 }
--- a/crates/dunepond-prefilter/src/prefilter/mod.rs
+++ b/crates/dunepond-prefilter/src/prefilter/mod.rs
@@ -1,4 +1,4 @@
-//! The prefilter: queries from their opening to their search plan, and the audits behind them.
+//! The prefilter: handles queries from their opening to their end, and hands out audits.
 
 mod outcome;
 mod planning;
@@ -19,35 +19,36 @@
 };
 use crate::trust::Trust;
 
-/// Audits that may be saved up.
+/// Maximum number of audits that the budget accumulates.
 const MAX_SAVED_AUDITS: f64 = 8.0;
 
-/// A query that waits for answers.
+/// A query that waits for answers to can-match requests.
 struct OpenQuery {
     query: PrefilterQuery,
     opened_at: f64,
     counts_since: CountsSince,
-    /// When asking ends, whatever has come.
+    /// Time at which the query stops waiting for answers and its plan is made.
     deadline: f64,
-    /// The request that each segment waits for.
+    /// Number of the request that each undecided segment waits for.
     waiting: BTreeMap<SegmentIndex, u64>,
-    /// Segments of which a second replica has been asked.
+    /// Segments for which a second replica was asked after a first one denied.
     second_requested: BTreeSet<SegmentIndex>,
 }
 
-/// A query with a search plan, until it ends.
+/// A query that has a search plan and has not ended.
 struct SearchingQuery {
     query_class: usize,
     key: QueryKey,
     opened_at: f64,
     counts_since: CountsSince,
-    /// When asking ended; None where the query was searched directly.
+    /// Time at which the plan of a prefiltered query was made; `None` if the query was searched directly.
     planned_at: Option<f64>,
     segment_count: usize,
+    /// Pruned segments that were not revoked.
     pruned: Vec<PrunedSegment>,
 }
 
-/// A request that was sent.
+/// A request that was sent and not answered yet.
 struct SentRequest {
     request: CanMatchRequest,
     sent: SentAt,
@@ -57,25 +58,30 @@
 pub struct Prefilter {
     config: PrefilterConfig,
     rng: Pcg64Mcg,
-    /// What was learned of each query class.
+    /// Whether prefiltering is beneficial, by query class.
     benefits: BTreeMap<usize, Benefit>,
     evidence: Evidence,
     trust: Trust,
     backoffs: NodeBackoffs,
     audit_budget: AuditBudget,
     counters: Counters,
+    /// Queries that wait for answers.
     open: BTreeMap<QueryId, OpenQuery>,
+    /// Queries that have a plan and have not ended.
     searching: BTreeMap<QueryId, SearchingQuery>,
-    /// Requests that [`Prefilter::flush`] will send; queries that come before share them.
+    /// Requests that the next [`Prefilter::flush`] returns; queries of the same text that are opened before then share
+    /// them.
     unsent: BTreeMap<(NodeId, QueryKey), CanMatchRequest>,
+    /// Requests that were sent and not answered yet, by number.
     sent: BTreeMap<u64, SentRequest>,
     last_request_id: u64,
     requests_sent: u64,
+    /// Audits that [`Prefilter::audit`] has not returned yet.
     audits: VecDeque<Audit>,
 }
 
 impl Prefilter {
-    /// `seed` is of the random choices among nodes.
+    /// Creates a prefilter. `seed` seeds the random choices of nodes and of segments to audit.
     pub fn new(config: PrefilterConfig, seed: u64) -> Self {
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -96,22 +102,23 @@
         }
     }
 
-    /// Sets the configuration for queries that come from now on.
+    /// Sets the configuration for queries that are opened from now on.
     pub fn reconfigure(&mut self, config: PrefilterConfig) {
         self.evidence.set_max_entries(config.max_entries);
         self.audit_budget.set_ratio(config.audit_ratio);
         self.config = config;
     }
 
-    /// Whether a query may be prefiltered at all, whatever the moment.
+    /// Whether a query may be prefiltered at all, regardless of the current load and times.
     pub fn is_eligible(&self, query: &PrefilterQuery) -> bool {
         query.idempotent && query.complete_at >= 1.0 && query.segments.len() >= self.config.min_segments
     }
 
-    /// The next pruned segment to search all the same; none while the nodes are congested.
+    /// Returns the next audit that the host must carry out. `None` if there is none or the nodes are congested;
+    /// congestion discards all waiting audits.
     pub fn audit(&mut self, nodes: &dyn crate::NodeView) -> Option<Audit> {
         if nodes.is_congested() {
-            // Worth nothing later: the content will have changed.
+            // An audit is useless later, as the content may have changed by then.
             self.audits.clear();
         }
         let audit = self.audits.pop_front();
@@ -119,48 +126,49 @@
         audit
     }
 
-    /// Whether any audits wait.
+    /// Whether there are audits that were not returned yet.
     pub fn has_audits(&self) -> bool {
         !self.audits.is_empty()
     }
 
-    /// Drops what is known of a node: it left, or a new process stands under its number.
+    /// Forgets a node, because it left, was restarted or was replaced.
     pub fn remove_node(&mut self, node: NodeId) {
         self.trust.remove_node(node);
         self.backoffs.remove_node(node);
         self.evidence.remove_node(node);
     }
 
-    /// What was counted so far.
+    /// Counters since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// The number of nodes that are not asked now, as they did not answer.
+    /// The number of nodes that are not asked now because their requests failed.
     pub fn nodes_in_backoff(&self, now: f64) -> usize {
         self.backoffs.count(now)
     }
 
-    /// What waits for answers.
+    /// The numbers of queries and requests that wait for answers.
     pub fn in_flight(&self) -> InFlight {
         InFlight { queries: self.open.len(), requests: self.sent.len() }
     }
 
-    /// The number of nodes whose denials do not count now.
+    /// The number of nodes whose denials do not count now because one was refuted.
     pub fn distrusted_nodes(&self) -> usize {
         self.trust.distrusted()
     }
 
-    /// Whether queries of a class are prefiltered now.
+    /// Whether prefiltering is currently beneficial for a query class; `false` if the class is unknown.
     pub fn is_beneficial(&self, query_class: usize) -> bool {
         self.benefits.get(&query_class).is_some_and(Benefit::is_beneficial)
     }
 
-    /// From when on answers count for a query that arrives now.
+    /// The moment after which requests must have been sent for their answers to count for a query that arrives now.
     fn counts_since(&self, now: f64) -> CountsSince {
         CountsSince { sequence: self.requests_sent, time: now - self.config.max_age_seconds }
     }
 
+    /// The samples of a query class, which start empty.
     fn benefit(&mut self, query_class: usize) -> &mut Benefit {
         self.benefits.entry(query_class).or_default()
     }
--- a/crates/dunepond-prefilter/src/prefilter/outcome.rs
+++ b/crates/dunepond-prefilter/src/prefilter/outcome.rs
@@ -1,4 +1,4 @@
-//! What searches show: whether denials were right, and whether prefiltering is beneficial.
+//! Learns from the results of searches whether denials were correct and whether prefiltering is beneficial.
 
 use super::Prefilter;
 use crate::benefit::PrefilterSample;
@@ -6,8 +6,9 @@
 use crate::model::{QueryId, QueryKey, SegmentIndex, Version};
 
 impl Prefilter {
-    /// A segment was searched, for a query or as an audit, in the version that its replica stated. Every denial in that version is compared
-    /// with what was found. `started` is when the search was sent. True if a trusted node's denial was refuted.
+    /// Records that a segment was searched, for a query or as an audit, in the version that its replica stated.
+    /// `started` is the time at which the search was sent, `found` tells whether it found a match. Every denial in that
+    /// version is compared with the result. Returns whether this refuted the denial of a trusted node.
     pub fn record_search(
         &mut self,
         started: f64,
@@ -31,7 +32,7 @@
         refuted_trusted
     }
 
-    /// A query ended, with an answer or without.
+    /// Records that a query ended, with an answer or without. Only answered queries count as samples.
     pub fn on_query_end(&mut self, now: f64, id: QueryId, answered: bool) {
         if let Some(open) = self.open.remove(&id) {
             self.benefit(open.query.query_class).on_end();
--- a/crates/dunepond-prefilter/src/prefilter/planning.rs
+++ b/crates/dunepond-prefilter/src/prefilter/planning.rs
@@ -1,4 +1,4 @@
-//! Search plans: what is pruned, and what must be searched after all.
+//! Search plans: which segments are pruned, and which pruned ones must be searched after all.
 
 use rand::RngExt;
 
@@ -6,13 +6,14 @@
 use crate::model::{Action, Audit, PrunedSegment, QueryId, QueryKey, SearchPlan, SegmentIndex};
 
 impl Prefilter {
-    /// The search plan of a query, if it waits for nothing more.
+    /// Returns the search plan of a query unless it still waits for answers.
     pub(super) fn plan_if_answered(&mut self, now: f64, id: QueryId) -> Option<Action> {
         let is_answered = self.open.get(&id).is_some_and(|open| open.waiting.is_empty());
         if is_answered { self.plan(now, id) } else { None }
     }
 
-    /// The search plan of a query, from the evidence there is.
+    /// Returns the search plan of a query by the evidence so far. The query stops waiting for answers. `None` if the
+    /// query is not open.
     pub(super) fn plan(&mut self, now: f64, id: QueryId) -> Option<Action> {
         let OpenQuery { query, opened_at, counts_since, .. } = self.open.remove(&id)?;
         let (mut search, mut pruned) = (Vec::new(), Vec::new());
@@ -24,7 +25,7 @@
             }
         }
         self.counters.pruned += pruned.len() as u64;
-        self.audit_budget.earn(pruned.len());
+        self.audit_budget.deposit(pruned.len());
         self.schedule_audit(query.key, &pruned);
         let searching = SearchingQuery {
             query_class: query.query_class,
@@ -39,6 +40,7 @@
         Some(Action::Search(SearchPlan { query: id, search, pruned }))
     }
 
+    /// Schedules an audit of one random pruned segment, if the audit budget permits.
     fn schedule_audit(&mut self, key: QueryKey, pruned: &[PrunedSegment]) {
         if !pruned.is_empty() && self.audit_budget.try_take() {
             let chosen = pruned[self.rng.random_range(0..pruned.len())];
@@ -46,8 +48,8 @@
         }
     }
 
-    /// Pruned segments of a query whose evidence no longer counts, as their content changed or a denial was refuted. They must be searched
-    /// before the answer can be complete.
+    /// Returns the pruned segments of a query whose evidence no longer counts, because their content changed or a
+    /// denial was refuted. They must be searched before the query's answer can be complete. Each is returned once.
     pub fn take_revoked(&mut self, id: QueryId) -> Vec<SegmentIndex> {
         let Some(searching) = self.searching.get_mut(&id) else { return Vec::new() };
         let (evidence, trust) = (&self.evidence, &self.trust);
--- a/crates/dunepond-prefilter/src/prefilter/requests.rs
+++ b/crates/dunepond-prefilter/src/prefilter/requests.rs
@@ -1,4 +1,4 @@
-//! Can-match requests: whether a query is prefiltered, which nodes are asked, and what follows from their answers.
+//! Can-match requests: decides whether a query is prefiltered and which nodes are asked, and handles their answers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,16 +12,16 @@
     SegmentAnswer, SegmentIndex,
 };
 
-/// The median search must fit into the time that is left after asking, with this margin.
+/// Margin on the search time: after waiting for answers, at least this multiple of the median search time must be left.
 const SEARCH_TIME_MARGIN_RATIO: f64 = 1.5;
-/// How often a distrusted node is asked: its segments are searched, which shows whether it is right again.
+/// Ratio of choices in which distrusted nodes may be asked. Searches then show whether their denials are correct again.
 const PROBATION_RATIO: f64 = 1.0 / 16.0;
-/// A request that no query waits for is forgotten after this long.
+/// Time after which a request that no query waits for is forgotten.
 const UNAWAITED_RETENTION_SECONDS: f64 = 10.0;
 
 impl Prefilter {
-    /// A query came. Its search plan is returned at once where it is searched directly, or nothing need be asked; otherwise its requests are
-    /// returned by [`Prefilter::flush`].
+    /// Opens a query that has arrived. Returns its search plan if it is searched directly or nothing need be asked.
+    /// Otherwise the next [`Prefilter::flush`] returns its requests, and the plan follows later.
     pub fn open(&mut self, now: f64, nodes: &dyn NodeView, query: PrefilterQuery) -> Vec<Action> {
         let Some(deadline) = self.request_deadline(now, nodes, &query) else {
             return vec![self.search_directly(now, query)];
@@ -43,7 +43,8 @@
         self.plan_if_answered(now, id).into_iter().collect()
     }
 
-    /// Returns the requests gathered since the last call, one to a node for each text. Called once in each iteration of the host's loop.
+    /// Returns the requests to send, one for each node and text, and records them as sent. The host calls this once in
+    /// each iteration of its event loop.
     pub fn flush(&mut self, now: f64) -> Vec<Action> {
         let mut unsent = std::mem::take(&mut self.unsent);
         // A query may have ended before its requests were sent.
@@ -61,12 +62,12 @@
         actions
     }
 
-    /// The requests that open queries wait for.
+    /// The numbers of the requests that open queries wait for.
     fn awaited_requests(&self) -> BTreeSet<u64> {
         self.open.values().flat_map(|open| open.waiting.values().copied()).collect()
     }
 
-    /// Until when a query may wait for answers; None where it is searched directly.
+    /// Time until which a query may wait for answers; `None` if it is to be searched directly.
     fn request_deadline(&mut self, now: f64, nodes: &dyn NodeView, query: &PrefilterQuery) -> Option<f64> {
         if !self.is_eligible(query) || nodes.is_congested() {
             return None;
@@ -75,19 +76,21 @@
         let mut max_seconds = self.config.time_ratio * time_left;
         let benefit = self.benefits.entry(query.query_class).or_default();
         if let Some(median) = benefit.median_times() {
-            // A direct search may take longer than one after pruning: if little is pruned, that must fit too.
+            // A direct search may take longer than one after pruning. If little is pruned, it must fit into the time
+            // too.
             let search_seconds = median.search_seconds.max(benefit.direct_seconds().unwrap_or(0.0));
             max_seconds = max_seconds.min(time_left - SEARCH_TIME_MARGIN_RATIO * search_seconds);
             if max_seconds < median.request_seconds {
                 return None;
             }
         }
-        if let Some(patience_seconds) = benefit.patience_seconds() {
-            max_seconds = max_seconds.min(patience_seconds);
+        if let Some(timeout_seconds) = benefit.request_timeout_seconds() {
+            max_seconds = max_seconds.min(timeout_seconds);
         }
         benefit.should_prefilter().then_some(now + max_seconds)
     }
 
+    /// Returns a plan that searches all segments of a query.
     fn search_directly(&mut self, now: f64, query: PrefilterQuery) -> Action {
         self.counters.searched_directly += u64::from(self.is_eligible(&query));
         let PrefilterQuery { id, query_class, key, segments, .. } = query;
@@ -104,7 +107,8 @@
         Action::Search(SearchPlan { query: id, search: segments, pruned: Vec::new() })
     }
 
-    /// Finds or gathers a request for each segment of a query that lacks evidence.
+    /// Assigns a request to each of the segments that lacks evidence: an existing one that can be shared, or a new one.
+    /// Segments without a node to ask get none.
     fn assign_requests(&mut self, now: f64, nodes: &dyn NodeView, id: QueryId, segments: &[SegmentIndex]) {
         let Some(open) = self.open.get(&id) else { return };
         let (key, since) = (open.query.key, open.counts_since);
@@ -127,7 +131,8 @@
         }
     }
 
-    /// A request of another query that asks the same: one not sent yet, or sent late enough to be fresh.
+    /// Number of an existing request that asks about the same text and segment. It must not be sent yet, or be sent
+    /// recently enough for its answer to count.
     fn shared_request(&self, id: QueryId, segment: SegmentIndex, denied_by: &[NodeId]) -> Option<u64> {
         let open = self.open.get(&id)?;
         let (key, since) = (open.query.key, open.counts_since);
@@ -138,7 +143,8 @@
         self.unsent.values().chain(fresh).find(asks_the_same).map(|request| request.id)
     }
 
-    /// The less loaded of two random replicas, of those that may be asked and have not denied already.
+    /// Chooses the less loaded of two random replicas, among those that may be asked and have not denied already.
+    /// `None` if there is no such replica.
     fn choose_node(
         &mut self,
         now: f64,
@@ -165,8 +171,9 @@
         }
     }
 
+    /// Prefers the node to which a request on this text is waiting to be sent, then the one with less work in flight.
     fn less_loaded(&self, nodes: &dyn NodeView, key: QueryKey, a: NodeId, b: NodeId) -> NodeId {
-        // One more segment in a request that is sent anyway costs next to nothing.
+        // One more segment in a request that is sent anyway adds hardly any cost.
         let is_asked = |node| self.unsent.contains_key(&(node, key));
         match (is_asked(a), is_asked(b)) {
             (true, false) => a,
@@ -176,6 +183,7 @@
         }
     }
 
+    /// Adds a segment to the unsent request on this text to a node, and returns the request's number.
     fn add_to_unsent(&mut self, node: NodeId, key: QueryKey, segment: SegmentIndex) -> u64 {
         let last_id = &mut self.last_request_id;
         let request = self.unsent.entry((node, key)).or_insert_with(|| {
@@ -186,7 +194,8 @@
         request.id
     }
 
-    /// A node answered, late or in time. Answers about segments that it was not asked about are ignored.
+    /// Records a node's answers to a request, late or in time, and returns the plans of queries that wait for nothing
+    /// more. Answers about segments that were not asked about are ignored.
     pub fn on_response(
         &mut self,
         now: f64,
@@ -209,7 +218,8 @@
         self.end_request(now, nodes, &request, &denied)
     }
 
-    /// A request will not be answered: its segments are searched.
+    /// Records that a request failed, and returns the plans of queries that wait for nothing more. The request's
+    /// segments are searched unless other evidence permits pruning.
     pub fn on_failure(
         &mut self,
         now: f64,
@@ -223,7 +233,8 @@
         self.end_request(now, nodes, &request, &BTreeSet::new())
     }
 
-    /// Asks a second replica where one denied, and plans the queries that wait for nothing more.
+    /// Ends a request. A second replica is asked about each segment that the first one denied, and plans are returned
+    /// for the queries that wait for nothing more.
     fn end_request(
         &mut self,
         now: f64,
@@ -239,7 +250,7 @@
             let mut to_confirm = Vec::new();
             open.waiting.retain(|segment, waited| {
                 let ended = *waited == request.id;
-                // One second replica only.
+                // Only one further replica is asked.
                 if ended && denied.contains(segment) && open.second_requested.insert(*segment) {
                     to_confirm.push(*segment);
                 }
@@ -253,12 +264,12 @@
         actions
     }
 
-    /// When the next deadline is.
+    /// Earliest deadline of the queries that wait for answers; `None` if no query waits.
     pub fn next_deadline(&self) -> Option<f64> {
         self.open.values().map(|open| open.deadline).min_by(f64::total_cmp)
     }
 
-    /// Ends asking for the queries whose deadline has passed: what was not answered is searched.
+    /// Returns the plans of the queries whose deadline has passed. Segments without enough evidence are searched.
     pub fn on_deadline(&mut self, now: f64) -> Vec<Action> {
         let due: Vec<_> =
             self.open.iter().filter(|(_, open)| open.deadline <= now).map(|(id, _)| *id).collect();
@@ -268,7 +279,7 @@
             }
         }
         let actions: Vec<_> = due.into_iter().filter_map(|id| self.plan(now, id)).collect();
-        // An answer that no query waits for may still be evidence, but not for ever.
+        // An answer that no query waits for may still become evidence, so its request is kept for a limited time.
         let awaited = self.awaited_requests();
         self.sent
             .retain(|id, sent| awaited.contains(id) || now - sent.sent.time <= UNAWAITED_RETENTION_SECONDS);
--- a/crates/dunepond-prefilter/src/trust.rs
+++ b/crates/dunepond-prefilter/src/trust.rs
@@ -1,4 +1,5 @@
-//! Whose denials count. A node whose denial was refuted is distrusted until it was confirmed in a doubling number of searches.
+//! Decides which nodes' denials count. After a search refutes a node's denial, the node is distrusted until a number of
+//! its denials have been confirmed by searches; the number doubles with each further false denial.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +8,34 @@
 #[cfg(test)]
 mod tests;
 
-/// Confirmations needed after the first false denial; doubled with each further one.
+/// Confirmations needed after the first false denial; doubled with each further false denial.
 const INITIAL_CONFIRMATIONS: u32 = 4;
+/// Upper limit of the confirmations needed after a false denial.
 const MAX_CONFIRMATIONS: u32 = 1024;
 
+/// Trust record of a node that had a false denial.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Record {
-    /// Confirmations still needed; 0 where the node is trusted.
+    /// Confirmations still needed; 0 if the node is trusted again.
     needed: u32,
-    /// What the next false denial costs.
+    /// Confirmations that will be needed after the next false denial.
     next: u32,
 }
 
-/// The nodes that had a false denial.
+/// Trust records of the nodes that had a false denial.
 #[derive(Default)]
 pub struct Trust {
     records: BTreeMap<NodeId, Record>,
 }
 
 impl Trust {
-    /// Every node is trusted until a denial was refuted: two nodes must agree anyway.
+    /// Whether a node's denials count. Every node is trusted until one of its denials is refuted; this is safe because
+    /// pruning needs a second confirmation anyway.
     pub fn is_trusted(&self, node: NodeId) -> bool {
         self.records.get(&node).is_none_or(|record| record.needed == 0)
     }
 
-    /// A search refuted its denial. True if it was trusted until now.
+    /// Records that a search refuted a node's denial. Returns whether the node was trusted until now.
     pub fn record_false_denial(&mut self, node: NodeId) -> bool {
         let was_trusted = self.is_trusted(node);
         let record = self.records.entry(node).or_insert(Record { needed: 0, next: INITIAL_CONFIRMATIONS });
@@ -39,14 +43,14 @@
         was_trusted
     }
 
-    /// A search confirmed its denial.
+    /// Records that a search confirmed a node's denial.
     pub fn record_confirmation(&mut self, node: NodeId) {
         if let Some(record) = self.records.get_mut(&node) {
             record.needed = record.needed.saturating_sub(1);
         }
     }
 
-    /// Drops what is known of a node: a new process, or another node under its number.
+    /// Forgets a node's record, because the node was restarted or its number belongs to another node now.
     pub fn remove_node(&mut self, node: NodeId) {
         self.records.remove(&node);
     }
--- a/crates/dunepond-prefilter/tests/prefilter/world.rs
+++ b/crates/dunepond-prefilter/tests/prefilter/cluster_model.rs
@@ -1,26 +1,32 @@
-//! A model of the nodes and their content, and queries on it.
+//! A model of a cluster's nodes and the content of its segments, with a configuration and queries for tests.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunepond_prefilter::*;
 
-pub const SEGS: usize = 24;
-pub const NODES: usize = 12;
+/// Number of segments in the model.
+pub const SEGMENT_COUNT: usize = 24;
+/// Number of nodes in the model.
+pub const NODE_COUNT: usize = 12;
 
-/// A ring: a segment is replicated on the node of its half number and the next two. Its content in a version matches a
-/// text or does not, for good.
+/// Nodes in a ring: segment `s` is replicated on node `s / 2` and the next two. Whether a segment matches a text
+/// depends only on the text, the segment and its version.
 #[derive(Clone, Default)]
-pub struct World {
+pub struct ClusterModel {
+    /// Version of each segment; 1 if absent.
     pub versions: BTreeMap<SegmentIndex, Version>,
+    /// Nodes that receive no new work.
     pub drained: BTreeSet<NodeId>,
-    pub pressed: bool,
+    /// Whether the nodes are near their limits.
+    pub congested: bool,
 }
 
-impl World {
+impl ClusterModel {
     pub fn version(&self, segment: SegmentIndex) -> Version {
         self.versions.get(&segment).copied().unwrap_or(1)
     }
 
+    /// Whether the text matches in this version of the segment; a hash decides it.
     pub fn matches(&self, key: QueryKey, segment: SegmentIndex, version: Version) -> bool {
         let mut hash = key.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (segment as u64) << 32 ^ version;
         hash = (hash ^ hash >> 29).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -28,9 +34,9 @@
     }
 }
 
-impl NodeView for World {
+impl NodeView for ClusterModel {
     fn replicas(&self, segment: SegmentIndex) -> Vec<NodeId> {
-        let all = (0..3).map(|j| (segment / 2 + j) % NODES);
+        let all = (0..3).map(|offset| (segment / 2 + offset) % NODE_COUNT);
         all.filter(|node| !self.drained.contains(node)).collect()
     }
 
@@ -39,7 +45,7 @@
     }
 
     fn is_congested(&self) -> bool {
-        self.pressed
+        self.congested
     }
 }
 
@@ -53,6 +59,7 @@
     }
 }
 
+/// A query on these segments that may be prefiltered, with 4 s left.
 pub fn query(id: QueryId, segments: std::ops::Range<usize>) -> PrefilterQuery {
     PrefilterQuery {
         id,
--- a/crates/dunepond-prefilter/tests/prefilter/main.rs
+++ b/crates/dunepond-prefilter/tests/prefilter/main.rs
@@ -1,14 +1,16 @@
-//! The prefilter against a model that knows the truth: replicas that misstate, lag, stall and disagree, content that changes.
+//! Tests of the prefilter against a cluster model that knows the actual content: replicas that answer falsely, lag,
+//! stall and disagree, and content that changes.
 
+mod cluster_model;
 mod properties;
-mod world;
 
 use std::collections::BTreeSet;
 
 use dunepond_prefilter::*;
 
-use world::{World, config, query};
+use cluster_model::{ClusterModel, config, query};
 
+/// The requests among `actions`.
 fn requests(actions: &[Action]) -> Vec<CanMatchRequest> {
     let mut requests = Vec::new();
     for action in actions {
@@ -19,21 +21,22 @@
     requests
 }
 
+/// The search plan of a query among `actions`.
 fn plan(actions: &[Action], query_id: QueryId) -> Option<SearchPlan> {
     let mut plans =
         actions.iter().filter_map(|action| if let Action::Search(plan) = action { Some(plan) } else { None });
     plans.find(|plan| plan.query == query_id).cloned()
 }
 
-/// An answer about the first version.
+/// An answer about version 1 of a segment.
 fn segment_answer(segment: SegmentIndex, answer: CanMatch) -> SegmentAnswer {
     SegmentAnswer { segment, answer, version: 1 }
 }
 
-/// Answers all requests alike, until there is a plan.
+/// Gives the same answer to all requests until the query has a plan, and returns the plan.
 fn answer_all(
     prefilter: &mut Prefilter,
-    world: &World,
+    cluster: &ClusterModel,
     actions: Vec<Action>,
     query_id: QueryId,
     answer: CanMatch,
@@ -44,12 +47,12 @@
             return plan;
         }
         let requests = requests(&actions);
-        assert!(!requests.is_empty(), "it waits for nothing and has no plan");
+        assert!(!requests.is_empty(), "query {query_id} waits for nothing and has no plan");
         actions.clear();
         for request in requests {
             let answers: Vec<_> =
                 request.segments.iter().map(|segment| segment_answer(*segment, answer)).collect();
-            actions.extend(prefilter.on_response(0.1, world, request.id, &answers));
+            actions.extend(prefilter.on_response(0.1, cluster, request.id, &answers));
         }
         actions.extend(prefilter.flush(0.1));
     }
@@ -57,56 +60,56 @@
 
 #[test]
 fn one_request_per_node() {
-    let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
-    let requests = requests(&opened(&mut prefilter, 0.0, &world, query(1, 0..24)));
+    let (mut prefilter, cluster) = (Prefilter::new(config(), 1), ClusterModel::default());
+    let requests = requests(&open_and_flush(&mut prefilter, 0.0, &cluster, query(1, 0..24)));
     let nodes: BTreeSet<_> = requests.iter().map(|request| request.node).collect();
     assert_eq!(nodes.len(), requests.len());
     assert_eq!(requests.iter().map(|request| request.segments.len()).sum::<usize>(), 24);
 }
 
-/// Two queries of one text within an iteration share requests; one that comes when these were sent asks again, as an answer
-/// in flight may have been decided before it came.
+/// Queries of the same text in one iteration share requests. A query that comes after these were sent asks again,
+/// because an answer in flight may have been decided before the query arrived.
 #[test]
 fn shares_requests_within_iteration() {
-    let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
-    // Shown to be beneficial, or only one at a time would be tried.
+    let (mut prefilter, cluster) = (Prefilter::new(config(), 1), ClusterModel::default());
+    // Prefiltering must first prove beneficial; otherwise only one query at a time would be prefiltered.
     for id in 100..120 {
-        let actions = opened(&mut prefilter, 0.0, &world, query(id, 0..8));
+        let actions = open_and_flush(&mut prefilter, 0.0, &cluster, query(id, 0..8));
         if !requests(&actions).is_empty() {
-            answer_all(&mut prefilter, &world, actions, id, CanMatch::CannotMatch);
+            answer_all(&mut prefilter, &cluster, actions, id, CanMatch::CannotMatch);
         }
         prefilter.on_query_end(0.1, id, true);
     }
-    let same = |id| PrefilterQuery { key: 5, ..query(id, 0..8) };
-    assert_eq!(prefilter.open(1.0, &world, same(1)), []);
-    assert_eq!(prefilter.open(1.0, &world, same(2)), []);
+    let same_text = |id| PrefilterQuery { key: 5, ..query(id, 0..8) };
+    assert_eq!(prefilter.open(1.0, &cluster, same_text(1)), []);
+    assert_eq!(prefilter.open(1.0, &cluster, same_text(2)), []);
     let first = requests(&prefilter.flush(1.0));
     assert_eq!(first.iter().map(|request| request.segments.len()).sum::<usize>(), 8);
-    let later = requests(&opened(&mut prefilter, 1.0, &world, same(3)));
+    let later = requests(&open_and_flush(&mut prefilter, 1.0, &cluster, same_text(3)));
     assert_eq!(later.iter().map(|request| request.segments.len()).sum::<usize>(), 8);
 }
 
 #[test]
 fn pruning_all_gives_empty_plan() {
-    let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
-    let actions = opened(&mut prefilter, 0.0, &world, query(1, 0..8));
-    let plan = answer_all(&mut prefilter, &world, actions, 1, CanMatch::CannotMatch);
+    let (mut prefilter, cluster) = (Prefilter::new(config(), 1), ClusterModel::default());
+    let actions = open_and_flush(&mut prefilter, 0.0, &cluster, query(1, 0..8));
+    let plan = answer_all(&mut prefilter, &cluster, actions, 1, CanMatch::CannotMatch);
     assert_eq!((plan.search.len(), plan.pruned.len()), (0, 8));
 }
 
 #[test]
 fn no_denials_search_all() {
-    let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
-    let actions = opened(&mut prefilter, 0.0, &world, query(1, 0..8));
-    let plan = answer_all(&mut prefilter, &world, actions, 1, CanMatch::MayMatch);
+    let (mut prefilter, cluster) = (Prefilter::new(config(), 1), ClusterModel::default());
+    let actions = open_and_flush(&mut prefilter, 0.0, &cluster, query(1, 0..8));
+    let plan = answer_all(&mut prefilter, &cluster, actions, 1, CanMatch::MayMatch);
     assert_eq!((plan.search.len(), plan.pruned.len()), (8, 0));
 }
 
-/// Whether one node stalls or all: what was not answered by the deadline is searched, and a late answer changes nothing.
+/// Segments without an answer by the deadline are searched, and later answers do not change the plan.
 #[test]
 fn late_answers_do_not_count() {
-    let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
-    let requests = requests(&opened(&mut prefilter, 0.0, &world, query(1, 0..8)));
+    let (mut prefilter, cluster) = (Prefilter::new(config(), 1), ClusterModel::default());
+    let requests = requests(&open_and_flush(&mut prefilter, 0.0, &cluster, query(1, 0..8)));
     let due = prefilter.next_deadline().unwrap();
     assert!((due - 0.3 * 4.0).abs() < 1e-9);
     assert_eq!(prefilter.on_deadline(due - 0.01), []);
@@ -115,17 +118,17 @@
     for request in requests {
         let denials: Vec<_> =
             request.segments.iter().map(|segment| segment_answer(*segment, CanMatch::CannotMatch)).collect();
-        assert_eq!(prefilter.on_response(due + 0.1, &world, request.id, &denials), []);
+        assert_eq!(prefilter.on_response(due + 0.1, &cluster, request.id, &denials), []);
     }
     assert_eq!(prefilter.in_flight(), InFlight::default());
 }
 
 #[test]
 fn failed_requests_search_segments() {
-    let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
-    let mut actions = opened(&mut prefilter, 0.0, &world, query(1, 0..8));
+    let (mut prefilter, cluster) = (Prefilter::new(config(), 1), ClusterModel::default());
+    let mut actions = open_and_flush(&mut prefilter, 0.0, &cluster, query(1, 0..8));
     for request in requests(&actions) {
-        actions.extend(prefilter.on_failure(0.1, &world, request.id, RequestFailure::NoConnection));
+        actions.extend(prefilter.on_failure(0.1, &cluster, request.id, RequestFailure::NoConnection));
     }
     actions.extend(prefilter.flush(0.1));
     assert_eq!(plan(&actions, 1).unwrap().search.len(), 8);
@@ -133,55 +136,59 @@
 
 #[test]
 fn ineligible_queries_search_directly() {
-    let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
-    let plain = |prefilter: &mut Prefilter, world: &World, wide: PrefilterQuery| {
-        let id = wide.id;
-        let actions = opened(prefilter, 0.0, world, wide);
+    let (mut prefilter, cluster) = (Prefilter::new(config(), 1), ClusterModel::default());
+    let is_direct = |prefilter: &mut Prefilter, cluster: &ClusterModel, query: PrefilterQuery| {
+        let id = query.id;
+        let actions = open_and_flush(prefilter, 0.0, cluster, query);
         requests(&actions).is_empty() && plan(&actions, id).is_some()
     };
-    assert!(plain(&mut prefilter, &world, query(1, 0..3)));
-    assert!(plain(&mut prefilter, &world, PrefilterQuery { idempotent: false, ..query(2, 0..8) }));
-    assert!(plain(&mut prefilter, &world, PrefilterQuery { complete_at: 0.6, ..query(5, 0..8) }));
-    assert!(plain(&mut prefilter, &World { pressed: true, ..World::default() }, query(3, 0..8)));
-    assert!(!plain(&mut prefilter, &world, query(4, 0..8)));
-}
-
-/// Its client has too little time for both: the search alone may still fit.
+    assert!(is_direct(&mut prefilter, &cluster, query(1, 0..3)));
+    assert!(is_direct(&mut prefilter, &cluster, PrefilterQuery { idempotent: false, ..query(2, 0..8) }));
+    assert!(is_direct(&mut prefilter, &cluster, PrefilterQuery { complete_at: 0.6, ..query(5, 0..8) }));
+    assert!(is_direct(
+        &mut prefilter,
+        &ClusterModel { congested: true, ..ClusterModel::default() },
+        query(3, 0..8)
+    ));
+    assert!(!is_direct(&mut prefilter, &cluster, query(4, 0..8)));
+}
+
+/// A query with too little time for asking and searching is searched directly.
 #[test]
 fn short_deadline_searches_directly() {
-    let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
+    let (mut prefilter, cluster) = (Prefilter::new(config(), 1), ClusterModel::default());
     for id in 0..20 {
-        let actions = opened(&mut prefilter, 0.0, &world, query(id, 0..8));
+        let actions = open_and_flush(&mut prefilter, 0.0, &cluster, query(id, 0..8));
         if !requests(&actions).is_empty() {
-            answer_all(&mut prefilter, &world, actions, id, CanMatch::CannotMatch);
+            answer_all(&mut prefilter, &cluster, actions, id, CanMatch::CannotMatch);
         }
         prefilter.on_query_end(1.0, id, true);
     }
-    let hasty = PrefilterQuery { time_left_seconds: 1.2, ..query(30, 0..8) };
-    assert!(requests(&opened(&mut prefilter, 0.0, &world, hasty)).is_empty());
+    let short = PrefilterQuery { time_left_seconds: 1.2, ..query(30, 0..8) };
+    assert!(requests(&open_and_flush(&mut prefilter, 0.0, &cluster, short)).is_empty());
 }
 
-/// The content changed after the plan: what was pruned on the old version must be searched.
+/// If a segment's content changes after the plan was made, pruning on the old version is revoked.
 #[test]
 fn changed_content_revokes_pruning() {
-    let (mut prefilter, world) = (Prefilter::new(config(), 1), World::default());
-    let actions = opened(&mut prefilter, 0.0, &world, query(1, 0..8));
-    answer_all(&mut prefilter, &world, actions, 1, CanMatch::CannotMatch);
+    let (mut prefilter, cluster) = (Prefilter::new(config(), 1), ClusterModel::default());
+    let actions = open_and_flush(&mut prefilter, 0.0, &cluster, query(1, 0..8));
+    answer_all(&mut prefilter, &cluster, actions, 1, CanMatch::CannotMatch);
     assert_eq!(prefilter.take_revoked(1), []);
     prefilter.record_search(0.2, 5, 3, 2, true);
     assert_eq!(prefilter.take_revoked(1), [3]);
     assert_eq!(prefilter.take_revoked(1), []);
 }
 
-/// One refutation, and the node is distrusted until it has been confirmed again.
+/// After one refuted denial, the nodes that made it are distrusted and the pruning is revoked.
 #[test]
 fn refuted_nodes_are_distrusted() {
-    let (mut prefilter, world) =
-        (Prefilter::new(PrefilterConfig { audit_ratio: 1.0, ..config() }, 1), World::default());
-    let actions = opened(&mut prefilter, 0.0, &world, query(1, 0..8));
-    let plan = answer_all(&mut prefilter, &world, actions, 1, CanMatch::CannotMatch);
-    let audit = prefilter.audit(&world).unwrap();
-    assert!(plan.pruned.iter().any(|left| left.segment == audit.segment));
+    let (mut prefilter, cluster) =
+        (Prefilter::new(PrefilterConfig { audit_ratio: 1.0, ..config() }, 1), ClusterModel::default());
+    let actions = open_and_flush(&mut prefilter, 0.0, &cluster, query(1, 0..8));
+    let plan = answer_all(&mut prefilter, &cluster, actions, 1, CanMatch::CannotMatch);
+    let audit = prefilter.audit(&cluster).unwrap();
+    assert!(plan.pruned.iter().any(|pruned| pruned.segment == audit.segment));
     assert!(prefilter.record_search(0.3, audit.key, audit.segment, 1, true));
     assert_eq!(prefilter.distrusted_nodes(), 2);
     assert!(prefilter.take_revoked(1).contains(&audit.segment));
@@ -189,17 +196,22 @@
 
 #[test]
 fn no_audit_under_overload() {
-    let (mut prefilter, world) =
-        (Prefilter::new(PrefilterConfig { audit_ratio: 1.0, ..config() }, 1), World::default());
-    let actions = opened(&mut prefilter, 0.0, &world, query(1, 0..8));
-    answer_all(&mut prefilter, &world, actions, 1, CanMatch::CannotMatch);
-    assert_eq!(prefilter.audit(&World { pressed: true, ..World::default() }), None);
-    assert_eq!(prefilter.audit(&world), None);
+    let (mut prefilter, cluster) =
+        (Prefilter::new(PrefilterConfig { audit_ratio: 1.0, ..config() }, 1), ClusterModel::default());
+    let actions = open_and_flush(&mut prefilter, 0.0, &cluster, query(1, 0..8));
+    answer_all(&mut prefilter, &cluster, actions, 1, CanMatch::CannotMatch);
+    assert_eq!(prefilter.audit(&ClusterModel { congested: true, ..ClusterModel::default() }), None);
+    assert_eq!(prefilter.audit(&cluster), None);
 }
 
-/// Opens a query, and sends its requests unless it has a plan.
-fn opened(prefilter: &mut Prefilter, now: f64, world: &World, wide: PrefilterQuery) -> Vec<Action> {
-    let mut actions = prefilter.open(now, world, wide);
+/// Opens a query, and returns its plan or its requests.
+fn open_and_flush(
+    prefilter: &mut Prefilter,
+    now: f64,
+    cluster: &ClusterModel,
+    query: PrefilterQuery,
+) -> Vec<Action> {
+    let mut actions = prefilter.open(now, cluster, query);
     actions.extend(prefilter.flush(now));
     actions
 }
