--- a/crates/dunepond-simulation/src/event_queue.rs
+++ b/crates/dunepond-simulation/src/event_queue.rs
@@ -1,8 +1,9 @@
-//! What happens later, in simulated time.
+//! Queue of events that are scheduled for a later simulated time.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
+/// An event with its due time and its place in the order of scheduling.
 struct Scheduled<T> {
     due_at: f64,
     sequence: u64,
@@ -10,7 +11,8 @@
 }
 
 impl<T> Ord for Scheduled<T> {
-    /// The heap gives the greatest: the earliest, and of those the one that was scheduled first.
+    /// Reversed, as the heap pops the greatest element: the earliest event is the greatest, and among events of one
+    /// time the one that was scheduled first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.due_at.total_cmp(&self.due_at).then(other.sequence.cmp(&self.sequence))
     }
@@ -30,8 +32,8 @@
 
 impl<T> Eq for Scheduled<T> {}
 
-/// Events by the time at which they are due; those of one time in the order in which they were scheduled, so that a run can
-/// be repeated.
+/// Queue of events ordered by due time. Events of the same time are popped in the order in which they were scheduled,
+/// which makes runs repeatable.
 pub struct EventQueue<T> {
     heap: BinaryHeap<Scheduled<T>>,
     last_sequence: u64,
@@ -44,19 +46,19 @@
 }
 
 impl<T> EventQueue<T> {
-    /// `due_at`: seconds of simulated time.
+    /// Schedules an event for the simulated time `due_at`, in seconds.
     pub fn schedule(&mut self, due_at: f64, event: T) {
         self.last_sequence += 1;
         self.heap.push(Scheduled { due_at, sequence: self.last_sequence, event });
     }
 
-    /// The next event that is due by `now`.
+    /// Removes and returns the next event that is due by `now`, if there is one.
     pub fn pop_due(&mut self, now: f64) -> Option<T> {
         self.heap.peek().filter(|next| next.due_at <= now)?;
         self.heap.pop().map(|next| next.event)
     }
 
-    /// Drops the events for which `is_kept` says no.
+    /// Drops the events for which `is_kept` returns false.
     pub fn retain(&mut self, is_kept: impl Fn(&T) -> bool) {
         self.heap.retain(|scheduled| is_kept(&scheduled.event));
     }
--- a/crates/dunepond-simulation/src/fixtures.rs
+++ b/crates/dunepond-simulation/src/fixtures.rs
@@ -1,15 +1,15 @@
-//! Configurations, maps and versions of small fleets.
+//! Configurations, shard maps, versions and settlements of small fleets, for tests and scenarios.
 
 use dunepond_consensus::{ConfigVersion, ConsensusConfig, ExcludedNodes, RoutingRules};
 use dunepond_settlement::Settlement;
 use dunepond_shard_map::{KeyRange, MapConstraints, Replica, Segment, ShardMap};
 
-/// Ratio by which a clock may run too fast or too slow.
+/// Ratio by which a clock may run too fast or too slow, in [`consensus_config`].
 pub const DRIFT_RATIO: f64 = 0.01;
-/// Segments of the small map.
+/// Number of segments of [`shard_map`].
 pub const SEGMENT_COUNT: u64 = 4;
 
-/// Configuration of broker `name` in a fleet whose voters are `n1` and so on.
+/// Configuration of the broker `name` in a fleet with the voters `n1` to `n{voter_count}`.
 pub fn consensus_config(name: &str, voter_count: usize) -> ConsensusConfig {
     ConsensusConfig {
         name: name.to_string(),
@@ -25,7 +25,7 @@
     }
 }
 
-/// Rules with this maximum number of attempts.
+/// Routing rules with this maximum number of attempts.
 pub fn routing_rules(max_attempts: usize) -> RoutingRules {
     RoutingRules {
         minimum_shares: vec![0.5],
@@ -41,8 +41,8 @@
     }
 }
 
-/// Each segment has two filled replicas; the owner of one segment changes with each epoch. `with_unfilled`: segment 0 has a
-/// third replica, which has to be filled first.
+/// A map of [`SEGMENT_COUNT`] segments with two filled replicas each. The owner of one segment changes with each epoch.
+/// If `with_unfilled`, segment 0 has a third replica, which has to be filled first.
 pub fn shard_map(epoch: u64, with_unfilled: bool) -> ShardMap {
     let width = (1u128 << 64) / u128::from(SEGMENT_COUNT);
     let replica = |node: String, filled, share| {
@@ -50,7 +50,7 @@
         Replica { node, partner, filled, share }
     };
     let segments = (0..SEGMENT_COUNT).map(|id| {
-        // How often the owner of this one has changed by now.
+        // How often the owner of this segment has changed up to this epoch.
         let change_count = (epoch + SEGMENT_COUNT - 1 - id) / SEGMENT_COUNT;
         let mut replicas = vec![replica(format!("s{id}a"), true, 0.5), replica(format!("s{id}b"), true, 0.5)];
         if with_unfilled && id == 0 {
@@ -64,7 +64,8 @@
     ShardMap { epoch, hash: String::from("xxh3-64"), segments, digest: String::new() }.with_digest()
 }
 
-/// Versions differ in their number, their map and a rule.
+/// Configuration version `number` with this map. The maximum number of attempts depends on the number, so that the
+/// rules of successive versions differ.
 pub fn config_version(number: u64, map: Option<ShardMap>) -> ConfigVersion {
     ConfigVersion {
         number,
@@ -80,7 +81,7 @@
     }
 }
 
-/// The settlement of the fill of this name, for version 1.
+/// The settlement of a fill in version 1; `fill` makes its id unique.
 pub fn settlement(fill: &str) -> Settlement {
     let text = String::from;
     Settlement {
--- a/crates/dunepond-simulation/src/fleet/broker.rs
+++ b/crates/dunepond-simulation/src/fleet/broker.rs
@@ -1,24 +1,24 @@
-//! One simulated broker: its cores, its folder and its clock.
+//! A simulated broker: its voter and lease client, its folder and its clock.
 
 use dunepond_consensus::{ConsensusConfig, LeaseClient, PersistedState, Rejection, StoredVoter, Voter};
 
-/// What a broker exchanged with others, and the processor time of its cores.
+/// Traffic of a broker with other brokers, and the processor time of its voter and lease client.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BrokerLoad {
-    /// Messages to other brokers.
+    /// Messages sent to other brokers.
     pub messages_sent: u64,
-    /// Messages of other brokers.
+    /// Messages received from other brokers.
     pub messages_received: u64,
-    /// Bytes of the messages sent, without the links' own overhead.
+    /// Bytes of the messages sent, without the overhead of the connections.
     pub bytes_sent: u64,
-    /// Bytes of the messages received.
+    /// Bytes of the messages received, without the overhead of the connections.
     pub bytes_received: u64,
-    /// Processor time, if the fleet has a [`crate::fleet::Fleet::cpu_clock`].
+    /// Processor time in nanoseconds; 0 unless the fleet has a [`crate::fleet::Fleet::cpu_clock`].
     pub cpu_nanoseconds: u64,
 }
 
 impl BrokerLoad {
-    /// What was added since an earlier reading.
+    /// The increase since an earlier reading.
     pub fn since(self, earlier: Self) -> Self {
         Self {
             messages_sent: self.messages_sent - earlier.messages_sent,
@@ -32,38 +32,41 @@
 
 /// A broker of the fleet, running or not.
 pub struct Broker {
-    /// Unique in the fleet.
+    /// Name of the broker, unique in the fleet.
     pub name: String,
-    /// None if it does not vote, or is down.
+    /// Voter of the broker; `None` if the broker does not vote, or is down.
     pub voter: Option<Voter>,
-    /// None if it is down.
+    /// Lease client of the broker; `None` if the broker is down.
     pub lease_client: Option<LeaseClient>,
-    /// Records that are synced to its folder.
+    /// Records that are synced to the broker's folder, in order.
     pub disk: Vec<Vec<u8>>,
+    /// State of the lease client in the broker's folder.
     pub(crate) persisted_leases: PersistedState,
+    /// Whether the broker votes when it runs.
     pub(crate) is_voter: bool,
-    /// Seconds of its clock for each true second.
+    /// Rate of the broker's clock: seconds on it for each true second.
     pub clock_rate: f64,
-    /// What its clock shows at true time zero.
+    /// Reading of the broker's clock at true time 0.
     pub clock_offset: f64,
-    /// True time until which it is paused.
+    /// True time until which the broker is paused.
     pub paused_until: f64,
-    /// What its clock showed in its last turn.
+    /// Reading of the broker's clock in its last turn.
     pub(super) last_clock: f64,
-    /// Whether its clock was set back since.
+    /// Whether the broker's clock was set back since its last turn.
     pub(super) clock_went_back: bool,
-    /// Set if its clock was set back during a pause, by less than the pause: it cannot notice. Leases that were requested
-    /// before this reading of its clock last longer than the configuration allows.
+    /// Set if the broker's clock was set back during a pause by less than the length of the pause, which the broker
+    /// cannot detect. Leases that were requested before this reading of its clock last longer than the configuration
+    /// allows.
     pub hidden_clock_jump: Option<f64>,
-    /// It crashes during its next write, and the record is torn.
+    /// Whether the broker crashes during its next write, which leaves a torn record.
     pub tears_next_record: bool,
-    /// Replies that it rejected, up to a limit.
+    /// Why the lease client rejected replies; the first ones, up to a limit.
     pub rejections: Vec<Rejection>,
-    /// Log lines of its voter.
+    /// Log lines of the broker's voter.
     pub log: Vec<String>,
-    /// Since the start of the fleet.
+    /// Traffic and processor time since the start of the fleet.
     pub load: BrokerLoad,
-    /// Configuration, as its file says.
+    /// Configuration in the broker's file.
     pub config: ConsensusConfig,
 }
 
@@ -96,26 +99,28 @@
         }
     }
 
-    /// What its clock shows at a true time.
+    /// Reading of the broker's clock at the true time `now`.
     pub fn clock(&self, now: f64) -> f64 {
         self.clock_offset + self.clock_rate * now
     }
 
-    /// Reads its folder.
+    /// Reads the voter's state from the broker's folder.
     pub(super) fn stored_voter(&self) -> StoredVoter {
         let mut stored = StoredVoter::new();
         for record in &self.disk {
-            stored.apply_record(record).expect("a record of its own");
+            stored.apply_record(record).expect("a record that the voter wrote");
         }
         stored
     }
 
+    /// Empties the broker's folder.
     pub(super) fn wipe_folder(&mut self) {
         self.disk.clear();
         self.persisted_leases = PersistedState::default();
     }
 
-    /// Notes its clock, and whether it can notice that it was set back.
+    /// Records the clock reading of a turn. If the clock was set back without falling below the last reading, the
+    /// broker cannot detect it, and `hidden_clock_jump` is set.
     pub(super) fn observe_clock(&mut self, clock: f64) {
         if std::mem::take(&mut self.clock_went_back) && clock >= self.last_clock {
             self.hidden_clock_jump = Some(clock);
--- a/crates/dunepond-simulation/src/fleet/lifecycle.rs
+++ b/crates/dunepond-simulation/src/fleet/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts, crashes and pauses of brokers, lost folders and clocks that jump.
+//! Starts, crashes, pauses and replacements of brokers, lost folders and clock jumps.
 
 use dunepond_consensus::{ConsensusConfig, LeaseClient, Voter};
 use rand::RngExt;
@@ -6,7 +6,7 @@
 use super::Fleet;
 
 impl Fleet {
-    /// Starts a broker from its folder.
+    /// Starts a broker with the state in its folder.
     pub fn start(&mut self, n: usize) {
         let (clock, seed) = (self.clock(n), self.rng.random());
         let broker = &mut self.brokers[n];
@@ -16,17 +16,18 @@
         broker.lease_client = Some(LeaseClient::new(config.clone(), persisted, clock, seed));
         if broker.is_voter {
             let stored = broker.stored_voter();
-            broker.voter = Some(Voter::open(config, stored, clock, seed ^ 1).expect("its own folder"));
+            broker.voter =
+                Some(Voter::open(config, stored, clock, seed ^ 1).expect("a folder that the voter wrote"));
         }
     }
 
-    /// Stops a broker at once; its folder stays.
+    /// Stops a broker at once, as a crash does; its folder stays.
     pub fn kill(&mut self, n: usize) {
         let broker = &mut self.brokers[n];
         (broker.voter, broker.lease_client) = (None, None);
         broker.paused_until = 0.0;
         broker.tears_next_record = false;
-        // Its connections are closed.
+        // Its connections are closed, so messages to it are lost.
         self.in_flight.retain(|message| message.to != n);
     }
 
@@ -35,7 +36,7 @@
         self.brokers[n].wipe_folder();
     }
 
-    /// Another broker, which does not vote, permanently replaces this one.
+    /// Replaces a broker permanently with another one, which has a new name, an empty folder and does not vote.
     pub fn replace(&mut self, n: usize, name: &str) {
         self.kill(n);
         let broker = &mut self.brokers[n];
@@ -43,24 +44,24 @@
         self.index_by_name.remove(&broker.name);
         (broker.name, broker.config.name) = (name.to_string(), name.to_string());
         self.index_by_name.insert(name.to_string(), n);
-        // Nobody answers what the replaced one sent.
+        // Nobody answers messages of the replaced broker.
         self.in_flight.retain(|message| message.from != n);
         self.start(n);
     }
 
-    /// A broker does nothing for some seconds; what reaches it waits.
+    /// Pauses a broker for some seconds of true time; messages to it wait until then.
     pub fn pause(&mut self, n: usize, seconds: f64) {
         self.brokers[n].paused_until = self.now + seconds;
     }
 
-    /// Sets the broker's clock back.
+    /// Sets a broker's clock back by some seconds.
     pub fn set_clock_back(&mut self, n: usize, seconds: f64) {
         let broker = &mut self.brokers[n];
         broker.clock_offset -= seconds;
         broker.clock_went_back = true;
     }
 
-    /// Whether the broker's clock went back since its start, noticed or not.
+    /// Whether a broker's clock was set back since its last turn, or was set back undetectably since its start.
     pub fn has_clock_gone_back(&self, n: usize) -> bool {
         let broker = &self.brokers[n];
         broker.clock_went_back || broker.hidden_clock_jump.is_some()
--- a/crates/dunepond-simulation/src/fleet/message.rs
+++ b/crates/dunepond-simulation/src/fleet/message.rs
@@ -4,27 +4,28 @@
 use postcard::ser_flavors::Size;
 use postcard::serialize_with_flavor;
 
+/// A message between brokers.
 #[derive(Clone)]
 pub(super) enum Message {
-    /// Between voters, encoded.
+    /// An encoded message between voters.
     Consensus(Vec<u8>),
     LeaseRequest(LeaseRequest),
     LeaseReply(LeaseReply),
 }
 
 impl Message {
-    /// Bytes as the hosts send them, without the links' own overhead.
+    /// Size of the encoded message as hosts send it, without the overhead of the connection.
     pub fn size_bytes(&self) -> u64 {
         let size = match self {
             Self::Consensus(bytes) => Ok(bytes.len()),
             Self::LeaseRequest(request) => serialize_with_flavor(request, Size::default()),
             Self::LeaseReply(reply) => serialize_with_flavor(reply, Size::default()),
         };
-        size.expect("plain data") as u64
+        size.expect("a message that can be encoded") as u64
     }
 }
 
-/// A message on its way; brokers by index.
+/// A message in flight. Brokers are given by index.
 #[derive(Clone)]
 pub(super) struct InFlight {
     pub size_bytes: u64,
--- a/crates/dunepond-simulation/src/fleet/mod.rs
+++ b/crates/dunepond-simulation/src/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet in one process, in simulated time: links that fail, clocks that drift, brokers that crash and pause. After each
-//! step all invariants are checked. Brokers are named by their index, from 0; their names are `n1` and so on.
+//! A fleet of brokers in one process and in simulated time, with links that fail, clocks that drift, and brokers that
+//! crash and pause. All invariants are checked at each step. Methods identify brokers by index, from 0; the broker of
+//! index 0 is named `n1`, and so on.
 
 mod broker;
 mod lifecycle;
@@ -22,66 +23,72 @@
 pub use broker::{Broker, BrokerLoad};
 pub use network::LinkConditions;
 
-/// Seconds between two turns of each broker, unless stated otherwise.
+/// Default of [`Fleet::turn_seconds`].
 pub const DEFAULT_TURN_SECONDS: f64 = 0.01;
-/// Longest that a new fleet may take to its leases, and to its first version.
+/// Longest time in seconds that a new fleet may take until all brokers have leases, and until its first version is
+/// active.
 const MAX_SETUP_SECONDS: f64 = 10.0;
 
-/// A broker has learned of a settlement.
+/// Records when a broker learned of a settlement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettlementNotice {
-    /// True time of the notice.
+    /// True time at which the broker learned of the settlement.
     pub at: f64,
-    /// Index of the broker.
+    /// Index of the broker that learned of the settlement.
     pub broker: usize,
-    /// Id of the settlement.
+    /// Id of the settlement that the broker learned of.
     pub id: String,
 }
 
-/// The fleet, its network and its faults.
+/// A simulated fleet of brokers with its network.
 pub struct Fleet {
-    /// True time of this moment.
+    /// Current true time.
     pub now: f64,
-    /// Seconds between two turns of each broker; what arrives in between waits for the next, as in a host.
+    /// Length of a simulation step in seconds. Each active broker takes one turn in each step, like an iteration of a
+    /// host's event loop; messages that arrive in between wait for the next step.
     pub turn_seconds: f64,
     /// All brokers, running or not, by index.
     pub brokers: Vec<Broker>,
-    /// Source of all randomness.
+    /// Random number generator of the fleet and its network.
     pub rng: Pcg64Mcg,
+    /// Messages that were sent and have not arrived.
     in_flight: EventQueue<InFlight>,
     index_by_name: HashMap<String, usize>,
-    /// What must hold, and when what was committed and activated.
+    /// Checks the invariants, and records when versions and settlements were committed and activated.
     pub invariants: InvariantChecker,
-    /// Partition of each broker: those of different partitions receive nothing of each other.
+    /// Partition of each broker; brokers in different partitions receive no messages from each other.
     pub partitions: Vec<u32>,
-    /// Links over which nothing passes, from one broker to another.
+    /// Blocked links as (sender, receiver): messages over them are lost.
     pub blocked_links: BTreeSet<(usize, usize)>,
-    /// Conditions of all links.
+    /// Loss, duplication and delay on all links.
     pub links: LinkConditions,
-    /// A broker all of whose links are slow and lose messages.
+    /// Broker whose links are all slow and lose messages, if there is one.
     pub slow_broker: Option<usize>,
-    /// Length of a lease in the files that a start reads.
+    /// Length of a lease in seconds, in the configuration of brokers that are started from now on.
     pub lease_seconds: f64,
-    /// Segments whose non-idempotent parts are sent wherever they may be, at each step.
+    /// Segments that are checked for conflicting owners: at each step, each active broker is assumed to send a
+    /// non-idempotent part of them to any owner that it may.
     pub watched_segments: Vec<u64>,
-    /// Messages sent so far, those to the sender itself included.
+    /// Number of messages sent so far, including those to the sender itself.
     pub messages_sent: u64,
-    /// Hash of all that arrived and what became of it, in order: two runs are the same if this is.
+    /// Hash of all messages that arrived and entries that were applied, in order. Equal traces mean equal runs.
     pub trace: u64,
-    /// Nanoseconds of processor time so far; read around each call of a core, and no part of the run.
+    /// Function that returns the processor time used so far, in nanoseconds. If set, it is called before and after each
+    /// call of a voter or lease client; it does not influence the run.
     pub cpu_clock: Option<fn() -> u64>,
-    /// Settlements that brokers learned of, if they are to be recorded.
+    /// Settlements that brokers have learned of; `None` if they are not recorded.
     pub settlement_notices: Option<Vec<SettlementNotice>>,
 }
 
 impl Fleet {
-    /// Starts a fleet in which the first `voter_count` brokers vote, `other_count` do not.
+    /// Starts a fleet in which the first `voter_count` brokers vote and the other `other_count` ones do not.
     pub fn new(voter_count: usize, other_count: usize, seed: u64) -> Self {
         let config = consensus_config("", voter_count);
         Self::with_config(&config, voter_count + other_count, vec![0, 1, 2, 3], seed)
     }
 
-    /// Starts a fleet by this configuration, each broker under a name of its own; the first ones vote.
+    /// Starts a fleet of brokers with this configuration, except for their names `n1` and so on. The first brokers
+    /// vote, as many as `config` names voters.
     pub fn with_config(
         config: &ConsensusConfig,
         broker_count: usize,
@@ -114,7 +121,7 @@
         fleet
     }
 
-    /// Its clock runs at a limit of the drift, or at the true rate.
+    /// Creates broker `n` with a random clock, which runs at the true rate or at one of the limits of the drift.
     fn new_broker(n: usize, config: &ConsensusConfig, rng: &mut Pcg64Mcg) -> Broker {
         let name = format!("n{}", n + 1);
         let clock_rate = 1.0 + config.drift_ratio * [-1.0, 0.0, 1.0][rng.random_range(0..3)];
@@ -124,58 +131,59 @@
         Broker::new(name, config, is_voter, clock_rate, clock_offset)
     }
 
-    /// Starts a fleet and waits until it has a leader and all brokers have a lease.
+    /// Starts a fleet and runs it until all brokers have a lease.
     ///
     /// # Panics
-    /// It takes too long.
+    /// The brokers do not all get leases in time.
     pub fn with_leases(voter_count: usize, other_count: usize, seed: u64) -> Self {
         let mut fleet = Self::new(voter_count, other_count, seed);
         let has_leases = fleet.run_until(MAX_SETUP_SECONDS, Self::all_have_leases);
-        assert!(has_leases, "no lease within {MAX_SETUP_SECONDS} s");
+        assert!(has_leases, "not all brokers have a lease after {MAX_SETUP_SECONDS} s");
         fleet
     }
 
-    /// As [`Fleet::with_leases`], with version 1 and its map active.
+    /// Starts a fleet and runs it until all brokers have a lease and act on version 1, which has a map.
     ///
     /// # Panics
-    /// It takes too long.
+    /// The brokers do not all get leases, or do not all act on version 1, in time.
     pub fn with_map(voter_count: usize, other_count: usize, seed: u64) -> Self {
         let mut fleet = Self::with_leases(voter_count, other_count, seed);
         let version = config_version(1, Some(shard_map(1, false)));
         fleet.propose(Command::Propose(Box::new(version))).expect("the first version");
         let is_active =
             fleet.run_until(MAX_SETUP_SECONDS, |fleet| fleet.all_in_phase(&ConfigPhase::Active(1)));
-        assert!(is_active, "version 1 is active everywhere");
+        assert!(is_active, "not all brokers act on version 1 after {MAX_SETUP_SECONDS} s");
         fleet
     }
 
-    /// What the broker's clock shows now.
+    /// Current reading of a broker's clock.
     pub fn clock(&self, n: usize) -> f64 {
         self.brokers[n].clock(self.now)
     }
 
-    /// Whether the broker's process is up, paused or not.
+    /// Whether a broker's process runs, paused or not.
     pub fn is_running(&self, n: usize) -> bool {
         self.brokers[n].lease_client.is_some()
     }
 
-    /// Running and not paused.
+    /// Whether a broker runs and is not paused.
     fn is_active(&self, n: usize) -> bool {
         self.is_running(n) && self.now >= self.brokers[n].paused_until
     }
 
+    /// Index of the broker with this name.
     fn index_of(&self, name: &str) -> usize {
-        *self.index_by_name.get(name).expect("a name of the fleet")
+        *self.index_by_name.get(name).expect("a broker of the fleet")
     }
 
-    /// An active broker that leads, if there is one.
+    /// The first active broker that is leader, if there is one.
     pub fn leader(&self) -> Option<usize> {
         let leads =
             |n: &usize| self.is_active(*n) && self.brokers[*n].voter.as_ref().is_some_and(Voter::is_leader);
         (0..self.brokers.len()).find(leads)
     }
 
-    /// By which version the broker acts now.
+    /// The configuration phase in which a broker is now; [`ConfigPhase::Unconfigured`] if it is down.
     pub fn phase(&self, n: usize) -> ConfigPhase {
         match &self.brokers[n].lease_client {
             Some(client) => client.active_config().phase(self.clock(n)),
@@ -183,7 +191,7 @@
         }
     }
 
-    /// Whether the broker runs and its lease is valid.
+    /// Whether a broker runs and its lease is valid.
     pub fn has_lease(&self, n: usize) -> bool {
         let client = self.brokers[n].lease_client.as_ref();
         client.is_some_and(|client| client.active_config().lease_expires_at() > self.clock(n))
@@ -194,7 +202,7 @@
         (0..self.brokers.len()).all(|n| !self.is_running(n) || self.has_lease(n))
     }
 
-    /// Whether all running brokers are in this phase.
+    /// Whether all running brokers are in this configuration phase.
     pub fn all_in_phase(&self, phase: &ConfigPhase) -> bool {
         (0..self.brokers.len()).all(|n| !self.is_running(n) || self.phase(n) == *phase)
     }
@@ -202,27 +210,27 @@
     /// Replicated state of a voter.
     ///
     /// # Panics
-    /// It is down, or does not vote.
+    /// The broker is down, or does not vote.
     pub fn state(&self, n: usize) -> &ReplicatedState {
         self.brokers[n].voter.as_ref().expect("a voter that is up").state()
     }
 
-    /// Proposes at the leader, as its host would.
+    /// Proposes a command at the leader, as its host would.
     ///
     /// # Errors
-    /// There is no leader, or it rejects the command.
+    /// There is no leader, or the leader rejects the command.
     pub fn propose(&mut self, command: Command) -> Result<(), Rejection> {
         let leader = self.leader().ok_or(Rejection::NotLeader(None))?;
         self.propose_at(leader, command)
     }
 
-    /// Proposes at this broker.
+    /// Proposes a command at broker `n`.
     ///
     /// # Errors
-    /// It rejects the command.
+    /// The broker's voter rejects the command.
     ///
     /// # Panics
-    /// It is down, or does not vote.
+    /// The broker is down, or does not vote.
     pub fn propose_at(&mut self, n: usize, command: Command) -> Result<(), Rejection> {
         let clock = self.clock(n);
         let voter = self.brokers[n].voter.as_mut().expect("a voter that is up");
@@ -231,13 +239,13 @@
         Ok(())
     }
 
-    /// Proposes at this broker, which does not check the command, as a faulty one.
+    /// Proposes a command at broker `n` without the check of its content, as a faulty proposer would.
     ///
     /// # Errors
-    /// It does not lead, or too many entries are uncommitted.
+    /// The broker is not leader, or too many entries are uncommitted.
     ///
     /// # Panics
-    /// It is down, or does not vote.
+    /// The broker is down, or does not vote.
     pub fn propose_unchecked_at(&mut self, n: usize, command: Command) -> Result<(), Rejection> {
         let clock = self.clock(n);
         let voter = self.brokers[n].voter.as_mut().expect("a voter that is up");
--- a/crates/dunepond-simulation/src/fleet/network.rs
+++ b/crates/dunepond-simulation/src/fleet/network.rs
@@ -1,30 +1,32 @@
-//! The network between brokers: it loses, duplicates, delays and reorders, and links are blocked, one way or between
-//! partitions.
+//! The network between brokers. It loses, duplicates, delays and reorders messages, and links can be blocked, in one
+//! direction or between partitions.
 
 use rand::RngExt;
 
 use super::Fleet;
 use super::message::{InFlight, Message};
 
-/// Seconds after which a late copy arrives.
+/// Shortest time after which a late copy of a message arrives.
 const MIN_LATE_SECONDS: f64 = 2.0;
+/// Longest time after which a late copy of a message arrives.
 const MAX_LATE_SECONDS: f64 = 30.0;
-/// What a slow broker's links lose, and how much longer they take.
+/// Ratio of messages that the links of a slow broker lose.
 const SLOW_LOSS_RATIO: f64 = 0.2;
+/// Additional delay on the links of a slow broker.
 const SLOW_EXTRA_SECONDS: f64 = 0.8;
 
-/// What links do to messages. Without faults by default.
+/// Loss, duplication and delay on all links. The default has delays and no faults.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkConditions {
     /// Ratio of messages that are lost.
     pub loss_ratio: f64,
     /// Ratio of messages that arrive twice.
     pub duplicate_ratio: f64,
-    /// Ratio of messages of which a copy arrives much later.
+    /// Ratio of messages of which an additional copy arrives much later.
     pub late_copy_ratio: f64,
-    /// Shortest time that a message takes.
+    /// Shortest delay of a message.
     pub min_delay_seconds: f64,
-    /// Longest time that a message takes; one that was sent later may arrive earlier.
+    /// Longest delay of a message. Delays are random, so messages may overtake each other.
     pub max_delay_seconds: f64,
 }
 
@@ -40,7 +42,7 @@
     }
 }
 
-/// Seconds after which each copy of a message arrives.
+/// Delays in seconds of the copies of a message; `None` for a copy that does not arrive.
 #[derive(Default)]
 struct Copies {
     first: Option<f64>,
@@ -48,6 +50,7 @@
 }
 
 impl Fleet {
+    /// Sends a message: schedules its copies by the conditions of the links, and counts it.
     pub(super) fn send(&mut self, from: usize, to: usize, message: Message) {
         self.messages_sent += 1;
         let is_remote = from != to;
@@ -62,7 +65,7 @@
             let seconds = self.rng.random_range(MIN_LATE_SECONDS..MAX_LATE_SECONDS);
             self.in_flight.schedule(self.now + seconds, in_flight.clone());
         }
-        let copies = self.copies(from, to);
+        let copies = self.draw_copies(from, to);
         if let Some(seconds) = copies.duplicate {
             self.in_flight.schedule(self.now + seconds, in_flight.clone());
         }
@@ -71,8 +74,9 @@
         }
     }
 
-    /// None if the message is lost. What a broker sends to itself arrives at once.
-    fn copies(&mut self, from: usize, to: usize) -> Copies {
+    /// Draws the delays of a message; no copy arrives if it is lost. A message of a broker to itself arrives without
+    /// delay.
+    fn draw_copies(&mut self, from: usize, to: usize) -> Copies {
         if from == to {
             return Copies { first: Some(0.0), duplicate: None };
         }
@@ -89,16 +93,17 @@
         Copies { first: Some(first), duplicate: is_duplicated.then_some(duplicate) }
     }
 
+    /// Whether messages from `from` to `to` are lost because the link is blocked.
     fn is_blocked(&self, from: usize, to: usize) -> bool {
         self.partitions[from] != self.partitions[to] || self.blocked_links.contains(&(from, to))
     }
 
-    /// Whether no link is blocked, in either direction.
+    /// Whether no link between brokers is blocked in any direction.
     pub fn is_fully_connected(&self) -> bool {
         self.blocked_links.is_empty() && self.partitions.iter().all(|partition| *partition == 0)
     }
 
-    /// Opens the links inside each group, and blocks those between groups; a broker in no group is alone.
+    /// Opens the links within each group and blocks all others. A broker that is in no group is isolated.
     pub fn partition(&mut self, groups: &[&[usize]]) {
         let group_of = |broker: usize| groups.iter().position(|group| group.contains(&broker));
         self.blocked_links.clear();
@@ -112,7 +117,7 @@
         }
     }
 
-    /// Opens all links.
+    /// Opens all links and removes all partitions.
     pub fn heal(&mut self) {
         self.blocked_links.clear();
         self.partitions.fill(0);
--- a/crates/dunepond-simulation/src/fleet/step.rs
+++ b/crates/dunepond-simulation/src/fleet/step.rs
@@ -1,4 +1,4 @@
-//! Simulated time: what brokers do at each step, and what messages bring about.
+//! Steps of simulated time: turns of the brokers, deliveries of messages and their effects.
 
 use dunepond_consensus::{ConsensusError, Effects, LeaseReply};
 
@@ -7,11 +7,11 @@
 use crate::invariants::BrokerActivity;
 use crate::settlements;
 
-/// Rejections of one broker that are retained.
+/// Maximum number of rejections that are recorded of one broker.
 const MAX_RETAINED_REJECTIONS: usize = 1000;
 
 impl Fleet {
-    /// Steps until `is_done`, for `max_seconds` at most. Returns whether it is.
+    /// Runs steps until `is_done` returns true, for `max_seconds` at most. Returns whether it did.
     pub fn run_until(&mut self, max_seconds: f64, is_done: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + max_seconds;
         while self.now < end {
@@ -23,12 +23,13 @@
         is_done(self)
     }
 
-    /// Steps for this time.
+    /// Runs steps for some seconds of simulated time.
     pub fn run_for(&mut self, seconds: f64) {
         self.run_until(seconds, |_| false);
     }
 
-    /// First what brokers do whose pause is over, before they receive anything; then messages, then time.
+    /// Advances the time by one step. The invariants are checked first, so that brokers whose pause has just ended act
+    /// before they receive anything; then messages are delivered, and each active broker takes its turn.
     pub fn step(&mut self) {
         self.now += self.turn_seconds;
         for n in 0..self.brokers.len() {
@@ -49,7 +50,7 @@
         self.check_invariants();
     }
 
-    /// What reaches a paused broker waits in its buffers.
+    /// Delivers a message that has arrived. A message to a paused broker is delayed until the pause ends.
     fn deliver_or_buffer(&mut self, message: InFlight) {
         let paused_until = self.brokers[message.to].paused_until;
         if self.is_running(message.to) && self.now < paused_until {
@@ -59,6 +60,7 @@
         }
     }
 
+    /// Runs the voter and the lease client of a broker at its current time.
     fn take_turn(&mut self, n: usize) {
         let (clock, cpu_before) = (self.clock(n), self.cpu_now());
         let broker = &mut self.brokers[n];
@@ -71,7 +73,7 @@
         self.add_cpu_time(n, cpu_before);
         if let Some(effects) = effects {
             self.apply_effects(n, effects);
-            // The broker may have crashed during its write.
+            // The lease client may be gone: applying the effects may have crashed the broker during its write.
             request = self.brokers[n].lease_client.as_mut().and_then(|client| client.tick(clock));
         }
         if let Some((voter, request)) = request {
@@ -80,6 +82,7 @@
         }
     }
 
+    /// Delivers a message to its receiver and applies the effects.
     fn deliver(&mut self, in_flight: InFlight) {
         let InFlight { size_bytes, from, to, message } = in_flight;
         if !self.is_running(to) {
@@ -98,7 +101,7 @@
                 voter.and_then(|voter| match voter.receive(clock, &sender, &bytes) {
                     Ok(effects) => Some(effects),
                     Err(ConsensusError::NotAVoter(_) | ConsensusError::StaleEpoch { .. }) => None,
-                    Err(error) => panic!("a message of ours: {error}"),
+                    Err(error) => panic!("a voter cannot read a message of another voter: {error}"),
                 })
             }
             Message::LeaseRequest(request) => {
@@ -115,7 +118,7 @@
         }
     }
 
-    /// The host of a process that is down refuses a request at once.
+    /// Reports a failed lease request to its sender: the host of a broker that is down refuses the connection at once.
     fn refuse_connection(&mut self, from: usize, to: usize, message: &Message) {
         let (name, clock) = (self.brokers[to].name.clone(), self.clock(from));
         if let (Message::LeaseRequest(_), Some(client)) = (message, &mut self.brokers[from].lease_client) {
@@ -123,6 +126,7 @@
         }
     }
 
+    /// Hands a reply to the lease client of a broker, and records the result.
     fn receive_reply(&mut self, n: usize, clock: f64, sender: &str, reply: LeaseReply) {
         let broker = &mut self.brokers[n];
         let Some(client) = &mut broker.lease_client else { return };
@@ -139,10 +143,12 @@
         }
     }
 
+    /// Carries out the effects of a voter's call: first writes, then messages and replies.
     pub(super) fn apply_effects(&mut self, n: usize, effects: Effects) {
         if !effects.write_batch.is_empty() {
             if self.brokers[n].tears_next_record {
-                // The folder is read without the torn record, and nothing that rests on it was sent.
+                // The torn record is ignored when the folder is read, so the messages that depend on it must not be
+                // sent.
                 self.kill(n);
                 return;
             }
@@ -158,24 +164,26 @@
             self.send(n, to, Message::Consensus(bytes));
         }
         for (broker, reply) in effects.replies {
-            // The one that asked may have been replaced.
+            // The broker that sent the request may have been replaced.
             if let Some(to) = self.index_by_name.get(&broker).copied() {
                 self.send(n, to, Message::LeaseReply(reply));
             }
         }
     }
 
+    /// Writes a voter's batch to the broker's folder; a checkpoint replaces all earlier records.
     fn write(&mut self, n: usize, effects: &Effects) {
         let broker = &mut self.brokers[n];
         if effects.write_batch.is_checkpoint() {
-            let voter = broker.voter.as_ref().expect("its effects are applied");
+            let voter = broker.voter.as_ref().expect("the voter whose effects are applied");
             broker.disk = vec![voter.checkpoint().encode()];
         } else {
             broker.disk.push(effects.write_batch.encode());
         }
     }
 
-    /// Each active broker sends a non-idempotent part wherever it may; then all invariants are checked.
+    /// Checks all invariants, under the assumption that each active broker sends a non-idempotent part of each watched
+    /// segment to any owner that it may.
     fn check_invariants(&mut self) {
         self.invariants.begin_step(self.now);
         for (n, broker) in self.brokers.iter().enumerate() {
@@ -184,8 +192,8 @@
                 continue;
             };
             let config = client.active_config();
-            // Its lease lasts too long by a clock that went back unnoticed, which the configuration excludes. Under its next lease
-            // it is checked again.
+            // An undetected clock jump makes this lease last too long, which the configuration assumes not to happen.
+            // The broker is checked again once it has its next lease.
             if broker.hidden_clock_jump.is_some_and(|clock| config.lease_started_at() < clock) {
                 continue;
             }
@@ -202,16 +210,19 @@
         self.invariants.end_step(self.now);
     }
 
+    /// Processor time so far in nanoseconds, if it is measured.
     fn cpu_now(&self) -> Option<u64> {
         self.cpu_clock.map(|clock| clock())
     }
 
+    /// Adds the processor time since `before` to a broker's load.
     fn add_cpu_time(&mut self, n: usize, before: Option<u64>) {
         if let (Some(after), Some(before)) = (self.cpu_now(), before) {
             self.brokers[n].load.cpu_nanoseconds += after - before;
         }
     }
 
+    /// Adds values to the hash of the run.
     fn extend_trace(&mut self, values: &[u64]) {
         for value in values {
             self.trace = (self.trace ^ value).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29);
--- a/crates/dunepond-simulation/src/fleet/voters.rs
+++ b/crates/dunepond-simulation/src/fleet/voters.rs
@@ -1,4 +1,4 @@
-//! Changes of voters and recoveries, as operators make them.
+//! Changes of the voters and recovery after lost voters, as operators carry them out.
 
 use dunepond_consensus::{
     Command, ConsensusError, LeaseClient, RECOVERY_CONFIRMATION, RecoveryOrder, Rejection, Voter,
@@ -7,14 +7,16 @@
 
 use super::Fleet;
 
-/// Rejections that a summary shows.
+/// Number of the latest rejections in a broker's summary.
 const SHOWN_REJECTION_COUNT: usize = 6;
-/// Seeds of a recovered voter.
+/// Seed of a recovered voter.
 const RECOVERED_VOTER_SEED: u64 = 77;
+/// Seed of the lease client of a recovered voter.
 const RECOVERED_CLIENT_SEED: u64 = 78;
 
 impl Fleet {
-    /// As an operator does with a broker that shall vote: an empty folder, a file that names the voters with it, a start.
+    /// Starts a broker as a voter the way an operator does: with an empty folder, and with a configuration file that
+    /// names `voters`, which include the broker.
     pub fn start_as_voter(&mut self, n: usize, voters: &[String]) {
         if self.is_running(n) {
             self.kill(n);
@@ -26,10 +28,10 @@
         self.start(n);
     }
 
-    /// Proposes that these brokers are the voters.
+    /// Proposes to make these brokers the voters.
     ///
     /// # Errors
-    /// There is no leader, or it rejects the change.
+    /// There is no leader, or the leader rejects the change.
     pub fn change_voters(&mut self, brokers: &[usize]) -> Result<(), Rejection> {
         let leader = self.leader().ok_or(Rejection::NotLeader(None))?;
         let current = &self.state(leader).voters;
@@ -44,30 +46,31 @@
         })))
     }
 
-    /// The voters by the committed list, as the leader knows it.
+    /// Indices of the voters on the committed list, as the leader knows it.
     ///
     /// # Panics
     /// There is no leader.
     pub fn voter_indices(&self) -> Vec<usize> {
-        let leader = self.leader().expect("somebody leads");
+        let leader = self.leader().expect("a fleet with a leader");
         let index = |name: &String| self.brokers.iter().position(|broker| broker.name == *name);
         let voters = self.state(leader).voters.voters.iter();
-        voters.map(|voter| index(&voter.name).expect("a name of the fleet")).collect()
+        voters.map(|voter| index(&voter.name).expect("a broker of the fleet")).collect()
     }
 
-    /// Whether no change of voters is pending, and all voters have the state.
+    /// Whether there is a leader, no change of the voters is pending, and all voters have the replicated state.
     pub fn are_voters_ready(&self) -> bool {
         let Some(leader) = self.leader() else { return false };
         let has_state = |n: &usize| self.brokers[*n].voter.as_ref().is_some_and(Voter::has_state);
         self.state(leader).voters.pending.is_none() && self.voter_indices().iter().all(has_state)
     }
 
-    /// The fleet in some lines, for a test that fails.
+    /// A description of the fleet for the messages of failed tests, with one line for each broker.
     pub fn summary(&self) -> String {
         let lines: Vec<String> = (0..self.brokers.len()).map(|n| self.broker_summary(n)).collect();
         lines.join("\n")
     }
 
+    /// A description of one broker in one line.
     fn broker_summary(&self, n: usize) -> String {
         let broker = &self.brokers[n];
         let voter = broker
@@ -79,10 +82,10 @@
         format!("{}: {phase:?}, lease {has_lease}, {voter:?}, {rejections:?}, {last_line:?}", broker.name)
     }
 
-    /// What an operator writes to recover the fleet from this voter's folder without `lost_voters`.
+    /// The order with which an operator recovers the fleet from the folder of voter `n` without `lost_voters`.
     ///
     /// # Panics
-    /// It is down, or does not vote.
+    /// The broker is down, or does not vote.
     pub fn recovery_order(&self, n: usize, lost_voters: &[&str]) -> RecoveryOrder {
         let voter = self.brokers[n].voter.as_ref().expect("a voter that is up");
         let (folder_id, last_index) = voter.recovery_position();
@@ -95,10 +98,10 @@
         }
     }
 
-    /// Starts a voter by an operator's order.
+    /// Restarts voter `n` with an operator's recovery order.
     ///
     /// # Errors
-    /// The order does not fit the voter's folder.
+    /// The order does not match the voter's folder.
     pub fn recover(&mut self, n: usize, order: &RecoveryOrder) -> Result<(), ConsensusError> {
         if self.is_running(n) {
             self.kill(n);
--- a/crates/dunepond-simulation/src/invariants.rs
+++ b/crates/dunepond-simulation/src/invariants.rs
@@ -1,4 +1,5 @@
-//! What must hold at every moment, whatever fails. Each breach is a panic that says when and who.
+//! Invariants that must hold at every moment, whatever fails. A violation panics with the time and the brokers
+//! involved.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,15 +7,16 @@
 
 use crate::settlements;
 
-/// Non-idempotent parts that may be running at one owner.
+/// Non-idempotent parts of one segment that may be running at one owner.
 struct RunningParts {
-    /// True time until which they may run.
+    /// True time until which the parts may run.
     until: f64,
-    /// Who sent the last of them.
+    /// Index of the broker that sent the last of the parts.
     sent_by: usize,
 }
 
-/// The two versions of a joint phase; twice the same where a broker acts on one version alone.
+/// The versions that a broker acts on: both versions of a joint configuration, or the same one twice if the broker acts
+/// on one version alone. 0 stands for no version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ActingVersions {
     from: u64,
@@ -22,7 +24,7 @@
 }
 
 impl ActingVersions {
-    /// None for a broker that may not act.
+    /// The versions that a broker with this configuration acts on; `None` if it may not act.
     fn of(config: &ActiveConfig, clock: f64) -> Option<Self> {
         match config.phase(clock) {
             ConfigPhase::LeaseExpired(_) => None,
@@ -33,11 +35,12 @@
         }
     }
 
-    /// The version, if it is one.
+    /// The version, if the broker acts on one version alone.
     fn alone(self) -> Option<u64> {
         (self.from == self.to).then_some(self.from)
     }
 
+    /// Whether both act on a common version.
     fn shares_version_with(self, other: Self) -> bool {
         [self.from, self.to].iter().any(|number| *number == other.from || *number == other.to)
     }
@@ -47,59 +50,62 @@
     }
 }
 
-/// What one broker does at a moment.
+/// The activity of one broker at one moment.
 pub struct BrokerActivity<'a> {
-    /// True time of this moment.
+    /// True time of the activity.
     pub now: f64,
     /// Index of the broker.
     pub broker: usize,
-    /// Configuration that it acts on.
+    /// Configuration that the broker acts on.
     pub config: &'a ActiveConfig,
-    /// What its clock shows.
+    /// Reading of the broker's clock.
     pub clock: f64,
-    /// It sends a non-idempotent part of each of these segments wherever it may.
+    /// Segments of which the broker sends a non-idempotent part, if it may.
     pub segments: &'a [u64],
-    /// True seconds for which such a part may run.
+    /// Longest time in true seconds for which such a part may run.
     pub part_seconds: f64,
-    /// Seconds after the commit of a version after which no broker may act on the previous one alone.
+    /// Longest time in seconds for which a broker may act on a version alone after the next version was committed.
     pub switch_bound_seconds: f64,
 }
 
-/// Checks a fleet while it runs. Times are true ones; brokers are named by index.
+/// Checks a fleet while it runs. Times are true times, and brokers are given by index.
 #[derive(Default)]
 pub struct InvariantChecker {
-    /// Result of each entry of the log by index, as the first voter that applied it reported.
+    /// Result of each entry of the log, by index, as reported by the first voter that applied it.
     outcomes: BTreeMap<u64, String>,
-    /// Index of each settlement by its id.
+    /// Index in the log of the first entry for each settlement, by the settlement's id.
     settled_index: BTreeMap<String, u64>,
-    /// Parts that may be running, by segment and owner.
+    /// Non-idempotent parts that may be running, by segment and owner.
     running_parts: BTreeMap<u64, BTreeMap<String, RunningParts>>,
-    /// When each version was first committed as proposed.
+    /// When the proposal of each version was first applied by a voter.
     pub proposed_at: BTreeMap<u64, f64>,
-    /// When each version was first activated in a voter's log.
+    /// When the activation of each version was first applied by a voter.
     pub activated_at: BTreeMap<u64, f64>,
-    /// When each settlement was first committed, by id.
+    /// When each settlement was first applied by a voter, by the settlement's id.
     pub settled_at: BTreeMap<String, f64>,
     /// Numbers of withdrawn versions.
     pub withdrawn: BTreeSet<u64>,
-    /// When some broker last acted on the version alone.
+    /// When any broker last acted on each version alone.
     pub last_alone_at: BTreeMap<u64, f64>,
-    /// Of the step that is checked: what is acted on, and the first broker that does.
+    /// The versions that brokers act on in the current step, each with the first broker that acts on them.
     acting: BTreeMap<ActingVersions, usize>,
-    /// The longest that anybody acted on a version alone after the next was committed.
+    /// Longest time in seconds for which a broker acted on a version alone after the next version was committed.
     pub longest_alone_seconds: f64,
 }
 
 impl InvariantChecker {
-    /// A voter has applied an entry.
+    /// Checks and records an entry that a voter has applied.
     ///
     /// # Panics
-    /// Another voter's log differs, or a settlement counts twice.
+    /// Another voter got another result for the entry, or a settlement is counted twice.
     pub fn on_entry_applied(&mut self, now: f64, voter: &str, outcome: &EntryOutcome) {
         let index = outcome.index;
         let result = format!("{:?}", outcome.result);
         match self.outcomes.get(&index) {
-            Some(known) => assert_eq!(*known, result, "the log differs at {index} for {voter}"),
+            Some(known) => assert_eq!(
+                *known, result,
+                "{voter} applied entry {index} of the log with another result than other voters"
+            ),
             None => drop(self.outcomes.insert(index, result)),
         }
         match &outcome.result {
@@ -115,13 +121,15 @@
         }
     }
 
+    /// Records a settlement, and checks that it was not applied by another entry.
     fn on_settled(&mut self, now: f64, id: &str, index: u64) {
         let first = *self.settled_index.entry(id.to_string()).or_insert(index);
         assert_eq!(first, index, "settlement {id} counted twice");
         self.settled_at.entry(id.to_string()).or_insert(now);
     }
 
-    /// Drops what no broker can come back to: earlier entries of the log, and earlier versions.
+    /// Forgets the entries of the log before `index` and the versions before `version`, which no broker may use any
+    /// more. This bounds the memory of long runs.
     pub fn forget_before(&mut self, index: u64, version: u64) {
         self.outcomes = self.outcomes.split_off(&index);
         self.settled_index.retain(|_, settled| *settled >= index);
@@ -132,7 +140,7 @@
         self.withdrawn = self.withdrawn.split_off(&version);
     }
 
-    /// The activity of one moment follows.
+    /// Begins the check of a step. [`Self::on_broker_acts`] follows for each broker that acts, then [`Self::end_step`].
     pub fn begin_step(&mut self, now: f64) {
         self.acting.clear();
         for owners in self.running_parts.values_mut() {
@@ -140,10 +148,10 @@
         }
     }
 
-    /// A broker acts.
+    /// Checks and records the activity of one broker in this step.
     ///
     /// # Panics
-    /// It acts on an old version for too long, or sends a part beside another owner's.
+    /// The broker acts on an old version for too long, or sends a part to an owner while one may run at another owner.
     pub fn on_broker_acts(&mut self, activity: &BrokerActivity<'_>) {
         if let Some(versions) = ActingVersions::of(activity.config, activity.clock) {
             if let Some(number) = versions.alone() {
@@ -158,8 +166,8 @@
         }
     }
 
-    /// No broker acts on a version alone once the switch bound has passed since the next one was committed; withdrawn versions
-    /// do not count.
+    /// Checks that the broker does not act on a version alone for longer than the switch bound after the next version
+    /// was committed. Withdrawn versions do not count as next ones.
     fn check_alone(&mut self, number: u64, activity: &BrokerActivity<'_>) {
         let (now, broker) = (activity.now, activity.broker + 1);
         self.last_alone_at.insert(number, now);
@@ -175,13 +183,15 @@
         );
     }
 
-    /// A non-idempotent part must not be sent to one owner while one may run at another.
+    /// Checks that no non-idempotent part of the segment may be running at another owner, and records the part.
     fn send_part(&mut self, segment: u64, owner: &str, activity: &BrokerActivity<'_>) {
         let (now, broker) = (activity.now, activity.broker + 1);
         let owners = self.running_parts.entry(segment).or_default();
         if let Some((other, parts)) = owners.iter().find(|(other, _)| *other != owner) {
             let sender = parts.sent_by + 1;
-            panic!("{now:.2}: n{broker} sends segment {segment} to {owner}, n{sender} has it at {other}");
+            panic!(
+                "{now:.2}: n{broker} sends a part of segment {segment} to {owner}, n{sender}'s may run at {other}"
+            );
         }
         let until = now + activity.part_seconds;
         match owners.get_mut(owner) {
@@ -196,10 +206,10 @@
         }
     }
 
-    /// All brokers' activity of this moment is known.
+    /// Ends the check of a step, once the activity of all brokers is recorded.
     ///
     /// # Panics
-    /// Two brokers share no version.
+    /// Two brokers act on no common version.
     pub fn end_step(&self, now: f64) {
         let acting: Vec<_> = self.acting.iter().collect();
         for (place, (versions, broker)) in acting.iter().enumerate() {
@@ -215,7 +225,7 @@
         }
     }
 
-    /// Whether all that acted in the last step acted on `number` or a later version alone.
+    /// Whether brokers acted in the last step, and all of them only on version `number` or later ones.
     pub fn all_act_on_at_least(&self, number: u64) -> bool {
         !self.acting.is_empty() && self.acting.keys().all(|versions| versions.from >= number)
     }
--- a/crates/dunepond-simulation/src/scenario/config.rs
+++ b/crates/dunepond-simulation/src/scenario/config.rs
@@ -1,30 +1,31 @@
-//! What is simulated.
+//! Configuration of a scenario.
 
 use dunepond_consensus::ConsensusConfig;
 use dunepond_shard_map::MapConstraints;
 
-/// Size of a fleet, and for how long it runs.
+/// Size of a simulated fleet, and how long it runs.
 #[derive(Clone, Debug)]
 pub struct ScenarioConfig {
-    /// How many brokers there are.
+    /// Number of brokers.
     pub broker_count: usize,
-    /// How many brokers vote: the first ones.
+    /// Number of voters, which are the first brokers.
     pub voter_count: usize,
-    /// Nodes of the store.
+    /// Number of nodes.
     pub node_count: usize,
-    /// Partners that own the nodes.
+    /// Number of partners that own the nodes.
     pub partner_count: usize,
-    /// Segments of the map.
+    /// Number of segments in the shard map.
     pub segment_count: u64,
-    /// Zones of the brokers.
+    /// Number of zones over which the brokers are spread.
     pub zone_count: usize,
-    /// Simulated time with faults; 0: no faults.
+    /// Length of the part with faults, in seconds; 0 for no faults.
     pub fault_seconds: f64,
-    /// Simulated time before that, in which nothing fails and a version is proposed every few leases; what is measured.
+    /// Length of the steady part before the faults, in seconds. It is measured; nothing fails in it, and a version is
+    /// proposed every few leases.
     pub steady_seconds: f64,
-    /// Length of a lease.
+    /// Length of a lease, in seconds.
     pub lease_seconds: f64,
-    /// The same seed gives the same run.
+    /// Seed of all random numbers; the same configuration and seed give the same run.
     pub seed: u64,
 }
 
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Configuration of the brokers.
+    /// Consensus configuration of the brokers.
     pub fn consensus_config(&self) -> ConsensusConfig {
         ConsensusConfig {
             name: String::from("n0"),
--- a/crates/dunepond-simulation/src/scenario/faults.rs
+++ b/crates/dunepond-simulation/src/scenario/faults.rs
@@ -1,4 +1,4 @@
-//! What happens to a fleet: to one broker, and to many at once for one cause.
+//! Faults and operations that a scenario injects into a fleet, each at one broker or at many at once.
 
 use dunepond_consensus::{Command, LeaseClient, Voter};
 use rand::RngExt;
@@ -7,41 +7,52 @@
 use super::{Scenario, config_version};
 use crate::fleet::LinkConditions;
 
-/// Seconds that a partition, a dead zone or a pause lasts, at most.
+/// Longest time in seconds that a partition, a zone crash or a pause lasts.
 const MAX_FAULT_SECONDS: f64 = 6.0;
+/// Shortest time in seconds that a fault with a duration lasts, except for pauses.
 const MIN_FAULT_SECONDS: f64 = 0.2;
+/// Shortest time in seconds that a pause lasts.
 const MIN_PAUSE_SECONDS: f64 = 0.05;
-/// Longest that the brokers of a mass crash are down, in seconds.
+/// Longest time in seconds from a mass crash until its brokers begin to restart.
 const MAX_MASS_CRASH_SECONDS: f64 = 3.0;
-/// Seconds over which crashed brokers come back.
+/// Time in seconds over which the restarts of brokers that crashed together are spread.
 const RESTART_SPREAD_SECONDS: f64 = 1.0;
-/// Ratios of the brokers that a mass crash takes down at once, that are paused together, and that one step of a rolling
-/// restart restarts.
+/// Ratio of the brokers that crash in a mass crash.
 const MASS_CRASH_RATIO: f64 = 0.7;
+/// Ratio of the brokers that are paused together.
 const PAUSED_RATIO: f64 = 0.05;
+/// Ratio of the brokers that one step of a rolling restart restarts.
 const ROLLING_RESTART_RATIO: f64 = 0.1;
-/// Between the steps of a rolling restart.
+/// Time in seconds between the steps of a rolling restart.
 const ROLLING_RESTART_SECONDS: f64 = 0.5;
-/// A fault of one-way links that lasts longer hits the leader.
+/// One-way link faults that last longer than this, in seconds, hit the leader.
 const LEADER_FAULT_SECONDS: f64 = 2.0;
-/// Ratios of versions with fills, of those without and with a stage.
+/// Ratio of the versions without a stage that have fills.
 const FILL_RATIO: f64 = 0.4;
+/// Ratio of the versions with a stage that have fills.
 const STAGED_FILL_RATIO: f64 = 0.2;
-/// Seconds by which a clock jumps.
+/// Shortest clock jump in seconds.
 const MIN_CLOCK_JUMP_SECONDS: f64 = 0.1;
+/// Longest clock jump in seconds.
 const MAX_CLOCK_JUMP_SECONDS: f64 = 5.0;
-/// Partition of a zone that is cut off; all others are 0.
+/// Partition number of the brokers of a zone that is cut off; all other brokers are in partition 0.
 const CUT_OFF_PARTITION: u32 = 1;
 
-/// Something that happens later.
+/// An event that a fault schedules for later.
 pub(super) enum ScheduledEvent {
+    /// Starts a broker unless it runs.
     Start(usize),
+    /// Restarts brokers at once.
     Restart(Vec<usize>),
+    /// Opens all links and removes partitions.
     Heal,
+    /// Resets the conditions of the links to the default.
     ResetLinks,
+    /// Activates or withdraws the open version.
     EndStage { activate: bool },
 }
 
+/// Kind of a fault or an operation that a scenario injects.
 #[derive(Clone, Copy)]
 enum FaultKind {
     ZonePartition,
@@ -62,7 +73,7 @@
     OperatorEndsVersion,
 }
 
-/// All kinds, in the order of the random number that draws them.
+/// All kinds of faults, indexed by the random number that draws them.
 const FAULT_KINDS: [FaultKind; 16] = [
     FaultKind::ZonePartition,
     FaultKind::ZoneCrash,
@@ -107,7 +118,7 @@
 }
 
 impl Scenario {
-    /// Injects one fault of any kind.
+    /// Injects one fault of a random kind.
     pub(super) fn inject_fault(&mut self) {
         let kind = self.draw_fault_kind();
         self.report.count_fault(kind.name());
@@ -136,24 +147,27 @@
         }
     }
 
-    /// Versions come more often than any fault.
+    /// Draws the kind of the next fault. New versions are drawn more often than any other kind.
     fn draw_fault_kind(&mut self) -> FaultKind {
         let index = match self.rng.random_range(0..22) {
-            more @ 16.. => 12 + usize::from(more > 20),
+            extra @ 16.. => 12 + usize::from(extra > 20),
             index => index,
         };
         FAULT_KINDS[index]
     }
 
+    /// Schedules an event some seconds from now.
     fn schedule(&mut self, after_seconds: f64, event: ScheduledEvent) {
         self.scheduled.schedule(self.fleet.now + after_seconds, event);
     }
 
+    /// All brokers in the zone of broker `n`.
     fn zone_of(&self, n: usize) -> Vec<usize> {
         let zone = |broker: usize| broker % self.config.zone_count;
         (0..self.config.broker_count).filter(|other| zone(*other) == zone(n)).collect()
     }
 
+    /// Cuts a random zone off from the others for some seconds.
     fn partition_zone(&mut self, seconds: f64) {
         let n = self.rng.random_range(0..self.config.broker_count);
         for n in self.zone_of(n) {
@@ -162,7 +176,7 @@
         self.schedule(seconds, ScheduledEvent::Heal);
     }
 
-    /// Crashes all of them at once; they come back after `down_seconds`, one after the other.
+    /// Crashes brokers at the same time. They restart after `down_seconds`, spread over [`RESTART_SPREAD_SECONDS`].
     fn crash(&mut self, brokers: Vec<usize>, down_seconds: f64) {
         for n in brokers {
             self.fleet.kill(n);
@@ -172,18 +186,21 @@
         }
     }
 
+    /// All brokers in random order.
     fn shuffled_brokers(&mut self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.config.broker_count).collect();
         order.shuffle(&mut self.rng);
         order
     }
 
+    /// Crashes [`MASS_CRASH_RATIO`] of the brokers at the same time.
     fn crash_many(&mut self, seconds: f64) {
         let mut brokers = self.shuffled_brokers();
         brokers.truncate((MASS_CRASH_RATIO * self.config.broker_count as f64) as usize);
         self.crash(brokers, seconds.min(MAX_MASS_CRASH_SECONDS));
     }
 
+    /// Restarts all brokers in random order, [`ROLLING_RESTART_RATIO`] of them in each step.
     fn rolling_restart(&mut self) {
         let brokers = self.shuffled_brokers();
         let per_step = ((ROLLING_RESTART_RATIO * self.config.broker_count as f64) as usize).max(1);
@@ -193,6 +210,7 @@
         }
     }
 
+    /// Proposes a version without the nodes of one partner.
     fn remove_partner(&mut self, n: usize) {
         let Some(leader) = self.fleet.leader() else { return };
         let state = self.fleet.state(leader);
@@ -204,7 +222,8 @@
         let _ = self.propose(version);
     }
 
-    /// Between a zone and one broker, the leader if the fault lasts.
+    /// Blocks the links between a zone and one broker in one direction. The broker is the leader if the fault lasts
+    /// longer than [`LEADER_FAULT_SECONDS`].
     fn block_one_way(&mut self, n: usize, seconds: f64) {
         let leader = self.fleet.leader().filter(|_| seconds > LEADER_FAULT_SECONDS);
         let target = leader.unwrap_or_else(|| self.rng.random_range(0..self.config.broker_count));
@@ -217,6 +236,7 @@
         self.schedule(seconds, ScheduledEvent::Heal);
     }
 
+    /// Pauses a few random brokers, each for a random time.
     fn pause_some(&mut self) {
         let count = (PAUSED_RATIO * self.config.broker_count as f64) as usize + 1;
         for _ in 0..count {
@@ -226,8 +246,9 @@
         }
     }
 
-    /// Backwards: the broker does not trust its clock any more in this run. Forwards: its leases end sooner; this is not done to
-    /// a voter, whose waits would be too short: the configured drift promises that this does not happen.
+    /// Makes a broker's clock jump. If the clock is set back, the broker does not trust it any more until it is
+    /// restarted. If it jumps forward, the broker's leases end sooner. Voters' clocks only jump back: a jump forward
+    /// would make their waits too short, and the configured drift assumes that this does not happen.
     fn jump_clock(&mut self, n: usize) {
         let seconds = self.rng.random_range(MIN_CLOCK_JUMP_SECONDS..MAX_CLOCK_JUMP_SECONDS);
         let is_forward = n >= self.config.voter_count && self.rng.random::<bool>();
@@ -235,12 +256,12 @@
             self.fleet.brokers[n].clock_offset += seconds;
         } else {
             self.fleet.set_clock_back(n, seconds);
-            // Its supervisor restarts it.
+            // The broker's supervisor restarts it.
             self.schedule(MAX_FAULT_SECONDS, ScheduledEvent::Restart(vec![n]));
         }
     }
 
-    /// The folder of a broker that does not vote is from long ago, or lost.
+    /// Crashes a broker that does not vote and empties its folder, so that it restarts without its leases.
     fn lose_leases(&mut self, n: usize, seconds: f64) {
         let other_count = self.config.broker_count - self.config.voter_count;
         let n = self.config.voter_count + n % other_count.max(1);
@@ -251,6 +272,7 @@
         }
     }
 
+    /// Makes all links lose, duplicate and delay messages for some seconds.
     fn degrade_links(&mut self, n: usize, seconds: f64) {
         self.fleet.links = LinkConditions {
             loss_ratio: [0.02, 0.1, 0.2][n % 3],
@@ -262,32 +284,34 @@
         self.schedule(seconds, ScheduledEvent::ResetLinks);
     }
 
-    /// One at a time, and not before the last one votes again.
+    /// Empties the folder of a voter and restarts it, but only if all other voters have their state and all links are
+    /// open, so that one folder at a time is lost.
     fn lose_voter_folder(&mut self, n: usize) {
-        let is_whole = (0..self.config.voter_count).all(|n| {
+        let have_all_state = (0..self.config.voter_count).all(|n| {
             let broker = &self.fleet.brokers[n];
             broker.voter.as_ref().is_some_and(Voter::has_state) && !broker.disk.is_empty()
         });
-        if is_whole && self.fleet.is_fully_connected() {
+        if have_all_state && self.fleet.is_fully_connected() {
             self.fleet.kill(n);
             self.fleet.wipe_folder(n);
             self.fleet.start(n);
         }
     }
 
+    /// Proposes a version with a stage, and schedules the end of the stage.
     fn propose_staged_version(&mut self) {
         self.propose_next_version(STAGED_FILL_RATIO, 1.0);
         let activate = self.rng.random::<bool>();
         self.schedule(2.0 * MAX_FAULT_SECONDS, ScheduledEvent::EndStage { activate });
     }
 
-    /// All voters ignore what a faulty proposer puts into the log.
+    /// Proposes an invalid version, as a faulty proposer would. All voters must ignore it.
     fn propose_faulty_version(&mut self, n: usize) {
         let Some(leader) = self.fleet.leader() else { return };
         let state = self.fleet.state(leader);
         let next = state.highest_number + 1;
         let mut version = config_version(next, self.topology.changed_map(state, next, 0, &mut self.rng));
-        let map = version.map.as_mut().expect("it has one");
+        let map = version.map.as_mut().expect("a version with a map");
         match n % 4 {
             0 => version.number += 7,
             1 => map.digest = String::from("0123"),
@@ -297,6 +321,7 @@
         let _ = self.fleet.propose_unchecked_at(leader, Command::Propose(Box::new(version)));
     }
 
+    /// Carries out a scheduled event that is due.
     pub(super) fn handle_event(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::Start(n) if !self.fleet.is_running(n) => self.fleet.start(n),
@@ -313,13 +338,13 @@
         }
     }
 
-    /// Ends all faults, and starts each broker that is down.
+    /// Ends all faults, restarts brokers whose clocks were set back, and starts all that are down.
     pub(super) fn heal(&mut self) {
         self.fleet.heal();
         self.fleet.links = LinkConditions::default();
         for n in 0..self.config.broker_count {
             self.fleet.brokers[n].tears_next_record = false;
-            // A broker whose clock went back does not trust it any more in that run, or will not once it notices: its
+            // A broker whose clock was set back does not trust it any more, or will not once it detects that, until its
             // supervisor restarts it.
             let client = self.fleet.brokers[n].lease_client.as_ref();
             let distrusts_clock = client.is_some_and(distrusts_clock);
@@ -333,6 +358,7 @@
     }
 }
 
+/// Whether a broker does not trust its clock any more.
 fn distrusts_clock(client: &LeaseClient) -> bool {
     client.distrust_reason().is_some()
 }
--- a/crates/dunepond-simulation/src/scenario/fill_simulation.rs
+++ b/crates/dunepond-simulation/src/scenario/fill_simulation.rs
@@ -1,5 +1,6 @@
-//! What the leader's host does for fills and settlement: plans by its own balances, has fills carried out, proposes what is
-//! complete. A new leader starts from the committed log and the counts alone, as a host does.
+//! Simulates how the leader's host carries out fills and settlements: it plans fills by its own balances, starts them,
+//! and proposes the settlement and completion of those that are complete. A new leader starts from the committed log
+//! and the transfer counts alone, as a host does.
 
 use std::collections::BTreeMap;
 
@@ -16,64 +17,75 @@
 use crate::fleet::Fleet;
 use crate::settlements;
 
-/// Seconds between two calls of the planner, and after which a complete fill is proposed again.
+/// Seconds between two calls of the planner.
 const PLAN_INTERVAL_SECONDS: f64 = 0.1;
+/// Seconds after which the completion of a fill is proposed again.
 const PROPOSE_INTERVAL_SECONDS: f64 = 1.0;
-/// In whose name settlements are planned, at each leader.
+/// Name under which each leader plans settlements.
 const PLANNER_NAME: &str = "fleet";
+/// Size of each segment.
 const SEGMENT_BYTES: u64 = 1 << 20;
-/// Seconds that a fill takes, and the ratio of fills that fail.
+/// Shortest time in seconds that a fill takes.
 const MIN_FILL_SECONDS: f64 = 0.1;
+/// Longest time in seconds that a fill takes.
 const MAX_FILL_SECONDS: f64 = 1.5;
+/// Ratio of fills that fail.
 const FILL_FAILURE_RATIO: f64 = 0.1;
-/// Brokers that count.
+/// Number of brokers that carry traffic between partners and count it.
 const COUNTING_BROKERS: usize = 8;
-/// Pairs of partners that carry for each other in a second, and up to how many bytes.
-const PAIRS_PER_SECOND: usize = 6;
+/// Number of transfers between partners in each [`CARRY_INTERVAL_SECONDS`].
+const TRANSFERS_PER_INTERVAL: usize = 6;
+/// Longest transfer between partners.
 const MAX_CARRIED_BYTES: u64 = 1 << 20;
+/// Seconds between two rounds of transfers.
 const CARRY_INTERVAL_SECONDS: f64 = 1.0;
-/// Readings of the counts by which the leader is late, as gossip would bring them.
+/// Number of readings by which the leader's knowledge of the counts lags behind, as with gossip.
 const COUNTS_LAG: usize = 3;
-/// Bytes a second that a link carries.
+/// Capacity of a link in bytes per second.
 const LINK_RATE: f64 = 1e9;
-/// Distinguishes the random numbers here from those of the fleet.
+/// Combined with the seed, so that the random numbers here differ from those of the fleet.
 const SEED_MASK: u64 = 0xf111;
 
+/// A fill that the leader has started.
 struct RunningFill {
     fill: Fill,
     ends_at: f64,
+    /// Whether the fill fails at its end.
     fails: bool,
+    /// Whether the fill has ended successfully.
     is_complete: bool,
     next_proposal_at: f64,
 }
 
-/// What one leader knows.
+/// State of one leader's host.
 struct LeaderState {
+    /// Index of the leader.
     leader: usize,
     /// Number of the open version, 0 if there is none.
     version: u64,
     balances: Balances,
     planner: FillPlanner,
+    /// Fills that were started, by id.
     running: BTreeMap<String, RunningFill>,
 }
 
 /// Traffic between partners, and the fills of open versions.
 pub(super) struct FillSimulation {
     rng: Pcg64Mcg,
-    /// What was really carried.
+    /// Actual counts of the bytes that partners have carried for each other.
     carried: CarriedCounts,
-    /// As it was known at the last readings, oldest first.
+    /// The counts at the last [`COUNTS_LAG`] readings, oldest first.
     earlier_counts: Vec<CarriedCounts>,
     leader_state: Option<LeaderState>,
     next_plan_at: f64,
     next_carry_at: f64,
-    /// Settlements in the order of the log.
+    /// Committed settlements in the order of the log.
     settled: Vec<Settlement>,
-    /// Entries of the log about settlement that are known.
+    /// Number of the log's entries about settlement that were read.
     known_entry_count: u64,
-    /// Settled bytes by debtor and creditor.
+    /// Total of the settled bytes, by debtor and creditor.
     settled_bytes: BTreeMap<(String, String), u64>,
-    /// When a fill was complete, by its settlement's id.
+    /// When each fill with a settlement was complete, by the settlement's id.
     pub filled_at: BTreeMap<String, f64>,
 }
 
@@ -93,6 +105,7 @@
         }
     }
 
+    /// Simulates transfers between partners and the work of the leader's host, up to the fleet's current time.
     pub fn step(&mut self, fleet: &mut Fleet, topology: &Topology) {
         if fleet.now >= self.next_carry_at {
             self.next_carry_at = fleet.now + CARRY_INTERVAL_SECONDS;
@@ -111,10 +124,10 @@
         self.end_fills(fleet);
     }
 
-    /// Partners carry for each other; a few brokers see it.
+    /// Simulates random transfers between partners, counted by a few brokers.
     fn carry_traffic(&mut self, topology: &Topology) {
         let partner_count = topology.partner_count();
-        for _ in 0..PAIRS_PER_SECOND {
+        for _ in 0..TRANSFERS_PER_INTERVAL {
             let carrier = self.rng.random_range(0..partner_count);
             let debtor = self.rng.random_range(0..partner_count);
             let broker = format!("n{}", self.rng.random_range(1..=COUNTING_BROKERS));
@@ -127,7 +140,8 @@
         }
     }
 
-    /// Settlements stay within what was really carried.
+    /// Reads the new settlements in the log, and checks that no debtor settles more than its partner has actually
+    /// carried for it.
     fn check_settlements(&mut self, fleet: &Fleet, leader: usize) {
         let logged = settlements::settlements_after(fleet.state(leader), self.known_entry_count);
         self.known_entry_count = logged.entry_count;
@@ -141,6 +155,7 @@
         }
     }
 
+    /// State of a new leader's host, from the committed settlements alone.
     fn new_leader_state(&self, leader: usize) -> LeaderState {
         let mut ledger = SettlementLedger::default();
         for settlement in &self.settled {
@@ -153,6 +168,7 @@
         LeaderState { leader, version: 0, balances, planner, running: BTreeMap::new() }
     }
 
+    /// Updates the leader's balances, and plans and starts the fills of the open version.
     fn plan(&mut self, fleet: &Fleet, topology: &Topology, leader: usize) {
         let Some(state) = &mut self.leader_state else { return };
         for settlement in &self.settled {
@@ -172,7 +188,8 @@
         }
     }
 
-    /// The settlement is proposed first: a crash after it leaves the fill open.
+    /// Ends the fills that are due. The settlement of a complete fill is proposed before its completion: a crash
+    /// between the two leaves the fill open.
     fn end_fills(&mut self, fleet: &mut Fleet) {
         let Some(state) = &mut self.leader_state else { return };
         let now = fleet.now;
@@ -197,7 +214,7 @@
 }
 
 impl LeaderState {
-    /// Another version's fills are not required any more.
+    /// Switches to another open version, and ends the fills of the previous one, which are not required any more.
     fn switch_version(&mut self, version: u64) {
         if self.version == version {
             return;
@@ -208,7 +225,7 @@
         self.version = version;
     }
 
-    /// New fills; those that are not in demand any more end.
+    /// Ends the fills that are not in demand any more, and returns the new fills to start.
     fn plan(&mut self, now: f64, mut demands: Vec<FillDemand>) -> Vec<Fill> {
         let is_demanded = |id: &str| demands.iter().any(|demand| demand.id() == id);
         let ended: Vec<String> = self.running.keys().filter(|id| !is_demanded(id)).cloned().collect();
@@ -226,6 +243,7 @@
         self.planner.plan(&self.balances, &demands, &links, &slow_start, None, now).fills
     }
 
+    /// Drops the fills that have failed by now.
     fn drop_failed(&mut self, now: f64) {
         let failed = self.running.values().filter(|running| now >= running.ends_at && running.fails);
         let failed: Vec<String> = failed.map(|running| running.fill.id.clone()).collect();
@@ -236,13 +254,14 @@
     }
 }
 
-/// The version that is proposed at the leader, and what it still requires.
+/// The open version at the leader, with the fills that it still requires.
 struct OpenVersion {
     number: u64,
     demands: Vec<FillDemand>,
 }
 
 impl OpenVersion {
+    /// The open version at `leader`; `None` if there is none or it changes no map.
     fn of(fleet: &Fleet, topology: &Topology, leader: usize) -> Option<Self> {
         let state = fleet.state(leader);
         let open = state.open.as_ref()?;
--- a/crates/dunepond-simulation/src/scenario/mod.rs
+++ b/crates/dunepond-simulation/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of any size, by seed: faults as they come in operation, alone and together, and figures of what the run cost.
-//! A run that ends has kept all invariants.
+//! Runs of a fleet of any size, determined by a seed: faults as they occur in operation, singly and together, and
+//! figures on what the run cost. A run that ends without a panic has kept all invariants.
 
 mod config;
 mod faults;
@@ -24,30 +24,33 @@
 pub use report::{FaultCount, ScenarioReport};
 pub use topology::{Topology, config_version};
 
-/// Seconds between two faults, at most.
+/// Longest time in seconds between two faults.
 const MAX_FAULT_PAUSE_SECONDS: f64 = 1.2;
-/// Seconds that a healed fleet may take to act again, and to activate a version.
+/// Longest time in seconds that a fleet without faults may take until all brokers have leases, and to activate a
+/// version.
 const MAX_RECOVERY_SECONDS: f64 = 30.0;
-/// Turns of each broker in a lease, as its host takes them.
+/// Turns that each broker takes during a lease, as on a real host.
 const TURNS_PER_LEASE: f64 = 100.0;
-/// Leases before the steady part is measured, and between two versions in it.
+/// Length of the warm-up before the steady part is measured, in leases.
 const WARM_UP_LEASES: f64 = 2.0;
+/// Time between two versions in the steady part, in leases.
 const VERSION_INTERVAL_LEASES: f64 = 3.0;
-/// Ratio of versions with fills in the steady part.
+/// Ratio of the versions in the steady part that have fills.
 const STEADY_FILL_RATIO: f64 = 0.3;
 /// Seconds between two attempts to end an open version.
 const END_STAGE_INTERVAL_SECONDS: f64 = 0.5;
 
-/// A run of a fleet.
+/// A simulated run of a fleet.
 pub struct Scenario {
-    /// The fleet, running from the beginning.
+    /// The simulated fleet, which is started when the scenario is created.
     pub fleet: Fleet,
-    /// The configuration, as given.
+    /// Configuration of the run.
     pub config: ScenarioConfig,
-    /// Figures, filled while it runs.
+    /// Figures of the run, filled in while it runs.
     pub report: ScenarioReport,
     topology: Topology,
     fill_simulation: FillSimulation,
+    /// Events that faults have scheduled.
     scheduled: EventQueue<ScheduledEvent>,
     rng: Pcg64Mcg,
     /// Versions that were proposed and that not all brokers act on yet.
@@ -55,7 +58,7 @@
 }
 
 impl Scenario {
-    /// Starts the fleet.
+    /// Creates a scenario and starts its fleet.
     pub fn new(config: ScenarioConfig) -> Self {
         let topology = Topology::new(config.node_count, config.partner_count, config.segment_count);
         let consensus_config = config.consensus_config();
@@ -83,23 +86,29 @@
         }
     }
 
-    /// Runs until all brokers act on version 1.
+    /// Proposes version 1 and runs until all brokers act on it.
     ///
     /// # Panics
-    /// It takes too long.
+    /// The brokers do not all get leases, or do not all act on version 1, in time.
     pub fn activate_first_version(&mut self) {
         let is_up = |fleet: &Fleet| fleet.leader().is_some() && fleet.all_have_leases();
-        assert!(self.run_until(MAX_RECOVERY_SECONDS, is_up), "no lease");
+        assert!(
+            self.run_until(MAX_RECOVERY_SECONDS, is_up),
+            "no leader, or brokers without a lease, after {MAX_RECOVERY_SECONDS} s"
+        );
         let first = config_version(1, self.topology.map(1));
         self.propose(first).expect("the first version");
         let is_active = |fleet: &Fleet| fleet.all_in_phase(&ConfigPhase::Active(1));
-        assert!(self.run_until(MAX_RECOVERY_SECONDS, is_active), "version 1 is active everywhere");
+        assert!(
+            self.run_until(MAX_RECOVERY_SECONDS, is_active),
+            "not all brokers act on version 1 after {MAX_RECOVERY_SECONDS} s"
+        );
     }
 
-    /// Runs all of it: the first version, the steady part, the faults and the recovery.
+    /// Runs the whole scenario: the first version, the steady part, the faults and the recovery. Returns its figures.
     ///
     /// # Panics
-    /// An invariant is broken, or the fleet does not recover.
+    /// An invariant is violated, or the fleet does not recover.
     pub fn run(mut self) -> ScenarioReport {
         self.activate_first_version();
         self.run_steadily();
@@ -115,7 +124,7 @@
         self.finish()
     }
 
-    /// A version every few leases, nothing fails; this is what is measured.
+    /// Runs the steady part, which is measured: nothing fails, and a version is proposed every few leases.
     fn run_steadily(&mut self) {
         if self.config.steady_seconds <= 0.0 {
             return;
@@ -136,40 +145,48 @@
         self.report.leader = self.fleet.leader();
     }
 
+    /// Loads of all brokers since the start of the fleet.
     fn loads(&self) -> Vec<BrokerLoad> {
         self.fleet.brokers.iter().map(|broker| broker.load).collect()
     }
 
-    /// After all faults are healed, the open version ends, and the next one is activated everywhere.
+    /// Ends all faults and the open version, and checks that all brokers act on a next version and all voters vote
+    /// again.
     fn recover(&mut self) {
         self.scheduled = EventQueue::default();
         self.heal();
         let is_up = |fleet: &Fleet| fleet.leader().is_some() && fleet.all_have_leases();
-        assert!(self.run_until(MAX_RECOVERY_SECONDS, is_up), "{:.2}: all act again", self.fleet.now);
+        assert!(
+            self.run_until(MAX_RECOVERY_SECONDS, is_up),
+            "{:.2}: not all brokers have leases again",
+            self.fleet.now
+        );
         self.end_open_version();
-        let leader = self.fleet.leader().expect("it leads");
+        let leader = self.fleet.leader().expect("a fleet with a leader");
         let next = self.fleet.state(leader).highest_number + 1;
         let map = self.topology.changed_map(self.fleet.state(leader), next, 0, &mut self.rng);
         self.propose(config_version(next, map)).expect("the next version");
         let is_active = |fleet: &Fleet| fleet.all_in_phase(&ConfigPhase::Active(next));
         let is_activated = self.run_until(MAX_RECOVERY_SECONDS, is_active);
         let phases: Vec<_> = (0..self.config.broker_count).map(|n| self.fleet.phase(n)).collect();
-        assert!(is_activated, "{:.2}: version {next} everywhere: {phases:?}", self.fleet.now);
+        assert!(is_activated, "{:.2}: not all brokers act on version {next}: {phases:?}", self.fleet.now);
         for n in 0..self.config.voter_count {
             let has_state = self.fleet.brokers[n].voter.as_ref().is_some_and(Voter::has_state);
-            assert!(has_state, "n{} votes again", n + 1);
+            assert!(has_state, "n{} does not vote again", n + 1);
         }
     }
 
+    /// Withdraws the open version, and runs until none is open.
     fn end_open_version(&mut self) {
         let end = self.fleet.now + MAX_RECOVERY_SECONDS;
         while self.fleet.leader().is_none_or(|leader| self.fleet.state(leader).open.is_some()) {
-            assert!(self.fleet.now < end, "{:.2}: the open version ends", self.fleet.now);
+            assert!(self.fleet.now < end, "{:.2}: the open version does not end", self.fleet.now);
             self.end_stage(false);
             self.run_for(END_STAGE_INTERVAL_SECONDS);
         }
     }
 
+    /// Completes the report.
     fn finish(mut self) -> ScenarioReport {
         self.report_notices();
         let invariants = &self.fleet.invariants;
@@ -187,11 +204,12 @@
         self.report
     }
 
+    /// Reports how long each broker took to learn of each settlement.
     fn report_notices(&mut self) {
         let notices = self.fleet.settlement_notices.replace(Vec::new()).unwrap_or_default();
         let mut known = BTreeSet::new();
         for notice in notices {
-            // After a restart a broker learns of all again.
+            // A restarted broker learns of all settlements again; only the first time counts.
             if let Some(settled_at) = self.fleet.invariants.settled_at.get(&notice.id)
                 && known.insert((notice.broker, notice.id))
             {
@@ -200,7 +218,7 @@
         }
     }
 
-    /// Steps until `is_done`, for `max_seconds` at most. Returns whether it is.
+    /// Runs steps until `is_done` returns true, for `max_seconds` at most. Returns whether it did.
     pub fn run_until(&mut self, max_seconds: f64, is_done: impl Fn(&Fleet) -> bool) -> bool {
         let end = self.fleet.now + max_seconds;
         while self.fleet.now < end {
@@ -212,11 +230,12 @@
         is_done(&self.fleet)
     }
 
-    /// Steps for this time.
+    /// Runs steps for some seconds of simulated time.
     pub fn run_for(&mut self, seconds: f64) {
         self.run_until(seconds, |_| false);
     }
 
+    /// Advances the run by one step of the fleet.
     fn step(&mut self) {
         while let Some(event) = self.scheduled.pop_due(self.fleet.now) {
             self.handle_event(event);
@@ -226,7 +245,8 @@
         self.track_rollouts();
     }
 
-    /// Ends the version at the leader by an operator's command, if one is open.
+    /// Proposes an operator's command to activate or withdraw the latest version at the leader. It is rejected if that
+    /// version is not open.
     fn end_stage(&mut self, activate: bool) {
         let Some(leader) = self.fleet.leader() else { return };
         let number = self.fleet.state(leader).highest_number;
--- a/crates/dunepond-simulation/src/scenario/report.rs
+++ b/crates/dunepond-simulation/src/scenario/report.rs
@@ -1,54 +1,57 @@
-//! Figures of a run.
+//! Figures of a scenario's run.
 
 use crate::fleet::BrokerLoad;
 
-/// How often a kind of fault came.
+/// How often faults of one kind were injected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultCount {
-    /// Name of the kind.
+    /// Name of the kind of fault.
     pub kind: &'static str,
-    /// How often it came; at least once.
+    /// Number of faults of this kind; at least 1.
     pub count: usize,
 }
 
-/// What came of a run. Times in simulated seconds.
+/// Figures of a scenario's run. Times are in simulated seconds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ScenarioReport {
-    /// From the commit of a version until every broker that acts acts on it alone; versions without fills or stage.
+    /// Time from the commit of each version until every acting broker acts on it or a later one alone, for versions
+    /// without fills or a stage.
     pub rollout_seconds: Vec<f64>,
-    /// As `rollout_seconds`, for versions with fills or a stage.
+    /// Time from the commit of each version until every acting broker acts on it or a later one alone, for versions
+    /// with fills or a stage.
     pub slow_rollout_seconds: Vec<f64>,
-    /// The longest that anybody acted on a version alone after the next was committed.
+    /// Longest time for which a broker acted on a version alone after the next version was committed.
     pub longest_alone_seconds: f64,
     /// Upper limit of `longest_alone_seconds`, by the configuration.
     pub switch_bound_seconds: f64,
-    /// From the end of each fill until its settlement was committed.
+    /// Time from the end of each fill until its settlement was committed.
     pub settlement_seconds: Vec<f64>,
-    /// From the commit of a settlement until a broker learned of it, for each broker.
+    /// Time from the commit of each settlement until a broker learned of it, for each broker.
     pub notice_seconds: Vec<f64>,
-    /// Versions that were activated.
+    /// Number of versions that were activated.
     pub activated: usize,
-    /// Versions that were withdrawn.
+    /// Number of versions that were withdrawn.
     pub withdrawn: usize,
-    /// Proposals that the leader rejected.
+    /// Number of versions that could not be proposed, because the leader rejected them or there was no leader.
     pub rejected: usize,
-    /// Committed settlements.
+    /// Number of committed settlements.
     pub settlements: usize,
-    /// Complete fills with a settlement.
+    /// Number of complete fills with a settlement.
     pub fills: usize,
-    /// Faults by kind, in the order in which the kinds first came.
+    /// Number of faults by kind, in the order in which the kinds first occurred.
     pub faults: Vec<FaultCount>,
-    /// Length of the steady part, which is measured.
+    /// Length of the measured steady part.
     pub measured_seconds: f64,
-    /// Load of each broker over the steady part.
+    /// Load of each broker during the steady part, by index.
     pub loads: Vec<BrokerLoad>,
-    /// The leader at the end of the steady part.
+    /// Index of the leader at the end of the steady part.
     pub leader: Option<usize>,
-    /// Hash of the run, as [`crate::fleet::Fleet::trace`].
+    /// Hash of the run; see [`crate::fleet::Fleet::trace`].
     pub trace: u64,
 }
 
 impl ScenarioReport {
+    /// Counts a fault of this kind.
     pub(super) fn count_fault(&mut self, kind: &'static str) {
         match self.faults.iter_mut().find(|fault| fault.kind == kind) {
             Some(fault) => fault.count += 1,
--- a/crates/dunepond-simulation/src/scenario/topology.rs
+++ b/crates/dunepond-simulation/src/scenario/topology.rs
@@ -1,4 +1,4 @@
-//! Nodes, partners and the maps that versions bring.
+//! The nodes and partners of a scenario, and the shard maps of its versions.
 
 use dunepond_consensus::{ConfigVersion, ReplicatedState};
 use dunepond_shard_map::{KEY_SPACE_END, KeyRange, Replica, Segment, ShardMap};
@@ -7,44 +7,44 @@
 
 use crate::fixtures;
 
-/// Segments that one version changes, at most.
+/// Maximum number of segments that one version changes.
 const MAX_CHANGED_SEGMENTS: usize = 4;
-/// Segments that are watched at each step.
+/// Maximum number of segments that are watched at each step.
 const WATCHED_SEGMENT_COUNT: u64 = 6;
-/// Versions change only the first segments: this many times the number of watched ones, so that watched ones change often.
+/// Versions change only the first segments, this many times as many as are watched, so that watched ones change often.
 const CHANGED_PER_WATCHED: u64 = 2;
 
-/// Nodes, their partners and segments.
+/// The nodes, the partners that own them, and the segments of a scenario. Nodes and partners are identified by number.
 pub struct Topology {
     node_count: usize,
     partner_count: usize,
     segment_count: u64,
 }
 
-/// A map without one partner's nodes.
+/// A shard map without the nodes of one partner.
 pub(super) struct MapWithoutPartner {
     pub map: ShardMap,
-    /// Names of the nodes that are left out.
+    /// Names of the partner's nodes that were removed from the map.
     pub removed_nodes: Vec<String>,
 }
 
 impl Topology {
-    /// Each node belongs to one of the partners in turn.
+    /// Creates a topology. The nodes are assigned to the partners in turn.
     pub fn new(node_count: usize, partner_count: usize, segment_count: u64) -> Self {
         Self { node_count, partner_count, segment_count }
     }
 
-    /// Partners that own the nodes.
+    /// Number of partners that own the nodes.
     pub fn partner_count(&self) -> usize {
         self.partner_count
     }
 
-    /// Those that versions change are among the first ones.
+    /// The first segments, which are watched for conflicting owners at each step. Versions change these segments often.
     pub fn watched_segments(&self) -> Vec<u64> {
         (0..self.segment_count.min(WATCHED_SEGMENT_COUNT)).collect()
     }
 
-    /// Name of a node.
+    /// Name of the node of this number; numbers wrap around.
     pub fn node(&self, number: usize) -> String {
         format!("s{}", number % self.node_count)
     }
@@ -59,16 +59,18 @@
         self.partner(node[1..].parse().expect("a node of this topology"))
     }
 
+    /// A replica of a segment on the node of this number.
     fn replica(&self, number: usize, filled: bool, share: f64) -> Replica {
         Replica { node: self.node(number), partner: self.partner(number), filled, share }
     }
 
-    /// Each segment has two filled replicas, of different partners.
+    /// A map of all segments, each with two filled replicas on nodes of different partners.
     pub fn map(&self, epoch: u64) -> ShardMap {
         let segments = (0..self.segment_count).map(|id| self.segment(id)).collect();
         ShardMap { epoch, hash: String::from("xxh3-64"), segments, digest: String::new() }.with_digest()
     }
 
+    /// The segment of this id in [`Self::map`].
     fn segment(&self, id: u64) -> Segment {
         let width = (1u128 << 64) / u128::from(self.segment_count);
         let first = 2 * id as usize;
@@ -79,7 +81,8 @@
         Segment { id, keys, owner: self.node(first), replicas }
     }
 
-    /// The active map with other owners of some segments, `fill_count` of them with a replica that is to be filled.
+    /// The active map with other owners of some random segments; up to `fill_count` of these get a new replica that has
+    /// to be filled. Without an active map, this is [`Self::map`].
     pub fn changed_map(
         &self,
         state: &ReplicatedState,
@@ -101,6 +104,8 @@
         map.with_digest()
     }
 
+    /// Makes another filled replica the owner of a segment, drops unfilled replicas, and adds an unfilled one on the
+    /// node `new_replica`.
     fn change_owner(&self, segment: &mut Segment, new_replica: Option<usize>) {
         segment.replicas.retain(|replica| replica.filled);
         let other = segment.replicas.iter().find(|replica| replica.node != segment.owner);
@@ -112,7 +117,8 @@
         }
     }
 
-    /// The active map without the nodes of `partner`; none if a segment would be without a replica.
+    /// The active map without the nodes of `partner`, with the names of these nodes; `None` if a segment would be left
+    /// without a filled replica.
     pub(super) fn map_without(
         &self,
         state: &ReplicatedState,
@@ -138,14 +144,14 @@
         Some(MapWithoutPartner { map: map.with_digest(), removed_nodes })
     }
 
-    /// Whether the version has replicas that are not filled, as far as its map says.
+    /// Whether the version's map has replicas that are not filled.
     pub fn requires_fills(&self, version: &ConfigVersion) -> bool {
         let segments = version.map.iter().flat_map(|map| &map.segments);
         segments.flat_map(|segment| &segment.replicas).any(|replica| !replica.filled)
     }
 }
 
-/// A version of a run.
+/// A configuration version of a scenario's run, with this map.
 pub fn config_version(number: u64, map: ShardMap) -> ConfigVersion {
     ConfigVersion { reason: String::from("a play"), ..fixtures::config_version(number, Some(map)) }
 }
--- a/crates/dunepond-simulation/src/scenario/versions.rs
+++ b/crates/dunepond-simulation/src/scenario/versions.rs
@@ -1,11 +1,11 @@
-//! Versions that are proposed during a run, and how long they take.
+//! Proposes configuration versions during a run, and measures how long their rollouts take.
 
 use dunepond_consensus::{Command, ConfigVersion, Rejection};
 use rand::RngExt;
 
 use super::{Scenario, config_version};
 
-/// Fills of one version, if it has any, at most.
+/// Maximum number of fills of one version.
 const MAX_FILL_COUNT: usize = 3;
 /// Ratio of the brokers that act on a staged version first.
 const FIRST_STAGE_RATIO: f64 = 0.3;
@@ -13,11 +13,12 @@
 /// A version that was proposed and that not all brokers act on yet.
 pub(super) struct PendingVersion {
     number: u64,
-    /// It has fills or a stage.
+    /// Whether the version has fills or a stage.
     is_slow: bool,
 }
 
 impl Scenario {
+    /// Proposes a version at the leader, and tracks its rollout or counts its rejection.
     pub(super) fn propose(&mut self, version: ConfigVersion) -> Result<(), Rejection> {
         let is_slow = version.first_stage_ratio.is_some() || self.topology.requires_fills(&version);
         let number = version.number;
@@ -29,7 +30,8 @@
         result
     }
 
-    /// Made from the active one at the leader. `fill_ratio`, `stage_ratio`: probabilities of fills and of a stage.
+    /// Proposes a random change of the active version. `fill_ratio` and `stage_ratio` are the probabilities that the
+    /// new version has fills and a stage.
     pub(super) fn propose_next_version(&mut self, fill_ratio: f64, stage_ratio: f64) {
         let Some(leader) = self.fleet.leader() else { return };
         let state = self.fleet.state(leader);
--- a/crates/dunepond-simulation/src/settlements.rs
+++ b/crates/dunepond-simulation/src/settlements.rs
@@ -1,4 +1,4 @@
-//! Settlements as commands, in the log, and in what brokers learn from it.
+//! Helpers that find settlements in commands, in the log and in the updates that brokers receive.
 
 use dunepond_consensus::{Command, LeaseClient, ReplicatedState, StateChange};
 use dunepond_settlement::{Settlement, SettlementEntry};
@@ -8,7 +8,7 @@
     Command::Settlement(SettlementEntry::Settle(settlement))
 }
 
-/// The id of the settlement that was applied, if the change is one.
+/// The id of the settlement that a state change applied; `None` for other changes.
 pub fn settled_id(change: &StateChange) -> Option<&str> {
     match change {
         StateChange::Settlement(SettlementEntry::Settle(settlement)) => Some(&settlement.id),
@@ -16,6 +16,7 @@
     }
 }
 
+/// The settlement in an entry, if it has one.
 fn settlement_of(entry: SettlementEntry) -> Option<Settlement> {
     match entry {
         SettlementEntry::Settle(settlement) => Some(settlement),
@@ -23,29 +24,29 @@
     }
 }
 
-/// Ids of settlements that this broker has learned of since the last call.
+/// Ids of the settlements that a broker has learned of since the last call.
 pub fn take_learned_ids(client: &mut LeaseClient) -> Vec<String> {
     let entries = client.take_settlement_updates().into_iter().flat_map(|update| update.entries);
     entries.filter_map(|noted| settlement_of(noted.entry)).map(|settlement| settlement.id).collect()
 }
 
-/// A part of the log's entries about settlement.
+/// Result of [`settlements_after`]: settlements in a part of the log.
 pub struct LoggedSettlements {
-    /// Entries about settlement up to the end of this part.
+    /// Number of entries about settlement in the log up to the end of this part.
     pub entry_count: u64,
-    /// The settlements among them.
+    /// Settlements in this part of the log.
     pub settlements: Vec<Settlement>,
 }
 
-/// Settlements of the log after its first `known_count` entries about settlement, as far as one update goes.
+/// The settlements after the first `known_count` entries about settlement in the log, as far as one update covers them.
 ///
 /// # Panics
-/// The log does not have these entries any more.
+/// The replicated state does not keep the entries after `known_count` any more.
 pub fn settlements_after(state: &ReplicatedState, known_count: u64) -> LoggedSettlements {
     let update = state.settlements.updates_after(known_count);
     assert!(
         update.ledger.is_none() && update.from == known_count,
-        "entries {known_count} to {} are forgotten",
+        "entries {known_count} to {} about settlement are not kept any more",
         update.from
     );
     let entry_count = known_count + update.entries.len() as u64;
--- a/crates/dunepond-simulation/tests/seeds.rs
+++ b/crates/dunepond-simulation/tests/seeds.rs
@@ -1,72 +1,76 @@
-//! Small fleets through all kinds of faults, by seed. Invariants are checked at each step; a seed that failed stays here by
-//! its number.
+//! Runs of small fleets with all kinds of faults, by seed. Invariants are checked at each step. Seeds that failed once
+//! are kept as tests.
 
 use dunepond_simulation::scenario::{Scenario, ScenarioConfig, ScenarioReport};
 
-const BROKERS: usize = 8;
+/// Number of brokers in most runs.
+const BROKER_COUNT: usize = 8;
 
+/// Runs a scenario with 10 s of faults.
 fn run(seed: u64) -> ScenarioReport {
-    let config = ScenarioConfig { fault_seconds: 10.0, ..ScenarioConfig::with_brokers(BROKERS, seed) };
+    let config = ScenarioConfig { fault_seconds: 10.0, ..ScenarioConfig::with_brokers(BROKER_COUNT, seed) };
     Scenario::new(config).run()
 }
 
-/// On four threads; the seeds that failed.
+/// Runs the seeds on four threads, and returns those that failed.
 fn run_all(seeds: std::ops::Range<u64>) -> Vec<u64> {
-    let part = |part: u64| {
-        let seeds = seeds.clone().filter(move |seed| seed % 4 == part);
+    let run_share = |thread: u64| {
+        let seeds = seeds.clone().filter(move |seed| seed % 4 == thread);
         seeds.filter(|seed| std::panic::catch_unwind(|| run(*seed)).is_err()).collect::<Vec<_>>()
     };
-    let part = &part;
+    let run_share = &run_share;
     std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..4).map(|n| scope.spawn(move || part(n))).collect();
-        threads.into_iter().flat_map(|thread| thread.join().expect("it catches what fails")).collect()
+        let threads: Vec<_> = (0..4).map(|n| scope.spawn(move || run_share(n))).collect();
+        threads.into_iter().flat_map(|thread| thread.join().expect("a thread that catches panics")).collect()
     })
 }
 
 #[test]
-fn fifty_seeds() {
+fn fifty_seeds_keep_invariants() {
     let failed = run_all(0..50);
     assert!(
         failed.is_empty(),
-        "failed: {failed:?}; alone: SEED=N cargo test -p dunepond-simulation --test seeds -- --ignored one"
+        "failed seeds: {failed:?}; to run one: SEED=N cargo test -p dunepond-simulation --test seeds -- --ignored run_one_seed"
     );
 }
 
 #[test]
-fn runs_are_repeatable() {
-    let (one, again, other) = (run(7), run(7), run(8));
-    assert_eq!(one, again);
-    assert_ne!(one.trace, other.trace);
+fn same_seed_gives_same_run() {
+    let (first, repeated, other) = (run(7), run(7), run(8));
+    assert_eq!(first, repeated);
+    assert_ne!(first.trace, other.trace);
 }
 
-/// Runs one alone: `SEED=7 cargo test -p dunepond-simulation --test seeds -- --ignored --nocapture one`.
+/// Runs one seed and prints its figures:
+/// `SEED=7 cargo test -p dunepond-simulation --test seeds -- --ignored --nocapture run_one_seed`.
 #[test]
 #[ignore = "by hand"]
-fn one() {
+fn run_one_seed() {
     println!("{:?}", run(std::env::var("SEED").unwrap().parse().unwrap()));
 }
 
-/// Many of a size, by hand: `SEEDS=4000..4300 BROKERS=12 cargo test --release -p dunepond-simulation --test seeds -- --ignored
-/// --nocapture many`.
+/// Runs a range of seeds with a given number of brokers: `SEEDS=4000..4300 BROKERS=12 cargo test --release -p
+/// dunepond-simulation --test seeds -- --ignored --nocapture run_many_seeds`.
 #[test]
 #[ignore = "by hand"]
-fn many() {
+fn run_many_seeds() {
     let var = |name: &str| std::env::var(name).unwrap_or_else(|_| panic!("{name} is not set"));
-    let (brokers, seeds) = (var("BROKERS").parse().unwrap(), var("SEEDS"));
+    let (broker_count, seeds) = (var("BROKERS").parse().unwrap(), var("SEEDS"));
     let (from, to) = seeds.split_once("..").expect("FROM..TO");
     let seeds: Vec<u64> = (from.parse().unwrap()..to.parse().unwrap()).collect();
-    let broken = |seed: &&u64| {
-        let config = ScenarioConfig::with_brokers(brokers, **seed);
+    let fails = |seed: &&u64| {
+        let config = ScenarioConfig::with_brokers(broker_count, **seed);
         std::panic::catch_unwind(|| Scenario::new(config).run()).is_err()
     };
-    let failed: Vec<_> = seeds.iter().filter(broken).collect();
+    let failed: Vec<_> = seeds.iter().filter(fails).collect();
     assert!(failed.is_empty(), "{} of {} failed: {failed:?}", failed.len(), seeds.len());
 }
 
-/// A clock that was set back during a pause hid that time: two owners at once, as a lease lasted too long (the first
-/// three), and a broker without a lease after the end of the run, before its supervisor restarted it.
+/// Guards against clocks set back undetectably during a pause. They led to two owners at once, as a lease lasted too
+/// long (first three seeds), and to a broker without a lease at the end of the run, before its supervisor had restarted
+/// it.
 #[test]
-fn seeds_that_failed() {
+fn formerly_failed_seeds_pass() {
     for seed in [1049, 3052, 4966, 8497, 8670] {
         Scenario::new(ScenarioConfig::with_brokers(12, seed)).run();
     }
