--- a/crates/dunepond-broker/src/discovery/call.rs
+++ b/crates/dunepond-broker/src/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One call to the discovery agent, and its response.
+//! A call to the discovery agent, and the parsing of its response.
 
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -10,47 +10,49 @@
 use crate::buffers::{Buffer, Pool, WriteQueue};
 use crate::http::{self, HttpError, Message};
 
-/// One call to the agent, on a connection of its own.
+/// A call to the discovery agent, on a connection of its own. The connection is kept for further requests.
 pub(super) struct DiscoveryCall {
     pub(super) stream: Rc<TcpStream>,
     pub(super) token: RegistrationToken,
     pub(super) input: Option<Buffer>,
     pub(super) message: Option<Message>,
     pub(super) write_queue: WriteQueue,
-    /// A request is out; a watch or, unless `is_watch`, one for a complete list.
+    /// Whether a request has been sent and its response is not complete.
     pub(super) awaiting_response: bool,
+    /// Whether the last request is a watch; otherwise it is for a complete list.
     pub(super) is_watch: bool,
-    /// When the agent should have answered, in Unix seconds.
+    /// When the response is due, in Unix seconds.
     pub(super) response_due_at: f64,
 }
 
-/// What the client of discovery knows of the list, for judging a response.
+/// What the discovery client knows of the endpoint list, against which a response is checked.
 pub(super) struct ListState {
-    /// The version to watch from; `None` before a complete list has come, and after each break.
+    /// The version to watch from; `None` until a complete list has been received, and after each interruption.
     pub(super) version: Option<u64>,
-    /// The last list had an invalid row.
+    /// Whether the last list had an invalid row.
     pub(super) had_invalid_row: bool,
+    /// The ids of the nodes and zones that the lists have named.
     pub(super) directory: Directory,
 }
 
-/// A complete response.
+/// A complete response of the agent.
 pub(super) struct Response {
     pub(super) update: EndpointUpdate,
-    /// The agent keeps the connection open.
+    /// Whether the agent keeps the connection open.
     pub(super) keep_alive: bool,
 }
 
 /// Why a response is not used.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ResponseError {
-    /// Bytes arrived without a request.
-    #[error("an answer to no question")]
+    /// Bytes arrived although no request was outstanding.
+    #[error("the agent sent data without a request")]
     Unrequested,
     /// The response is not valid HTTP.
     #[error("{0}")]
     Http(String),
-    /// The agent answered with another status than 200.
-    #[error("answered {0}")]
+    /// The agent answered with a status other than 200.
+    #[error("the agent answered with HTTP status {0}, expected 200")]
     Status(u16),
     /// The list is not valid JSON.
     #[error("list: {0}")]
@@ -58,8 +60,9 @@
     /// The list has an invalid field.
     #[error("{0}")]
     List(String),
-    /// Changes do not follow the version that is held.
-    #[error("changes up to version {0}, which do not follow what is known")]
+    /// The response holds changes up to a version that is older than the list held, or there is no list to apply them
+    /// to.
+    #[error("changes up to version {0} do not follow the endpoint list held")]
     NotContiguous(u64),
 }
 
@@ -70,13 +73,13 @@
 }
 
 impl From<ConfigError> for ResponseError {
-    fn from(ConfigError(why): ConfigError) -> Self {
-        Self::List(why)
+    fn from(ConfigError(reason): ConfigError) -> Self {
+        Self::List(reason)
     }
 }
 
 impl DiscoveryCall {
-    /// Parses a complete response from the bytes received, if there is one.
+    /// Parses the response from the bytes received; `None` until it is complete.
     pub(super) fn parse_response(
         &mut self,
         pool: &Pool,
@@ -90,7 +93,7 @@
             self.message = http::parse_response(input)?.map(Message::new);
         }
         let Some(message) = &mut self.message else { return Ok(None) };
-        // An error's body is not awaited.
+        // The body of an error response is not read.
         if message.head.status != 200 {
             return Err(ResponseError::Status(message.head.status));
         }
@@ -106,14 +109,14 @@
 }
 
 impl ListState {
-    /// Takes the version of a parsed list, if it follows what is known.
+    /// Accepts a parsed list and its version, or fails if it holds changes that do not follow the list held.
     fn accept(&mut self, parsed: ParsedList) -> Result<EndpointUpdate, ResponseError> {
         let ParsedList { version, update, had_invalid_row } = parsed;
-        if !update.complete && self.version.is_none_or(|before| version < before) {
+        if !update.complete && self.version.is_none_or(|known| version < known) {
             return Err(ResponseError::NotContiguous(version));
         }
-        // A watch does not repeat the change of an invalid row, so the complete list is requested. A complete list may stay
-        // invalid: it is requested once more and then accepted without that row.
+        // A watch would not repeat the change of an invalid row, so the complete list is requested. If a complete list
+        // has an invalid row, it is requested once more and then accepted without that row.
         let request_again = had_invalid_row && !(update.complete && self.had_invalid_row);
         self.had_invalid_row = had_invalid_row;
         self.version = Some(version).filter(|_| !request_again);
--- a/crates/dunepond-broker/src/discovery/list.rs
+++ b/crates/dunepond-broker/src/discovery/list.rs
@@ -1,4 +1,4 @@
-//! Parses endpoint lists, and keeps the ids of nodes and zones.
+//! Parses endpoint lists, and assigns ids to the nodes and zones that they name.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,49 +11,49 @@
 
 use crate::endpoint::{EndpointInfo, EndpointRow};
 
-/// A complete endpoint list, or only the rows that changed.
+/// A complete endpoint list, or only its rows that changed.
 pub struct EndpointUpdate {
-    /// Whether it is the complete list: nodes that are not in it count as removed.
+    /// Whether this is the complete list; nodes that are not in it are then removed.
     pub complete: bool,
     /// The rows, in the list's order.
     pub endpoints: Vec<EndpointRow>,
 }
 
-/// A list that has been parsed.
+/// An endpoint list that has been parsed.
 pub(super) struct ParsedList {
     pub(super) version: u64,
     pub(super) update: EndpointUpdate,
-    /// A row was invalid and has been skipped.
+    /// Whether a row was invalid and has been skipped.
     pub(super) had_invalid_row: bool,
 }
 
-/// The ids of nodes and zones that a list has named.
+/// The ids of all nodes and zones that endpoint lists have named.
 pub(super) struct Directory {
     node_ids: HashMap<String, NodeId>,
-    /// The node ids in use; a free one is reused.
+    /// The node ids in use. A new node gets a free id.
     allocated_ids: Slab<()>,
     zones: Vec<String>,
 }
 
 impl Directory {
-    /// Begins with the zones of the settings.
+    /// Creates a directory without nodes, with the zones of the settings.
     pub(super) fn new(zones: Vec<String>) -> Self {
         Self { node_ids: HashMap::new(), allocated_ids: Slab::new(), zones }
     }
 
-    /// A zone's name, by its index.
+    /// Returns the name of the zone with this index; empty if there is none.
     pub(super) fn zone_name(&self, zone: usize) -> String {
         self.zones.get(zone).cloned().unwrap_or_default()
     }
 
-    /// Frees the id of a node that nothing refers to any more.
+    /// Frees the id of a removed node.
     pub(super) fn forget(&mut self, node: NodeId, name: &str) {
         if self.node_ids.remove(name).is_some() {
             self.allocated_ids.remove(node);
         }
     }
 
-    /// Parses a list; an invalid row is logged and skipped.
+    /// Parses an endpoint list. An invalid row is logged and skipped.
     pub(super) fn parse_list(&mut self, list: &Value) -> Result<ParsedList, ConfigError> {
         let list = Fields::new("list", list)?;
         let (version, complete) = (list.count("seq")?, list.flag("whole")?);
@@ -61,8 +61,8 @@
         for row in list.list("hosts")? {
             match self.parse_row(row) {
                 Ok(row) => endpoints.push(row),
-                Err(ConfigError(why)) => {
-                    warn!("discovery: endpoint skipped: {why}");
+                Err(ConfigError(reason)) => {
+                    warn!("discovery: endpoint skipped: {reason}");
                     had_invalid_row = true;
                 }
             }
@@ -77,10 +77,10 @@
             "ready" => EndpointState::Active,
             "draining" => EndpointState::Draining,
             "gone" => EndpointState::Removed,
-            _ => return Err(row.error("health", "unknown word")),
+            _ => return Err(row.error("health", "expected ready, draining or gone")),
         };
         let address: Option<SocketAddr> = match row.optional_text("dial")? {
-            Some(address) => Some(address.parse().map_err(|_| row.error("dial", "not an address:port"))?),
+            Some(address) => Some(address.parse().map_err(|_| row.error("dial", "expected ADDRESS:PORT"))?),
             None if state == EndpointState::Removed => None,
             None => return Err(row.error("dial", "missing")),
         };
@@ -96,7 +96,7 @@
         })
     }
 
-    /// The index of a zone, which is added if it is new.
+    /// Returns the index of a zone. A new zone is added.
     fn zone_index(&mut self, name: &str) -> usize {
         if let Some(zone) = self.zones.iter().position(|zone| zone == name) {
             return zone;
@@ -105,7 +105,7 @@
         self.zones.len() - 1
     }
 
-    /// The id of a node, which is allocated if it is new.
+    /// Returns the id of a node. A new node gets a free id.
     fn node_id(&mut self, name: &str, address: Option<SocketAddr>) -> NodeId {
         if let Some(node) = self.node_ids.get(name) {
             return *node;
--- a/crates/dunepond-broker/src/discovery/mod.rs
+++ b/crates/dunepond-broker/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! The client of the discovery agent: a complete endpoint list at first and after each break, then a watch for changes.
+//! The client of the discovery agent. It requests a complete endpoint list first and after each interruption, and then
+//! watches for changes.
 
 mod call;
 mod list;
@@ -23,20 +24,24 @@
 use call::{DiscoveryCall, ListState, Response};
 use list::Directory;
 
-/// A change that the agent has not reported counts as known this long after the agent fell silent. The other times here are
+/// How long after the agent has stopped answering the endpoint list is stale. The other times of this module are
 /// fractions of this one.
 const STALE_AFTER_SECONDS: f64 = 6.0;
-/// How long the agent may hold a watch open: short enough for several calls after an unanswered one before the list is stale.
+/// How long the agent may hold a watch open. It is short enough that several calls can follow an unanswered one before
+/// the endpoint list is stale.
 const WATCH_TIMEOUT_MILLISECONDS: u64 = (STALE_AFTER_SECONDS / 4.0 * 1000.0) as u64;
-/// How long after it was due a response counts as overdue; another call is then made beside the silent one, whose connection
-/// may be broken. Bounds the calls at once to twelve, which `RESERVED_DESCRIPTORS` in `config.rs` allows for.
+/// How long after its due time a response counts as overdue. Another call is then made in parallel, since the
+/// connection of the first may be broken. Limits the parallel calls to twelve, which `RESERVED_DESCRIPTORS` in
+/// `config.rs` allows for.
 pub const RESPONSE_OVERDUE_SECONDS: f64 = STALE_AFTER_SECONDS / 12.0;
-/// The agent keeps a watch alive if the next request comes within this time after its response.
+/// The agent continues a watch if the next request comes within this time after its response.
 const WATCH_CONTINUATION_SECONDS: f64 = 0.2;
-/// Shortest time between two requests. Guards against polling in a busy loop an agent that answers each watch at once.
+/// Shortest time between two requests. Prevents a busy loop with an agent that answers each watch at once.
 const MIN_REQUEST_INTERVAL_SECONDS: f64 = WATCH_CONTINUATION_SECONDS / 4.0;
-/// First backoff before an agent that is down is called again; doubled up to the longest.
+/// First backoff before an agent that is down is called again. Each further backoff is twice as long, up to
+/// `MAX_BACKOFF_SECONDS`.
 const FIRST_BACKOFF_SECONDS: f64 = WATCH_CONTINUATION_SECONDS / 2.0;
+/// Longest backoff before an agent that is down is called again.
 const MAX_BACKOFF_SECONDS: f64 = RESPONSE_OVERDUE_SECONDS;
 
 /// The outcome of reading from a connection.
@@ -45,21 +50,21 @@
     Update(EndpointUpdate),
     /// No complete response yet.
     Nothing,
-    /// The connection is closed and removed; the next call has taken its index.
+    /// The connection is closed and its call removed, so that the next call has moved to its index.
     Closed,
 }
 
-/// The client of the discovery agent.
+/// A client of the discovery agent.
 pub struct DiscoveryClient {
     handle: EventLoopHandle,
     pool: Pool,
     address: SocketAddr,
-    /// Oldest first; more than one only while the agent is silent. The first response closes all others, so that an older one
-    /// is never taken for newer.
+    /// The calls, oldest first. There is more than one only while the agent does not answer. The first response closes
+    /// all other calls, so that an older response can never replace a newer one.
     calls: Vec<DiscoveryCall>,
     timer: Option<TimerKey>,
     list: ListState,
-    /// A call found no free file descriptor; it is repeated once one has been freed.
+    /// Whether the last call found no free file descriptor. The call is repeated once one has been freed.
     pub out_of_descriptors: bool,
     last_request_at: f64,
     /// Seconds before the next call after a failed one.
@@ -67,9 +72,9 @@
 }
 
 impl DiscoveryClient {
-    /// Makes no call yet.
-    pub fn new(handle: EventLoopHandle, pool: &Pool, address: SocketAddr, bounds: &HostSettings) -> Self {
-        let directory = Directory::new(bounds.zones.clone());
+    /// Creates a client for the agent at `address`, without calling it.
+    pub fn new(handle: EventLoopHandle, pool: &Pool, address: SocketAddr, settings: &HostSettings) -> Self {
+        let directory = Directory::new(settings.zones.clone());
         Self {
             handle,
             pool: pool.clone(),
@@ -83,7 +88,7 @@
         }
     }
 
-    /// Calls the agent on a new connection: to continue the watch, or for a complete list.
+    /// Calls the agent on a new connection, to continue the watch or to get a complete list.
     pub fn start_call(&mut self, now: f64, timers: &mut Timers) {
         match self.connect(now) {
             Ok(call) => {
@@ -97,6 +102,7 @@
         }
     }
 
+    /// Opens a connection to the agent.
     fn connect(&self, now: f64) -> Result<DiscoveryCall, ConnectionEnd> {
         let stream = Rc::new(upstream::open(self.address)?);
         let token = watch(&self.handle, &stream, LoopEvent::DiscoveryReady)
@@ -113,7 +119,8 @@
         })
     }
 
-    /// Changes to another agent. Its versions are unrelated, so a complete list is requested first; until then the last one holds.
+    /// Switches to another agent. The versions of two agents are unrelated, so a complete list is requested first. The
+    /// last list stays in use until then.
     pub fn change_agent(&mut self, now: f64, address: SocketAddr, timers: &mut Timers) {
         if address != self.address {
             info!("discovery: agent changed from {} to {address}", self.address);
@@ -126,8 +133,9 @@
         }
     }
 
-    /// Sends a watch if this is the only call. Beside a silent watch a complete list is requested: the agent answers that at once,
-    /// and may have restarted and count its versions from 1.
+    /// Sends a watch if this is the only call and a version is known. Otherwise it requests a complete list, as the
+    /// other call is not being answered: the agent answers such a request at once, and it may have restarted, after
+    /// which its versions begin with 1 again.
     fn send_request(&mut self, now: f64, at: usize, timers: &mut Timers) {
         let watch_from = self.list.version.filter(|_| self.calls.len() == 1);
         let (path, wait_milliseconds) = match watch_from {
@@ -149,7 +157,7 @@
         self.write(now, at, timers);
     }
 
-    /// Returns `false` if the call has ended.
+    /// Writes the pending bytes of a call. Returns `false` if that failed and the call has ended.
     fn write(&mut self, now: f64, at: usize, timers: &mut Timers) -> bool {
         let call = &mut self.calls[at];
         match call.write_queue.flush(&*call.stream) {
@@ -163,22 +171,23 @@
         }
     }
 
-    /// The timer has fired: an answer is overdue, or a pause between two requests is over.
+    /// Handles the timer: a response is overdue, or the next request or call is due.
     pub fn on_timer(&mut self, now: f64, timers: &mut Timers) {
         self.timer = None;
         match self.calls.first() {
             Some(call) if call.awaiting_response => {
                 let silence = now - self.last_request_at;
                 warn!("discovery {}: no answer for {silence:.1} s; calling again", self.address);
-                // Closes calls whose response would be stale by now, no sooner, or a slow agent would never be heard. Half an
-                // interval of tolerance, so that a timer that fires early does not allow a thirteenth call.
+                // Closes calls whose response would be stale by now. Closing them sooner would mean that no response of
+                // a slow agent is ever received. The tolerance of half an interval prevents a thirteenth call when a
+                // timer fires early.
                 let is_stale = |call: &&DiscoveryCall| {
                     now - call.response_due_at > STALE_AFTER_SECONDS - RESPONSE_OVERDUE_SECONDS / 2.0
                 };
                 while let Some(oldest) = self.calls.first().filter(is_stale) {
                     self.handle.remove(oldest.token);
                     self.calls.remove(0);
-                    self.reset_index_without_watch();
+                    self.reset_version_without_watch();
                 }
                 self.start_call(now, timers);
             }
@@ -187,45 +196,46 @@
         }
     }
 
-    /// Closes a call that was not answered.
+    /// Closes a call that has failed.
     fn end_call(&mut self, now: f64, at: usize, reason: ConnectionEnd, timers: &mut Timers) {
         let call = self.calls.remove(at);
         self.handle.remove(call.token);
         self.on_call_ended(now, reason, timers);
     }
 
-    /// Schedules another call after a backoff, unless calls that are still out have a timer. The last list holds meanwhile.
+    /// Schedules another call after a backoff, unless the timer of a remaining call is pending. The last endpoint list
+    /// stays in use until then.
     fn on_call_ended(&mut self, now: f64, reason: ConnectionEnd, timers: &mut Timers) {
         warn!("discovery {}: connection {reason}; keeping the last endpoint list", self.address);
-        self.reset_index_without_watch();
+        self.reset_version_without_watch();
         if self.calls.is_empty() || self.timer.is_none() {
             timers.cancel(self.timer.take());
             self.timer = Some(timers.schedule(now + self.backoff, TimerEvent::Discovery));
-            // A local lack of descriptors is no failure of the agent.
+            // A local lack of file descriptors is not a failure of the agent.
             if reason != ConnectionEnd::DescriptorsExhausted {
                 self.backoff = (2.0 * self.backoff).min(MAX_BACKOFF_SECONDS);
             }
         }
     }
 
-    /// Without an open watch the next request is for a complete list.
-    fn reset_index_without_watch(&mut self) {
+    /// Forgets the version if no watch is open, so that the next request is for a complete list.
+    fn reset_version_without_watch(&mut self) {
         if !self.calls.iter().any(|call| call.is_watch) {
             self.list.version = None;
         }
     }
 
-    /// Reads and writes on all connections; returns the updates that arrived, in their order.
+    /// Reads and writes on all connections. Returns the updates that arrived, in order.
     pub fn on_ready(&mut self, now: f64, readable: bool, timers: &mut Timers) -> Vec<EndpointUpdate> {
         let (mut updates, mut at) = (Vec::new(), 0);
-        // The event does not say which connection is ready; there are few.
+        // The event does not say which connection is ready. There are few, so all are tried.
         while at < self.calls.len() {
             if !self.write(now, at, timers) {
                 continue;
             }
             let result = if readable { self.read_responses(now, at, timers) } else { ReadResult::Nothing };
             match result {
-                // All other calls have been closed.
+                // The response has closed all other calls.
                 ReadResult::Update(update) => {
                     updates.push(update);
                     at = 0;
@@ -243,8 +253,8 @@
             match self.calls[at].parse_response(&self.pool, &mut self.list) {
                 Ok(Some(response)) => return ReadResult::Update(self.on_response(now, at, response, timers)),
                 Ok(None) => {}
-                Err(why) => {
-                    warn!("discovery: {why}");
+                Err(error) => {
+                    warn!("discovery: {error}");
                     self.end_call(now, at, ConnectionEnd::ProtocolError, timers);
                     return ReadResult::Closed;
                 }
@@ -252,7 +262,7 @@
             let call = &mut self.calls[at];
             let input = call.input.get_or_insert_with(|| self.pool.acquire());
             let reason = match input.read_from(&*call.stream) {
-                // A response without a length ends at the close.
+                // A response without a length is complete when the agent closes the connection.
                 Ok(0) if call.message.as_mut().is_some_and(Message::finish_at_close) => continue,
                 Ok(0) => ConnectionEnd::Closed,
                 Ok(_) => continue,
@@ -270,7 +280,7 @@
         }
     }
 
-    /// Closes all other calls, and schedules the next request.
+    /// Closes all calls except the one that was answered, and schedules the next request.
     fn on_response(
         &mut self,
         now: f64,
@@ -289,7 +299,7 @@
         if keep_alive {
             self.calls.push(answered);
         } else {
-            // The agent closes this connection; the watch continues on another one.
+            // The agent closes this connection, so the watch continues on a new one.
             self.handle.remove(answered.token);
         }
         timers.cancel(self.timer.take());
@@ -298,17 +308,17 @@
         update
     }
 
-    /// A zone's name, by its index.
+    /// Returns the name of the zone with this index; empty if there is none.
     pub fn zone_name(&self, zone: usize) -> String {
         self.list.directory.zone_name(zone)
     }
 
-    /// Frees the id of a node that nothing refers to any more.
+    /// Frees the id of a removed node.
     pub fn forget(&mut self, node: NodeId, host: &str) {
         self.list.directory.forget(node, host);
     }
 
-    /// Parses the configured endpoint list; an invalid row is logged and skipped.
+    /// Parses the endpoint list of the configuration. An invalid row is logged and skipped.
     pub fn parse_configured_list(&mut self, list: &Value) -> Result<EndpointUpdate, ConfigError> {
         self.list.directory.parse_list(list).map(|parsed| parsed.update)
     }
--- a/crates/dunepond-broker/src/event_loop/pending.rs
+++ b/crates/dunepond-broker/src/event_loop/pending.rs
@@ -10,8 +10,8 @@
 use crate::upstream::CompletedAttempt;
 
 impl EventLoop {
-    /// Handles pending work until none is left: requests that have been read, frames to be written, and attempts that ended
-    /// during a call to the router, which must not be called from within a call.
+    /// Handles pending work until none is left: requests that have been read, frames to be written, and attempts that
+    /// ended during a call to the router, which must not be called from within a call.
     pub(super) fn process_pending(&mut self) {
         loop {
             self.end_disconnected_queries();
@@ -49,7 +49,7 @@
             if let Some(prefilter) = &mut self.prefilter {
                 prefilter.on_query_ended(now, finished.query, finished.completely_answered);
             }
-        } else if let Some((node, host)) = self.router_host.upstream.next_forgotten() {
+        } else if let Some((node, host)) = self.router_host.upstream.release_removed_node() {
             self.forget_node(node, &host);
         } else {
             return false;
--- a/crates/dunepond-broker/src/router/admission.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -14,8 +14,8 @@
 use crate::search_api::{ActiveRequest, ActiveSearch, SearchApi, SearchRequest};
 
 impl RouterHost {
-    /// Registers a client's query. Returns `None` if it was answered here: with 503 if too much is in flight, with 400 if its
-    /// request id is in use.
+    /// Registers a client's query. Returns `None` if it was answered here: with 503 if too much is in flight, with 400
+    /// if its request id is in use.
     pub fn register_query(&mut self, client: usize, request: QueryRequest) -> Option<Query> {
         if self.is_full() {
             debug!("query {}: rejected, {} queries and parts in flight", request.request_id, self.in_flight);
@@ -32,8 +32,9 @@
         Some(query)
     }
 
-    /// Registers a search API request and returns a query for each of its searches. A search that is invalid, or comes when
-    /// too much is in flight, gets an error as its outcome at once; a request without a search is answered at once.
+    /// Registers a search API request and returns a query for each of its searches. A search that is invalid, or comes
+    /// when too much is in flight, gets an error as its outcome at once; a request without a search is answered at
+    /// once.
     pub fn register_search_request(&mut self, client: usize, request: &SearchRequest) -> Vec<Query> {
         let Some(search_api) = self.downstream.search_api.clone() else { return Vec::new() };
         let (now, call) = (self.now, &request.call);
@@ -44,7 +45,7 @@
                 return Vec::new();
             }
             ApiRequest::Health => {
-                let (nodes, active) = self.upstream.count();
+                let (nodes, active) = self.upstream.node_counts();
                 let body =
                     response::health_response(nodes, active, self.host_settings.segment_count).to_string();
                 self.downstream.reply(now, client, 200, &body, 0.0, &mut self.timers);
--- a/crates/dunepond-broker/src/router/transport.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -39,7 +39,7 @@
     }
 
     fn close_idle_connections(&mut self, node: NodeId) {
-        self.upstream.close_idle(self.now, node, &mut self.timers);
+        self.upstream.retire_connections(self.now, node, &mut self.timers);
     }
 
     fn cancel_attempt(&mut self, query: QueryId, part: usize, index: usize) {
@@ -89,8 +89,8 @@
     }
 
     fn fail_unknown_outcome(&mut self, query: QueryId) {
-        // The router counts every attempt without an outcome as sent, but one whose frame still waits to be written here has
-        // not been sent.
+        // The router counts every attempt without an outcome as sent, but one whose frame still waits to be written
+        // here has not been sent.
         if self.try_withdraw_all(query) {
             return self.reject_retriable(query, 0.0);
         }
--- a/crates/dunepond-broker/src/upstream/cancel.rs
+++ b/crates/dunepond-broker/src/upstream/cancel.rs
@@ -1,4 +1,4 @@
-//! Withdraws attempts: locally where nothing was sent, by a cancel frame to the node otherwise.
+//! Withdraws attempts that are not fully sent, and cancels the others at their nodes.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,8 @@
 use crate::frames;
 
 impl Upstream {
-    /// Cancels one attempt: withdraws it where it is not fully sent, and cancels it at the node otherwise.
+    /// Cancels one attempt: withdraws it if it is not fully sent, otherwise sends the node a cancel frame or, with the
+    /// search API, closes the connection. Does nothing if no connection carries the attempt.
     pub fn cancel(
         &mut self,
         now: f64,
@@ -22,15 +23,15 @@
         if self.withdraw(now, node, key, outcome, timers) {
             return;
         }
-        let Some((id, at)) = self.find_outstanding(node, key) else { return };
+        let Some((id, position)) = self.find_outstanding(node, key) else { return };
         let connection = &mut self.connections[id];
-        let Some(out) = connection.finish_request(at) else { return };
+        let Some(out) = connection.finish_request(position) else { return };
         connection.cancelled.push(out.request.id.clone());
         if connection.uses_search_api {
-            // The search API has no cancellation: closing the connection aborts its one request.
+            // The search API has no cancel request; closing the connection aborts the one request on it.
             self.close(now, id, ConnectionEnd::FrameAborted, timers);
         } else if outcome == AttemptOutcome::Cancelled {
-            // An attempt that has timed out needs no cancel frame: its own frame carries its time limit.
+            // A timed-out attempt needs no cancel frame: the node knows its time limit from the request frame.
             connection.output.queue_bytes(&frames::encode_cancel(&out.request.id));
             self.write(now, id, timers);
         }
@@ -38,49 +39,52 @@
         self.close_or_keep_idle(now, id, timers);
     }
 
-    /// The queries with an attempt on this connection that is not fully written.
+    /// Returns the queries that have an attempt on connection `id` that is not fully written.
     pub fn queries_awaiting_write(&self, id: usize) -> Vec<QueryId> {
         let Some(connection) = self.connections.get(id) else { return Vec::new() };
         let unwritten = connection.outstanding.iter().filter(|out| !out.is_written(&connection.output));
         unwritten.map(|out| out.request.query).collect()
     }
 
-    /// Whether some connection to a node carries an attempt, written or not.
+    /// Returns whether any connection to a node carries an attempt, whether its frame is written or not.
     pub fn has_outstanding(&self, node: NodeId, key: AttemptId) -> bool {
         self.find_outstanding(node, key).is_some()
     }
 
-    /// The connection that carries an attempt, and the attempt's position among those on it.
+    /// Returns the connection that carries an attempt, and the attempt's index in that connection's `outstanding`
+    /// queue.
     fn find_outstanding(&self, node: NodeId, key: AttemptId) -> Option<(usize, usize)> {
         let connections = &self.nodes.get(node)?.connections;
-        let at =
+        let position =
             |connection: &NodeConnection| connection.outstanding.iter().position(|o| o.request.key() == key);
-        connections.iter().find_map(|id| Some((*id, at(&self.connections[*id])?)))
+        connections.iter().find_map(|id| Some((*id, position(&self.connections[*id])?)))
     }
 
-    /// Withdraws attempts whose time to be sent has passed. False where a frame of one is partly written: its rest would
-    /// arrive too late, and cannot be removed from the stream.
+    /// Withdraws the attempts of a connection that are past their `send_by` time. Returns `false`, without withdrawing
+    /// any, if the frame of one of them is partly written: the rest would arrive too late, and the written bytes cannot
+    /// be taken back, so the caller has to close the connection.
     pub(super) fn withdraw_expired(&mut self, now: f64, id: usize) -> bool {
         let Some(connection) = self.connections.get(id) else { return true };
         let is_expired = |out: &OutstandingRequest| now >= out.request.send_by;
-        let is_half_written =
+        let is_partly_written =
             |out: &OutstandingRequest| out.frame_end.is_some() && !out.is_written(&connection.output);
-        if connection.outstanding.iter().any(|out| is_expired(out) && is_half_written(out)) {
+        if connection.outstanding.iter().any(|out| is_expired(out) && is_partly_written(out)) {
             return false;
         }
         self.withdraw_unframed(now, id, is_expired);
         true
     }
 
-    /// Withdraws the attempts on a connection that are not framed yet and that `which` selects.
+    /// Withdraws the attempts on a connection that are not framed yet and for which `predicate` returns `true`; they
+    /// end with `AttemptOutcome::NotSent`.
     pub(super) fn withdraw_unframed(
         &mut self,
         now: f64,
         id: usize,
-        which: impl Fn(&OutstandingRequest) -> bool,
+        predicate: impl Fn(&OutstandingRequest) -> bool,
     ) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let is_withdrawn = |out: &OutstandingRequest| out.frame_end.is_none() && which(out);
+        let is_withdrawn = |out: &OutstandingRequest| out.frame_end.is_none() && predicate(out);
         if connection.outstanding.iter().any(is_withdrawn) {
             let (withdrawn, outstanding): (VecDeque<OutstandingRequest>, _) =
                 connection.outstanding.drain(..).partition(is_withdrawn);
@@ -92,7 +96,8 @@
         }
     }
 
-    /// Withdraws an attempt that is not fully written; false if it is. Once its query is answered no byte of it may go out.
+    /// Withdraws an attempt that is not fully written, so that none of its remaining bytes are sent. Returns `false` if
+    /// the attempt is fully written or not found. A connection on which its frame is partly written is closed.
     pub fn withdraw(
         &mut self,
         now: f64,
@@ -102,21 +107,24 @@
         timers: &mut Timers,
     ) -> bool {
         let Some(node_entry) = self.nodes.get_mut(node) else { return false };
-        if let Some(at) = node_entry.unassigned.iter().position(|request| request.key() == key) {
-            self.completed.push_back(node_entry.unassigned.remove(at).completed_unsent(node, outcome));
+        if let Some(position) = node_entry.unassigned.iter().position(|request| request.key() == key) {
+            self.completed.push_back(node_entry.unassigned.remove(position).completed_unsent(node, outcome));
             return true;
         }
-        let Some((id, at)) = self.find_outstanding(node, key) else { return false };
+        let Some((id, position)) = self.find_outstanding(node, key) else { return false };
         let connection = &mut self.connections[id];
-        let is_partly_written = match connection.outstanding[at].frame_end {
-            Some(to) if to <= connection.output.written_offset() => return false,
-            to => to.is_some(),
+        let is_partly_written = match connection.outstanding[position].frame_end {
+            Some(frame_end) if frame_end <= connection.output.written_offset() => return false,
+            frame_end => frame_end.is_some(),
+        };
+        let out = if is_partly_written {
+            connection.finish_request(position)
+        } else {
+            connection.outstanding.remove(position)
         };
-        let out =
-            if is_partly_written { connection.finish_request(at) } else { connection.outstanding.remove(at) };
         self.completed.extend(out.map(|out| out.into_completed(node, outcome, now, None)));
         if is_partly_written {
-            // A partly written frame cannot be removed from the stream.
+            // The bytes already written cannot be taken back.
             self.close(now, id, ConnectionEnd::FrameAborted, timers);
         }
         true
--- a/crates/dunepond-broker/src/upstream/connection.rs
+++ b/crates/dunepond-broker/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to nodes: opened, reused, and the one place where they are closed.
+//! Opens, reuses and closes connections to nodes.
 
 use std::collections::VecDeque;
 use std::io;
@@ -15,13 +15,14 @@
 use crate::connection_end::ConnectionEnd;
 use crate::iteration::{LoopEvent, watch};
 
-/// We close an idle connection at this share of the configured time at which the node closes it, so that no frame crosses the node's
-/// close: the margin covers a frame's transit and a late timer. A connection past that time is not used even if it is still open.
+/// Share of the configured idle timeout after which the broker closes an idle connection. It is below 1 so that no
+/// frame is in transit when the node closes the connection: the margin covers the transit time and a late timer. A
+/// connection that has been idle for longer is not used even if it is still open.
 const IDLE_CLOSE_RATIO: f64 = 0.9;
 
-/// Starts to connect; whether that succeeds is reported by the event loop.
+/// Starts a non-blocking connect to `address`; the event loop reports later whether it succeeds.
 ///
-/// Fails where the process lacks a descriptor or a local resource, or where the peer refuses at once.
+/// Fails if the process lacks a file descriptor or another local resource, or if the peer refuses at once.
 pub fn open(address: SocketAddr) -> Result<TcpStream, ConnectionEnd> {
     let start = || -> io::Result<Socket> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
@@ -29,11 +30,11 @@
         socket.set_tcp_nodelay(true)?;
         Ok(socket)
     };
-    let lack_of_resources = |e: io::Error| match e.raw_os_error() {
+    let resource_error = |e: io::Error| match e.raw_os_error() {
         Some(libc::EMFILE | libc::ENFILE) => ConnectionEnd::DescriptorsExhausted,
         _ => ConnectionEnd::LocalResources,
     };
-    let socket = start().map_err(lack_of_resources)?;
+    let socket = start().map_err(resource_error)?;
     match socket.connect(&address.into()) {
         Ok(()) => Ok(socket.into()),
         Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) => Ok(socket.into()),
@@ -43,6 +44,8 @@
 }
 
 impl Upstream {
+    /// Opens a connection to a node, and returns its index. At the connection limit it first closes the connection that
+    /// has been idle the longest, and fails if none is idle.
     pub(super) fn connect(
         &mut self,
         now: f64,
@@ -57,7 +60,7 @@
         if self.connections.len() >= self.max_connections && !self.close_longest_idle(now, timers) {
             return Err(ConnectionEnd::LocalResources);
         }
-        let (stream, api) = (Rc::new(open(address)?), self.uses_search_api(node));
+        let (stream, uses_search_api) = (Rc::new(open(address)?), self.uses_search_api(node));
         let entry = self.connections.vacant_entry();
         let id = entry.key();
         let token = watch(&self.handle, &stream, move |readable| LoopEvent::UpstreamReady(id, readable));
@@ -80,7 +83,7 @@
             outstanding: VecDeque::new(),
             cancelled: Vec::new(),
             last_batch: 0,
-            uses_search_api: api,
+            uses_search_api,
             message: None,
             finished: VecDeque::new(),
         });
@@ -89,14 +92,15 @@
         Ok(id)
     }
 
-    /// Closes the connection that has been idle the longest to free a descriptor; false if none is idle.
+    /// Closes the connection that has been idle the longest to free its file descriptor. Returns `false` if none is
+    /// idle.
     pub fn close_longest_idle(&mut self, now: f64, timers: &mut Timers) -> bool {
         let idle = self.idle.first_key_value().map(|(_, id)| *id);
         idle.into_iter().for_each(|id| self.close(now, id, ConnectionEnd::IdleClosed, timers));
         idle.is_some()
     }
 
-    /// A readiness event: the connection is readable or writable, established, or failed.
+    /// Handles a readiness event of a connection: it is readable or writable, has been established, or has failed.
     pub fn on_ready(&mut self, now: f64, id: usize, readable: bool, timers: &mut Timers) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if !connection.connected {
@@ -108,7 +112,7 @@
             (connection.connected, connection.since) = (true, now);
             timers.cancel(connection.timer.take());
         }
-        // Responses that arrived before a failure are read before writing meets the failure.
+        // Reads first, so that responses that arrived before a failure are handled before a write reports the failure.
         if readable {
             self.read(now, id, timers);
         }
@@ -116,24 +120,25 @@
         self.close_or_keep_idle(now, id, timers);
     }
 
-    /// Sends nothing new on the connections to a node, and closes each once it carries no attempt.
-    pub fn close_idle(&mut self, now: f64, node: NodeId, timers: &mut Timers) {
+    /// Stops using the connections to a node for new attempts, and closes each as soon as it carries no attempt.
+    pub fn retire_connections(&mut self, now: f64, node: NodeId, timers: &mut Timers) {
         for id in self.nodes.get(node).map(|entry| entry.connections.clone()).unwrap_or_default() {
             self.connections[id].retired = true;
             self.close_or_keep_idle(now, id, timers);
         }
     }
 
-    /// For a connection that carries no attempt: closes it if it must not be used again, or else sets its idle timer.
+    /// Closes a connection that carries no attempt if it must not be used again, and otherwise starts its idle timer.
+    /// Does nothing if the connection carries an attempt or is not established.
     pub(super) fn close_or_keep_idle(&mut self, now: f64, id: usize, timers: &mut Timers) {
         let Some(connection) =
-            self.connections.get_mut(id).filter(|open| open.connected && open.outstanding.is_empty())
+            self.connections.get_mut(id).filter(|found| found.connected && found.outstanding.is_empty())
         else {
             return;
         };
-        // A node may still work on cancelled attempts until it reports their end.
-        let no_room = connection.cancelled.len() >= self.settings.max_parts_per_connection;
-        if connection.retired || connection.input.is_some() || no_room {
+        // Cancelled attempts count until the node reports their end, since it may still be running them.
+        let is_full = connection.cancelled.len() >= self.settings.max_parts_per_connection;
+        if connection.retired || connection.input.is_some() || is_full {
             return self.close(now, id, ConnectionEnd::IdleClosed, timers);
         }
         if connection.timer.is_none() {
@@ -146,7 +151,8 @@
         }
     }
 
-    /// A connection's timer has fired: it did not connect, was idle, or did not deliver the rest of a frame in time.
+    /// Closes a connection whose timer has fired: it was not established in time, did not deliver the rest of a frame
+    /// in time, or has been idle for too long.
     pub fn on_timeout(&mut self, now: f64, id: usize, timers: &mut Timers) {
         let ending = match self.connections.get(id) {
             Some(connection) if !connection.connected => ConnectionEnd::ConnectTimeout,
@@ -156,7 +162,8 @@
         self.close(now, id, ending, timers);
     }
 
-    /// The one place where a connection is closed; the outcome of its attempts follows from how it ended.
+    /// Closes a connection and completes its attempts; their outcome follows from `ending` and from whether their
+    /// frames were fully written. All connections are closed here.
     pub(super) fn close(&mut self, now: f64, id: usize, ending: ConnectionEnd, timers: &mut Timers) {
         let Some(connection) = self.connections.try_remove(id) else { return };
         timers.cancel(connection.timer);
@@ -166,12 +173,14 @@
         node_entry.connections.retain(|other| *other != id);
         match connection.outstanding.len() {
             0 => debug!("node {}: connection {ending}", node_entry.name()),
-            out => info!("node {}: connection {ending} with {out} attempts outstanding", node_entry.name()),
+            count => {
+                info!("node {}: connection {ending} with {count} attempts outstanding", node_entry.name());
+            }
         }
         for out in connection.outstanding {
-            let end = ending
-                .attempt_outcome(out.frame_end.is_some_and(|to| to <= connection.output.written_offset()));
-            self.completed.push_back(out.into_completed(connection.node, end, now, None));
+            let outcome = ending
+                .attempt_outcome(out.frame_end.is_some_and(|end| end <= connection.output.written_offset()));
+            self.completed.push_back(out.into_completed(connection.node, outcome, now, None));
         }
     }
 }
--- a/crates/dunepond-broker/src/upstream/framing.rs
+++ b/crates/dunepond-broker/src/upstream/framing.rs
@@ -1,4 +1,4 @@
-//! Frames attempts onto a connection: several together, as far as the connection accepts them.
+//! Encodes attempts into frames or search API requests and writes them to a connection, as far as it accepts them.
 
 use std::io;
 use std::rc::Rc;
@@ -11,26 +11,27 @@
 use crate::control_plane::{CheckedConfig, FreshWriter};
 use crate::frames::{self, AttemptLine};
 
-/// A payload up to this length is copied into its frame: a separate chunk in the write queue would cost more.
+/// Longest payload that is copied into its frame. For a short payload the copy costs less than a separate chunk in the
+/// write queue.
 const MAX_COPIED_TEXT_BYTES: usize = 2048;
 
-/// What requests of the search API to one node need.
+/// What is needed to encode search API requests to one node.
 pub(super) struct SearchApiFraming<'a> {
-    /// Names of the query classes.
+    /// Names of the query classes, which are the names of the indices.
     pub indices: &'a [String],
-    /// Which of them must not run twice.
+    /// For each query class, whether its queries must not run twice.
     pub non_idempotent: &'a [bool],
-    /// The node's name.
+    /// The node's name, for the `Host` header.
     pub host: &'a str,
 }
 
 impl AttemptRequest {
-    /// The time that is left for it, at least 1 ms.
+    /// Returns the time until the attempt's deadline in milliseconds, at least 1.
     fn time_left_ms(&self, now: f64) -> u64 {
         ((self.deadline - now).max(0.001) * 1000.0) as u64
     }
 
-    /// Its payload, if that is short enough to be copied.
+    /// Returns the payload if it is inline and short enough to be copied into the frame.
     fn copied_text(&self) -> Option<Rc<str>> {
         match &self.payload {
             Payload::Inline(text) if text.len() <= MAX_COPIED_TEXT_BYTES => Some(text.clone()),
@@ -38,6 +39,7 @@
         }
     }
 
+    /// Returns the line of the frame that describes this attempt.
     fn line(&self, now: f64) -> AttemptLine<'_> {
         AttemptLine {
             id: &self.id,
@@ -49,8 +51,9 @@
 }
 
 impl NodeConnection {
-    /// Frames the waiting attempts once the earlier frames are written; as search API requests where the node speaks it.
-    /// `check` is the one under which the attempts may be sent, where it must not be stale when bytes are written.
+    /// Writes the frames that are queued, then frames and writes the waiting attempts. `search_api` is given if the
+    /// node speaks the search API: the attempts are then encoded as its requests. `check` is given if the attempts were
+    /// checked against the active configuration: the write fails if that check has become stale.
     pub(super) fn write(
         &mut self,
         now: f64,
@@ -77,27 +80,27 @@
         }
     }
 
-    /// The first batch that is not framed yet.
+    /// Returns the number of the first batch that is not framed yet.
     fn next_unframed_batch(&self) -> Option<u64> {
         self.outstanding.iter().find(|out| out.frame_end.is_none()).map(|out| out.batch)
     }
 
-    /// Queues a request of the search API; such a batch is one attempt.
+    /// Queues a batch as a request of the search API. Such a batch has exactly one attempt.
     fn frame_search_request(&mut self, now: f64, batch: u64, search_api: &SearchApiFraming) {
         let Some(out) = self.outstanding.iter_mut().find(|out| out.batch == batch) else { return };
         let request = &mut out.request;
-        let action =
+        let operation =
             if search_api.non_idempotent[request.query_class] { "_update_by_query" } else { "_search" };
         let index = &search_api.indices[request.query_class];
-        let (wait, length) = (request.time_left_ms(now), request.payload.length());
+        let (timeout_ms, length) = (request.time_left_ms(now), request.payload.length());
         out.frame_start = self.output.end_offset();
         let head = RequestHead {
             host: search_api.host,
             index,
-            operation: action,
+            operation,
             segment: request.segment,
             id: &request.id,
-            timeout_ms: wait,
+            timeout_ms,
             body_bytes: length,
         };
         self.output.queue_bytes(&head.encode());
@@ -110,25 +113,25 @@
         out.frame_end = Some(self.output.end_offset());
     }
 
-    /// Queues one frame with all attempts of a batch.
+    /// Queues one frame that holds all attempts of a batch.
     fn frame_batch(&mut self, now: f64, batch: u64) {
-        let from = self.output.end_offset();
+        let start = self.output.end_offset();
         let requests = self.outstanding.iter().filter(|out| out.batch == batch).map(|out| &out.request);
         match requests.clone().map(AttemptRequest::copied_text).collect::<Option<Vec<_>>>() {
             Some(texts) => {
                 let attempts = requests.zip(&texts).map(|(request, text)| (request.line(now), &**text));
                 self.output.queue_bytes(&frames::encode_attempts(attempts));
             }
-            None => self.queue_shared(now, batch),
+            None => self.queue_without_copy(now, batch),
         }
-        let to = Some(self.output.end_offset());
+        let end = Some(self.output.end_offset());
         for out in self.outstanding.iter_mut().filter(|out| out.batch == batch) {
-            (out.frame_start, out.frame_end) = (from, to);
+            (out.frame_start, out.frame_end) = (start, end);
         }
     }
 
-    /// Queues the lines of a batch with payloads that are too long to be copied, or are streamed.
-    fn queue_shared(&mut self, now: f64, batch: u64) {
+    /// Queues the frame of a batch without copying its payloads, which are long or streamed.
+    fn queue_without_copy(&mut self, now: f64, batch: u64) {
         let requests = self.outstanding.iter().filter(|out| out.batch == batch).map(|out| &out.request);
         let lines: Vec<_> = requests.clone().map(|request| request.line(now).to_string()).collect();
         let payload_bytes: u64 = requests.map(|request| request.payload.length()).sum();
@@ -148,16 +151,17 @@
         }
     }
 
-    /// Removes the frames of which no byte is written: by the time that they could be, the time limit in them would be
-    /// stale, their queries may have ended and their node may be draining.
+    /// Removes the frames of which no byte is written; their attempts are framed again later. By the time such a frame
+    /// could be written, its time limit would be wrong, its queries may have ended and its node may be draining.
     fn unframe_unsent(&mut self) {
-        let begun = self.output.written_offset();
-        let unbegun = |out: &&mut OutstandingRequest| out.frame_end.is_some() && out.frame_start >= begun;
-        let Some(from) = self.outstanding.iter_mut().filter(unbegun).map(|out| out.frame_start).min() else {
+        let written = self.output.written_offset();
+        let is_unsent = |out: &&mut OutstandingRequest| out.frame_end.is_some() && out.frame_start >= written;
+        let Some(start) = self.outstanding.iter_mut().filter(is_unsent).map(|out| out.frame_start).min()
+        else {
             return;
         };
-        let mut reader = self.output.withdraw_from(from);
-        for out in self.outstanding.iter_mut().filter(unbegun) {
+        let mut reader = self.output.withdraw_from(start);
+        for out in self.outstanding.iter_mut().filter(is_unsent) {
             out.frame_end = None;
             if out.request.payload.body().is_some() {
                 out.request.body_reader = reader.take();
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The node side: connections, the attempts that are sent on them and the attempts that ended.
+//! The broker's connections to nodes, the attempts that are sent on them and the attempts that have ended.
 //!
 //! Times are Unix seconds of the process's monotonic clock.
 
@@ -31,115 +31,128 @@
 use crate::iteration::EventLoopHandle;
 pub use connection::open;
 
-/// Finished attempts that a connection remembers, as a node may report an end twice; bounds the memory for them. Cancelled attempts are
-/// remembered besides until the node reports their end.
+/// How many finished attempts a connection remembers, since a node may report the end of an attempt twice. The limit
+/// bounds the memory for them. Cancelled attempts are remembered separately, until the node reports their end.
 const MAX_FINISHED_REMEMBERED: usize = 512;
 
-/// An attempt to be sent: which one it is, and what its frame needs.
+/// An attempt to be sent, with all that its frame needs.
 pub struct AttemptRequest {
-    /// The query that it belongs to.
+    /// The query that the attempt belongs to.
     pub query: QueryId,
     /// Index of the part among the query's parts.
     pub part: usize,
     /// Index of the attempt among the part's attempts.
     pub attempt: usize,
-    /// The part's id on the wire; all attempts of a part share it.
+    /// The part's id on the wire, which all attempts of the part share.
     pub id: Rc<str>,
-    /// The segment to be searched.
+    /// The segment that the attempt searches.
     pub segment: usize,
-    /// Index into the configured query classes.
+    /// Index of the query's class among the configured query classes.
     pub query_class: usize,
-    /// When the query's response is due.
+    /// When the query's response is due, in Unix seconds.
     pub deadline: f64,
-    /// From then on no byte of it may go out: its query's time is over, or the window in which a node drops a repeat is
-    /// close to its end.
+    /// Unix time in seconds from which on no byte of the attempt may be sent: the query has timed out, or its
+    /// idempotency window is about to end, after which a node would not recognise a repeated part.
     pub send_by: f64,
-    /// What the part carries.
+    /// The payload of the part.
     pub payload: Payload,
-    /// Its own read position in a streamed body.
+    /// The attempt's read position in a streamed body; `None` if the payload is not streamed.
     pub body_reader: Option<BodyReader>,
-    /// The configuration under which its query started, with a control plane.
+    /// The active configuration at the query's start; `None` without a control plane.
     pub query_start: Option<Rc<QueryStart>>,
 }
 
-/// An attempt that a connection carries.
+/// An attempt that is assigned to a connection.
 struct OutstandingRequest {
     request: AttemptRequest,
+    /// When the attempt was assigned to the connection, in Unix seconds.
     queued_at: f64,
-    /// Attempts with the same batch number share a frame.
+    /// The number of the attempt's batch. The attempts of a batch share a frame.
     batch: u64,
-    /// Where its frame begins and ends in the connection's write queue, once it is framed. A connection that is not
-    /// established, or is blocked, holds no frame that it has not begun to write: its attempts can be withdrawn without the
-    /// node's knowledge, and their frames carry the time that is left once they are written.
+    /// Offset at which the attempt's frame begins in the connection's write queue; valid only if `frame_end` is set.
     frame_start: u64,
+    /// Offset at which the attempt's frame ends in the connection's write queue; `None` while the attempt is not
+    /// framed. A connection that is not established, or is blocked, holds no frame that it has not begun to write. Its
+    /// attempts can so be withdrawn before the node knows of them, and each frame states the time left when it is
+    /// written.
     frame_end: Option<u64>,
-    /// It is in the audit log.
+    /// Whether the attempt has been written to the audit log.
     audited: bool,
 }
 
+/// A connection to a node.
 struct NodeConnection {
     node: NodeId,
     stream: Rc<TcpStream>,
     token: RegistrationToken,
+    /// Whether the connection is established.
     connected: bool,
-    /// When it was established, or before that when it was opened.
+    /// When the connection was established or, while it is not, when it was opened; in Unix seconds.
     since: f64,
-    /// It carries no new attempts, and is closed once it carries none.
+    /// The connection takes no new attempts, and is closed as soon as it carries none.
     retired: bool,
+    /// Timer for connecting, for the rest of a frame, or for being idle.
     timer: Option<TimerKey>,
+    /// Bytes received that do not make a complete frame yet.
     input: Option<Buffer>,
     output: WriteQueue,
+    /// The attempts that the connection carries.
     outstanding: VecDeque<OutstandingRequest>,
-    /// Cancelled attempts whose end the node has not reported: it may still work on them, so each counts as a stream.
+    /// Ids of cancelled attempts whose end the node has not reported. The node may still be running them, so each
+    /// counts towards the limit of parts on the connection.
     cancelled: Vec<Rc<str>>,
+    /// The number of the last batch.
     last_batch: u64,
-    /// It speaks the search API: one request at a time.
+    /// The connection speaks the search API, which allows one request at a time.
     uses_search_api: bool,
-    /// The search API response that is being read.
+    /// The search API response that is being received.
     message: Option<Message>,
-    /// The last attempts that ended or were cancelled on it.
+    /// Ids of the last attempts that ended or were cancelled on this connection, at most `MAX_FINISHED_REMEMBERED`.
     finished: VecDeque<Rc<str>>,
 }
 
+/// A node, with the connections to it.
 #[derive(Default)]
 struct NodeEntry {
-    /// The list's last entry; `None` where the index is free.
+    /// The node's last row in the endpoint list; `None` if this index is free.
     endpoint: Option<EndpointInfo>,
+    /// Indices of the connections to the node.
     connections: Vec<usize>,
-    /// Dispatched in this call of the router, and not yet assigned to a connection.
+    /// Attempts that were dispatched in this call of the router and are not assigned to a connection yet.
     unassigned: Vec<AttemptRequest>,
 }
 
-/// An attempt that ended.
+/// An attempt that has ended.
 pub struct CompletedAttempt {
-    /// Its outcome, for the router.
+    /// The attempt and its outcome, as the router needs them.
     pub ended: AttemptEnded,
-    /// The value that it returned, if it was served.
+    /// The value that the node returned; `None` if the attempt was not served.
     pub value: Option<String>,
-    /// The version that was searched, and whether anything was found, where its node reports that.
+    /// The version that was searched and whether anything was found; `None` if the node does not report that.
     pub search_report: Option<SearchReport>,
 }
 
-/// A node that moved, drains, or was removed or replaced.
+/// A node whose address changed, that drains, or that was removed or replaced by another process.
 pub struct ChangedNode {
-    /// The node.
+    /// Id of the node.
     pub node: NodeId,
-    /// Another process has replaced the node's.
+    /// Whether the node now runs as another process.
     pub replaced: bool,
 }
 
-/// How far a connection has consumed a pass-through body.
+/// How much of a pass-through body a connection has consumed.
 struct BodyProgress {
+    /// Offset in the body, in bytes.
     offset: u64,
-    /// Since when it has been there while the other readers wait.
+    /// Since when the connection has been at this offset while other readers wait for it, in Unix seconds.
     since: f64,
 }
 
 /// The nodes that speak the search API.
 struct SearchApiNodes {
-    /// The networks that they are in.
+    /// The networks of these nodes.
     networks: Vec<IpNet>,
-    /// Whether each query class must not run twice.
+    /// For each query class, whether its queries must not run twice.
     non_idempotent: Vec<bool>,
 }
 
@@ -149,35 +162,39 @@
     pool: Pool,
     nodes: Vec<NodeEntry>,
     connections: Slab<NodeConnection>,
+    /// Limit on the number of connections to all nodes.
     max_connections: usize,
-    /// Connections without attempts, by the timer that will close them: the first has been idle the longest.
+    /// Connections without attempts, by the timer that will close each. The first has been idle the longest.
     idle: BTreeMap<TimerKey, usize>,
     settings: Rc<HostSettings>,
-    /// Nodes with attempts that are not assigned to a connection.
+    /// Nodes with attempts that are not assigned to a connection yet.
     nodes_to_flush: Vec<NodeId>,
-    /// Batches that found no descriptor for a connection, until one is freed or none can be.
+    /// Batches for which no file descriptor was left for a connection. They wait until one is freed, and end as not
+    /// sent if none can be.
     awaiting_descriptor: Vec<(NodeId, Vec<AttemptRequest>)>,
-    /// Removed nodes whose index is not free yet.
+    /// Removed nodes whose index is still in use.
     removed_nodes: Vec<NodeId>,
-    /// The check against the active configuration, with a control plane.
+    /// Checks attempts against the active configuration; `None` without a control plane.
     pub gate: Option<Rc<Gate>>,
-    /// Which nodes speak the search API, if any do.
+    /// The nodes that speak the search API; `None` if there are none.
     search_api: Option<SearchApiNodes>,
-    /// Connections that wait for the next piece of a body.
+    /// Connections that wait for more bytes of a streamed body.
     awaiting_body: Vec<usize>,
-    /// How far the connections with a pass-through body have come.
+    /// Progress of each connection that writes a pass-through body.
     body_progress: HashMap<usize, BodyProgress>,
-    /// Nodes that changed, not yet handled.
+    /// Nodes that changed and whose change the event loop has not handled yet.
     pub changed_nodes: Vec<ChangedNode>,
-    /// Attempts with a streamed body whose frames are fully written, not yet reported to the router.
+    /// Attempts with a streamed body whose frames are fully written, which is not reported to the router yet.
     pub written_bodies: VecDeque<(NodeId, AttemptId)>,
     /// Payload bytes copied into frames since the start.
     pub copied_bytes: u64,
-    /// Attempts that ended, not yet reported to the router: it may be inside the call that ended them.
+    /// Attempts that have ended and are not reported to the router yet. They are queued because the router may be
+    /// inside the call that ended them.
     pub completed: VecDeque<CompletedAttempt>,
 }
 
 impl NodeEntry {
+    /// Returns the node's name; `?` if this index is free.
     fn name(&self) -> &str {
         self.endpoint.as_ref().map_or("?", |endpoint| &endpoint.name)
     }
@@ -188,17 +205,18 @@
 }
 
 impl OutstandingRequest {
-    /// Whether it is not framed yet and its body is lost.
+    /// Returns whether the attempt is not framed yet and its streamed body is lost.
     fn awaits_lost_body(&self) -> bool {
         let body = self.request.payload.body();
         self.frame_end.is_none() && body.is_some_and(|body| body.loss().is_some())
     }
 
-    /// Whether the last byte of its frame has been written.
+    /// Returns whether the last byte of the attempt's frame has been written.
     fn is_written(&self, output: &WriteQueue) -> bool {
-        self.frame_end.is_some_and(|to| to <= output.written_offset())
+        self.frame_end.is_some_and(|end| end <= output.written_offset())
     }
 
+    /// Ends the attempt with an outcome and, if it was served, the value that the node returned.
     fn into_completed(
         self,
         node: NodeId,
@@ -216,7 +234,7 @@
 }
 
 impl AttemptRequest {
-    /// The part and the node with this name, for checks against the active configuration.
+    /// Returns the attempt's part as the target of a check of whether the node named `node` may get it.
     pub fn target<'a>(&'a self, node: &'a str) -> PartTarget<'a> {
         PartTarget {
             start: self.query_start.as_deref(),
@@ -226,11 +244,12 @@
         }
     }
 
+    /// Returns the attempt's id for the router.
     fn key(&self) -> AttemptId {
         AttemptId { query: self.query, part: self.part, index: self.attempt }
     }
 
-    /// The end of this attempt if it was never sent.
+    /// Returns the end of this attempt with the given outcome, for an attempt that was never sent.
     pub fn completed_unsent(&self, node: NodeId, outcome: AttemptOutcome) -> CompletedAttempt {
         let ended = AttemptEnded {
             query: self.query,
@@ -245,9 +264,9 @@
 }
 
 impl NodeConnection {
-    /// Removes an attempt from the outstanding ones, and remembers it as finished.
-    fn finish_request(&mut self, at: usize) -> Option<OutstandingRequest> {
-        let out = self.outstanding.remove(at)?;
+    /// Removes the attempt at `position` from the outstanding ones, and remembers its id as finished.
+    fn finish_request(&mut self, position: usize) -> Option<OutstandingRequest> {
+        let out = self.outstanding.remove(position)?;
         self.finished.push_back(out.request.id.clone());
         if self.finished.len() > MAX_FINISHED_REMEMBERED {
             self.finished.pop_front();
@@ -255,43 +274,47 @@
         Some(out)
     }
 
-    /// Whether it carries an attempt with this id, or has.
+    /// Returns whether the connection carries an attempt with this id, or is known to have carried one.
     fn has_carried(&self, id: &str) -> bool {
-        let cancelled = self.cancelled.iter().chain(&self.finished).any(|finished| **finished == *id);
-        cancelled || self.outstanding.iter().any(|o| *o.request.id == *id)
+        let has_ended = self.cancelled.iter().chain(&self.finished).any(|ended| **ended == *id);
+        has_ended || self.outstanding.iter().any(|o| *o.request.id == *id)
     }
 
+    /// Returns whether the connection is established and carries no attempt.
     fn is_idle(&self) -> bool {
         self.connected && self.outstanding.is_empty()
     }
 
-    /// Whether new attempts may be written to it, in frames or as requests of the search API.
+    /// Returns whether new attempts may be written to the connection, in frames or as requests of the search API.
     fn is_usable(&self, now: f64, uses_search_api: bool) -> bool {
-        // A connection inside a frame may be broken, and one past its idle time may be closed by the node.
+        // Excludes connections that have received part of a frame, as they may be broken, and those idle for too long,
+        // as the node may be closing them.
         !self.retired
             && self.uses_search_api == uses_search_api
             && self.input.is_none()
             && !self.is_idle_expired(now)
     }
 
-    /// Whether it has carried another attempt of a part: attempts share the part's id, and on one connection a repeated end
-    /// could be taken for the other's.
+    /// Returns whether the connection has carried another attempt of one of these attempts' parts. All attempts of a
+    /// part share its id, so that on one connection a repeated end of the first could be taken for the end of the
+    /// second.
     fn would_repeat(&self, requests: &[AttemptRequest]) -> bool {
         requests.iter().any(|request| request.attempt > 0 && self.has_carried(&request.id))
     }
 
-    /// Whether a body that it carries is lost.
+    /// Returns whether the connection carries an attempt whose body is lost.
     fn has_lost_body(&self) -> bool {
         let framed = self.output.next_body().is_some_and(|reader| reader.body.loss().is_some());
         framed || self.outstanding.iter().any(OutstandingRequest::awaits_lost_body)
     }
 
-    /// Whether it has been idle for as long as it may.
+    /// Returns whether the connection has been idle for as long as it may.
     fn is_idle_expired(&self, now: f64) -> bool {
         self.is_idle() && self.timer.is_some_and(|key| clock::is_due(key, now))
     }
 
-    /// The frame of a streamed body is being written, or is next: a frame behind it would wait for the whole body.
+    /// Returns whether the frame of a streamed body is being written or is next. A frame behind it would have to wait
+    /// until the whole body is written.
     fn is_reserved_for_body(&self) -> bool {
         self.output.next_body().is_some()
             || self.outstanding.iter().any(|o| o.frame_end.is_none() && o.request.payload.body().is_some())
@@ -299,7 +322,7 @@
 }
 
 impl Upstream {
-    /// No nodes yet; `max_connections` bounds the connections.
+    /// Creates an instance without nodes; `max_connections` limits the connections to all nodes together.
     pub fn new(
         handle: EventLoopHandle,
         pool: &Pool,
@@ -328,23 +351,25 @@
         }
     }
 
-    /// Nodes in these networks speak the search API. `non_idempotent` says of each query class whether it must not run twice.
+    /// Sets the networks whose nodes speak the search API. `non_idempotent` says for each query class whether its
+    /// queries must not run twice.
     pub fn set_search_api_nodes(&mut self, networks: Vec<IpNet>, non_idempotent: Vec<bool>) {
         self.search_api = Some(SearchApiNodes { networks, non_idempotent });
     }
 
+    /// Returns whether a node speaks the search API.
     fn uses_search_api(&self, node: NodeId) -> bool {
         let Some(api) = &self.search_api else { return false };
         let address = self.nodes.get(node).and_then(|entry| entry.endpoint.as_ref()?.address);
         address.is_some_and(|address| api.networks.iter().any(|network| network.contains(&address.ip())))
     }
 
-    /// A node's name for the log; `?` if the index is free.
+    /// Returns a node's name for the log; `?` if the index is free.
     pub fn name(&self, node: NodeId) -> &str {
         self.nodes.get(node).map_or("?", NodeEntry::name)
     }
 
-    /// Queues an attempt; `flush` assigns it to a connection and writes it.
+    /// Queues an attempt for a node; `flush` assigns it to a connection and writes it.
     pub fn dispatch(&mut self, node: NodeId, request: AttemptRequest) {
         self.nodes[node].unassigned.push(request);
         self.nodes_to_flush.push(node);
--- a/crates/dunepond-broker/src/upstream/ownership_check.rs
+++ b/crates/dunepond-broker/src/upstream/ownership_check.rs
@@ -1,4 +1,5 @@
-//! With a control plane: checks each attempt against the active configuration again as its frame is written, and audits it.
+//! With a control plane, checks each attempt against the active configuration again right before its frame is written,
+//! and writes it to the audit log.
 
 use std::collections::VecDeque;
 
@@ -11,7 +12,7 @@
 use crate::control_plane::fence::{AttemptStage, FenceAction};
 use crate::control_plane::{CheckedConfig, Gate};
 
-/// Writes the attempts that were framed since the last call to the audit log.
+/// Writes to the audit log the attempts of a connection that were framed since the last call.
 pub fn audit_sent(gate: &Gate, check: &CheckedConfig, host: &str, connection: &mut NodeConnection) {
     if !gate.control.is_audited() {
         return;
@@ -24,8 +25,8 @@
 }
 
 impl Upstream {
-    /// Withdraws attempts that the active configuration no longer allows, checked right before they are framed. False where
-    /// such an attempt is partly written.
+    /// Withdraws the attempts on a connection that the active configuration no longer allows. Returns `false` if such
+    /// an attempt is partly written; the caller then has to close the connection.
     pub(super) fn withdraw_disallowed(
         &mut self,
         check: &CheckedConfig,
@@ -57,7 +58,7 @@
     }
 }
 
-/// What becomes of an attempt under the active configuration.
+/// Returns what is to be done with an attempt under the active configuration.
 fn action_for(
     gate: &Gate,
     check: &CheckedConfig,
--- a/crates/dunepond-broker/src/upstream/request.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -1,4 +1,4 @@
-//! Sends attempts: assigns them to connections in batches and has those written.
+//! Assigns attempts to connections in batches and writes them.
 
 use dunepond_routing::NodeId;
 use tracing::debug;
@@ -11,15 +11,15 @@
 use crate::control_plane::{CheckedConfig, StaleCheck};
 
 impl Upstream {
-    /// Assigns the dispatched attempts to connections and writes them.
+    /// Assigns all dispatched attempts to connections and writes them.
     pub fn flush(&mut self, now: f64, timers: &mut Timers) {
         for node in std::mem::take(&mut self.nodes_to_flush) {
             let mut unassigned = std::mem::take(&mut self.nodes[node].unassigned).into_iter().peekable();
-            let api = self.uses_search_api(node);
+            let uses_search_api = self.uses_search_api(node);
             while let Some(first) = unassigned.next() {
                 let mut requests = vec![first];
-                // A streamed body goes alone on a connection of its own; so does each attempt of the search API.
-                if requests[0].payload.body().is_none() && !api {
+                // An attempt with a streamed body, or one of the search API, is a batch of its own.
+                if requests[0].payload.body().is_none() && !uses_search_api {
                     while requests.len()
                         < self.settings.max_parts_per_call.min(self.settings.max_parts_per_connection)
                         && let Some(next) = unassigned.next_if(|request| request.payload.body().is_none())
@@ -36,15 +36,16 @@
         }
     }
 
-    /// Whether a batch has found no descriptor for a connection.
+    /// Returns whether a batch waits for a file descriptor for its connection.
     pub fn is_awaiting_descriptor(&self) -> bool {
         !self.awaiting_descriptor.is_empty()
     }
 
-    /// Queues such a batch again if there is room now; otherwise its attempts end as not sent.
-    pub fn retry_awaiting_descriptor(&mut self, now: f64, room: bool, timers: &mut Timers) {
+    /// Takes a batch that waits for a file descriptor. Queues it again if `has_descriptor`; otherwise its attempts end
+    /// as not sent.
+    pub fn retry_awaiting_descriptor(&mut self, now: f64, has_descriptor: bool, timers: &mut Timers) {
         let Some((node, requests)) = self.awaiting_descriptor.pop() else { return };
-        if room {
+        if has_descriptor {
             self.queue_batch(now, node, requests, timers);
             self.nodes[node].connections.clone().into_iter().for_each(|id| self.write(now, id, timers));
         } else {
@@ -55,18 +56,19 @@
         }
     }
 
+    /// Assigns a batch to a connection that has room for it or to a new one; if neither is possible, its attempts end.
     fn queue_batch(&mut self, now: f64, node: NodeId, requests: Vec<AttemptRequest>, timers: &mut Timers) {
-        let mut open = self.find_connection(now, node, &requests);
-        // The node may just have closed an idle connection, and an attempt written to it would have an unknown outcome: it is
-        // read once more before it is used.
-        while let Some(id) = open.filter(|id| self.connections[*id].is_idle()) {
+        let mut found = self.find_connection(now, node, &requests);
+        // Reads from an idle connection before it is used, to find out whether the node has closed it: an attempt
+        // written to a closed connection would have an unknown outcome.
+        while let Some(id) = found.filter(|id| self.connections[*id].is_idle()) {
             self.read(now, id, timers);
             if self.connections.contains(id) {
                 break;
             }
-            open = self.find_connection(now, node, &requests);
+            found = self.find_connection(now, node, &requests);
         }
-        let id = match open.map_or_else(|| self.connect(now, node, timers), Ok) {
+        let id = match found.map_or_else(|| self.connect(now, node, timers), Ok) {
             Ok(id) => id,
             Err(ConnectionEnd::DescriptorsExhausted) => {
                 return self.awaiting_descriptor.push((node, requests));
@@ -98,7 +100,7 @@
         }
     }
 
-    /// A connection that can carry these attempts as one batch.
+    /// Returns a connection to the node that can carry these attempts as one batch.
     fn find_connection(&self, now: f64, node: NodeId, requests: &[AttemptRequest]) -> Option<usize> {
         let uses_search_api = self.uses_search_api(node);
         self.nodes[node].connections.iter().copied().find(|id| {
@@ -109,7 +111,7 @@
         })
     }
 
-    /// Whether a connection can carry these attempts beside those that it carries already.
+    /// Returns whether a connection can carry these attempts in addition to those that it already carries.
     fn has_room(&self, connection: &NodeConnection, requests: &[AttemptRequest]) -> bool {
         let needs_own_connection = connection.uses_search_api || requests[0].payload.body().is_some();
         let is_free = if needs_own_connection {
@@ -117,14 +119,15 @@
         } else {
             !connection.is_reserved_for_body()
         };
-        // Attempts beyond this number would wait unread at the node, and their cancel frames behind them.
+        // The node would not read attempts beyond the limit yet, nor the cancel frames behind them.
         let carried = connection.outstanding.len() + connection.cancelled.len();
         is_free && carried + requests.len() <= self.settings.max_parts_per_connection
     }
 
+    /// Frames and writes the attempts of a connection after withdrawing those that must no longer be sent.
     pub(super) fn write(&mut self, now: f64, id: usize, timers: &mut Timers) {
         let non_idempotent = self.carries_non_idempotent(id);
-        // Only non-idempotent attempts are checked; others are looked at only for the audit log.
+        // Only non-idempotent attempts are checked; for the others the configuration is needed only by the audit log.
         let gate = self.gate.as_ref();
         let check = gate.filter(|gate| non_idempotent || gate.control.is_audited()).map(|gate| gate.check());
         if let Some(check) = &check
@@ -140,13 +143,13 @@
         }
     }
 
-    /// Whether a connection carries an attempt that must not run twice, with a control plane.
+    /// Returns whether a connection carries an attempt that must not run twice; always `false` without a control plane.
     fn carries_non_idempotent(&self, id: usize) -> bool {
         let (Some(gate), Some(connection)) = (&self.gate, self.connections.get(id)) else { return false };
         connection.outstanding.iter().any(|out| gate.is_non_idempotent(out.request.query_class))
     }
 
-    /// Frames and writes attempts that have been checked, audits them, and handles a failed write.
+    /// Frames and writes attempts that have been checked, writes them to the audit log, and handles a failed write.
     fn write_checked(
         &mut self,
         now: f64,
@@ -163,7 +166,7 @@
                 non_idempotent: &api.non_idempotent,
                 host,
             });
-        let outcome = connection.write(now, search_api.as_ref(), check.filter(|_| non_idempotent));
+        let result = connection.write(now, search_api.as_ref(), check.filter(|_| non_idempotent));
         self.copied_bytes += connection.output.take_copied_bytes();
         if let (Some(gate), Some(check)) = (&self.gate, check) {
             ownership_check::audit_sent(gate, check, host, connection);
@@ -172,7 +175,7 @@
             self.awaiting_body.push(id);
         }
         self.release_written_body(id);
-        if let Err(e) = outcome {
+        if let Err(e) = result {
             if e.get_ref().is_some_and(|e| e.is::<StaleCheck>()) {
                 return self.close(now, id, ConnectionEnd::FrameAborted, timers);
             }
@@ -180,13 +183,13 @@
         }
     }
 
-    /// Releases the body of a frame that is fully written, and reports that to the router.
+    /// If the frame of a streamed body is fully written, releases the body and queues a report to the router.
     fn release_written_body(&mut self, id: usize) {
         let connection = &mut self.connections[id];
-        // A streamed body has its connection for itself, so it is the first attempt there.
+        // An attempt with a streamed body is the only one on its connection when it is assigned, so it comes first.
         if let Some(out) = connection.outstanding.front_mut()
             && out.request.payload.body().is_some()
-            && out.frame_end.is_some_and(|to| to <= connection.output.written_offset())
+            && out.frame_end.is_some_and(|end| end <= connection.output.written_offset())
         {
             out.request.payload = Payload::Released;
             self.written_bodies.push_back((connection.node, out.request.key()));
--- a/crates/dunepond-broker/src/upstream/response.rs
+++ b/crates/dunepond-broker/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Reads from nodes: the ends of attempts, in frames or as search API responses.
+//! Reads the ends of attempts from nodes, either as frames or as search API responses.
 
 use std::io;
 
@@ -14,31 +14,33 @@
 use crate::frames::{self, NodeFrame, ReplicaOutcome, SearchReport};
 use crate::http::{self, HttpError, Message};
 
-/// So many bytes of a malformed frame are logged.
+/// How many bytes of a malformed frame are logged.
 const MAX_LOGGED_BYTES: usize = 48;
 
-/// The end of an outstanding attempt, as its node reports it.
+/// The end of an outstanding attempt, as the node reports it.
 struct EndedOnConnection {
-    /// Its position among the outstanding attempts of the connection.
+    /// Index of the attempt in the connection's `outstanding` queue.
     position: usize,
     outcome: AttemptOutcome,
     value: Option<String>,
     search_report: Option<SearchReport>,
 }
 
-/// A frame that reports the end of an attempt.
+/// A decoded frame that reports the end of an attempt.
 struct DecodedEnd {
-    /// `None` if the attempt is no longer outstanding.
+    /// The end of the attempt; `None` if the attempt is no longer outstanding.
     ended: Option<EndedOnConnection>,
+    /// Length of the frame.
     frame_bytes: usize,
 }
 
 impl Upstream {
+    /// Reads and handles what has arrived on a connection.
     pub(super) fn read(&mut self, now: f64, id: usize, timers: &mut Timers) {
         self.receive_until(now, id, None, timers);
     }
 
-    /// Writing has failed: responses that arrived before are read, and then the connection is closed.
+    /// Reads the responses that arrived before a write failed with `broken`, and then closes the connection.
     pub(super) fn receive_before_close(
         &mut self,
         now: f64,
@@ -49,12 +51,14 @@
         self.receive_until(now, id, Some(broken), timers);
     }
 
+    /// Reads from a connection until no bytes are left. Closes it if it has ended or, with `broken`, once all is read.
     fn receive_until(&mut self, now: f64, id: usize, broken: Option<ConnectionEnd>, timers: &mut Timers) {
         loop {
             let connection = &mut self.connections[id];
             let input = connection.input.get_or_insert_with(|| self.pool.acquire());
             let ending = match input.read_from(&*connection.stream) {
-                // The close ends a search API response without a length; but after a reset, later reads report a mere close.
+                // A close completes a search API response without a length. After a failed write it does not: once a
+                // reset has been reported, later reads look like an ordinary close.
                 Ok(0)
                     if broken.is_none()
                         && connection.message.as_mut().is_some_and(Message::finish_at_close) =>
@@ -69,15 +73,16 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     if input.is_empty() {
                         connection.input = None;
-                        // No frame is incomplete; the timer of an idle connection stays.
+                        // No frame is incomplete, so its timer is cancelled; the timer of an idle connection stays.
                         timers.cancel(connection.timer.take_if(|key| !self.idle.contains_key(key)));
                     } else if connection.outstanding.is_empty() {
-                        // A partial frame without an outstanding attempt: a later response would be read as its rest.
+                        // The partial frame belongs to no outstanding attempt, and the next response would be read as
+                        // its remainder.
                         return self.close(now, id, ConnectionEnd::ProtocolError, timers);
                     } else if connection.timer.is_none() {
-                        // The rest of a frame may never arrive: it has as long as establishing a connection.
-                        let until = now + self.settings.connect_timeout_seconds;
-                        connection.timer = Some(timers.schedule(until, TimerEvent::UpstreamConnection(id)));
+                        // The rest of the frame may never arrive; it is given the time that a connect is given.
+                        let due = now + self.settings.connect_timeout_seconds;
+                        connection.timer = Some(timers.schedule(due, TimerEvent::UpstreamConnection(id)));
                     }
                     return;
                 }
@@ -98,29 +103,32 @@
         }
     }
 
+    /// Parses the search API response on a connection; `None` until all of it has arrived.
     fn parse_search_response(&mut self, id: usize) -> Result<Option<Message>, ConnectionEnd> {
         let connection = &mut self.connections[id];
         let Some(input) = connection.input.as_mut() else { return Ok(None) };
         match read_message(&mut connection.message, input, &self.pool) {
             Ok(false) => Ok(None),
-            // Bytes behind the one outstanding response could not be told from the next response.
+            // Bytes after the only outstanding response could be taken for the start of the next response.
             Ok(true) if !input.is_empty() => Err(ConnectionEnd::ProtocolError),
             Ok(true) => Ok(connection.message.take()),
             Err(error) => {
-                warn!("node {}: {}", self.nodes[connection.node].name(), error.reason);
+                warn!("node {}: invalid HTTP response: {}", self.nodes[connection.node].name(), error.reason);
                 Err(ConnectionEnd::ProtocolError)
             }
         }
     }
 
-    /// The response of the attempt that the connection carries; `node::meaning` says what it means.
+    /// Ends the attempt that a connection carries with the response to it. Returns why the connection has to be closed,
+    /// if it has to.
     fn finish_search_attempt(&mut self, now: f64, id: usize, message: &Message) -> Option<ConnectionEnd> {
         let connection = &mut self.connections[id];
         let Some(out) = connection.outstanding.pop_front() else { return Some(ConnectionEnd::ProtocolError) };
         let is_written = out.is_written(&connection.output);
         let node = connection.node;
         let (outcome, value) = self.search_outcome(node, out.request.query_class, message);
-        // Answered before it was fully written, the request may still have run; only a rejection excludes that.
+        // A request that was answered before it was fully written may still have run, unless the response is a
+        // rejection.
         self.completed.push_back(out.into_completed(node, outcome, now, value));
         let connection = &mut self.connections[id];
         if !is_written || !message.head.keep_alive {
@@ -133,6 +141,7 @@
         None
     }
 
+    /// Returns the outcome that a search API response stands for, and its value if the attempt was served.
     fn search_outcome(
         &self,
         node: NodeId,
@@ -141,13 +150,18 @@
     ) -> (AttemptOutcome, Option<String>) {
         let expected = ExpectedResult {
             index: &self.settings.query_classes[query_class],
-            // Only the search API front end knows the limits in the payload, and checks the value against them.
+            // The limits are in the payload, which only the search API front end parses; it checks the value against
+            // them.
             max_hits: usize::MAX,
             sort_keys: None,
             total_untracked: true,
         };
-        let once = self.search_api.as_ref().is_some_and(|api| api.non_idempotent[query_class]);
-        match read_response(message.head.status, message.body_bytes(), (!once).then_some(&expected)) {
+        let is_non_idempotent = self.search_api.as_ref().is_some_and(|api| api.non_idempotent[query_class]);
+        match read_response(
+            message.head.status,
+            message.body_bytes(),
+            (!is_non_idempotent).then_some(&expected),
+        ) {
             NodeOutcome::Found(_) | NodeOutcome::Updated(_) => {
                 (AttemptOutcome::Served, std::str::from_utf8(message.body_bytes()).ok().map(str::to_string))
             }
@@ -179,30 +193,31 @@
         }
     }
 
-    /// Decodes the next frame; `None` until all of it has arrived.
+    /// Decodes the next frame, which must report the end of an attempt; `None` until all of it has arrived.
     fn next_ended(&mut self, id: usize) -> Result<Option<DecodedEnd>, ConnectionEnd> {
         let connection = &self.connections[id];
         let Some(input) = connection.input.as_ref() else { return Ok(None) };
-        let (frame, used) = match frames::decode_frame(input.filled()) {
+        let (frame, frame_bytes) = match frames::decode_frame(input.filled()) {
             Ok(Some(decoded)) => decoded,
             Ok(None) => return Ok(None),
             Err(error) => return Err(self.malformed(id, &error.to_string())),
         };
-        let NodeFrame::AttemptEnded { id: attempt, outcome: word, value, report } = frame else {
-            return Err(self.not_an_end(id, &frame));
+        let NodeFrame::AttemptEnded { id: attempt, outcome: reported, value, report } = frame else {
+            return Err(self.unexpected_frame(id, &frame));
         };
         let Some(position) = connection.outstanding.iter().position(|out| *out.request.id == *attempt) else {
-            // The end of a cancelled or finished attempt is ignored; an unknown id could belong to any attempt here.
+            // The end of a cancelled or finished attempt is ignored. An unknown id is an error: it could mean any
+            // attempt on this connection.
             let cancelled = connection.cancelled.iter().position(|cancelled| **cancelled == *attempt);
             if cancelled.is_none() && !connection.finished.iter().any(|finished| **finished == *attempt) {
                 return Err(self.malformed(id, "an E frame for an attempt that is not outstanding"));
             }
-            if let Some(at) = cancelled {
-                self.connections[id].cancelled.swap_remove(at);
+            if let Some(position) = cancelled {
+                self.connections[id].cancelled.swap_remove(position);
             }
-            return Ok(Some(DecodedEnd { ended: None, frame_bytes: used }));
+            return Ok(Some(DecodedEnd { ended: None, frame_bytes }));
         };
-        let (outcome, value) = match word {
+        let (outcome, value) = match reported {
             ReplicaOutcome::Served => (AttemptOutcome::Served, Some(value.to_string())),
             ReplicaOutcome::Failed => (AttemptOutcome::Error, None),
             ReplicaOutcome::Overloaded => (AttemptOutcome::Rejected, None),
@@ -213,19 +228,23 @@
             value,
             search_report: frames::parse_search_report(report),
         };
-        Ok(Some(DecodedEnd { ended: Some(ended), frame_bytes: used }))
+        Ok(Some(DecodedEnd { ended: Some(ended), frame_bytes }))
     }
 
-    /// Logs a frame other than the end of an attempt.
-    fn not_an_end(&self, id: usize, frame: &NodeFrame) -> ConnectionEnd {
+    /// Logs a frame that does not report the end of an attempt. Returns how the connection has to end.
+    fn unexpected_frame(&self, id: usize, frame: &NodeFrame) -> ConnectionEnd {
         let NodeFrame::Rejected(reason) = frame else {
             return self.malformed(id, "a Q frame on a connection for attempts");
         };
-        warn!("node {}: {}", self.name(self.connections[id].node), reason.escape_debug());
+        warn!(
+            "node {}: rejected by the node: {}",
+            self.name(self.connections[id].node),
+            reason.escape_debug()
+        );
         ConnectionEnd::RejectedByPeer
     }
 
-    /// Logs a malformed frame with its first bytes.
+    /// Logs a malformed frame with its first bytes. Returns how the connection has to end.
     fn malformed(&self, id: usize, reason: &str) -> ConnectionEnd {
         let connection = &self.connections[id];
         let bytes = connection.input.as_ref().map_or(&[][..], Buffer::filled);
@@ -234,7 +253,7 @@
         ConnectionEnd::ProtocolError
     }
 
-    /// A node has reported the end of an outstanding attempt.
+    /// Ends an outstanding attempt as its node reported. Returns why the connection has to be closed, if it has to.
     fn finish_attempt(&mut self, now: f64, id: usize, ended: EndedOnConnection) -> Option<ConnectionEnd> {
         let connection = &mut self.connections[id];
         let out = connection.finish_request(ended.position)?;
@@ -249,12 +268,13 @@
         }
         let completed = out.into_completed(connection.node, ended.outcome, now, ended.value);
         self.completed.push_back(CompletedAttempt { search_report: ended.search_report, ..completed });
-        // Rejected before it was fully written, it never ran; the rest of its frame must not be written.
+        // An attempt that was rejected before it was fully written never ran; the rest of its frame must not be
+        // written.
         (!is_written).then_some(ConnectionEnd::FrameAborted)
     }
 }
 
-/// Reads on a response whose head may be parsed already; true once it is complete.
+/// Parses more of a response, whose head may be parsed already. Returns `true` once it is complete.
 fn read_message(message: &mut Option<Message>, input: &mut Buffer, pool: &Pool) -> Result<bool, HttpError> {
     if message.is_none() {
         *message = http::parse_response(input)?.map(Message::new);
--- a/crates/dunepond-broker/src/upstream/streaming.rs
+++ b/crates/dunepond-broker/src/upstream/streaming.rs
@@ -1,4 +1,4 @@
-//! Frames of streamed bodies: continued as the bodies arrive, aborted where a body is lost.
+//! Continues the frames of streamed bodies as more of the bodies arrives, and closes connections whose body is lost.
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
 use crate::connection_end::ConnectionEnd;
 
 impl Upstream {
-    /// More of some body is available: continues the frames that waited for it.
+    /// Continues the frames that waited for more of a streamed body.
     pub fn resume_bodies(&mut self, now: f64, timers: &mut Timers) {
         for id in std::mem::take(&mut self.awaiting_body) {
             self.write(now, id, timers);
@@ -15,8 +15,8 @@
         }
     }
 
-    /// Closes connections that consume nothing of a pass-through body for `io_timeout` seconds while the other readers wait;
-    /// true while any body passes through.
+    /// Closes connections that consume nothing of a pass-through body for `io_timeout` seconds while other readers
+    /// wait. Returns whether any connection still writes a pass-through body.
     pub fn close_slow_consumers(&mut self, now: f64, io_timeout: f64, timers: &mut Timers) -> bool {
         let mut pass_through = HashMap::new();
         for (id, connection) in &self.connections {
@@ -24,17 +24,17 @@
                 continue;
             };
             let offset = reader.offset();
-            let before = self.body_progress.get(&id).filter(|before| before.offset == offset);
-            // A reader that waits for more of the body from the client delays no other reader.
+            let previous = self.body_progress.get(&id).filter(|previous| previous.offset == offset);
+            // While the body is not full, more of it can be received, so that this reader delays no other.
             let delays_others = reader.body.is_full();
-            let since = before.filter(|_| delays_others).map_or(now, |before| before.since);
+            let since = previous.filter(|_| delays_others).map_or(now, |previous| previous.since);
             pass_through.insert(id, BodyProgress { offset, since });
         }
-        let is_late = |progress: &BodyProgress| now - progress.since >= io_timeout;
-        let late: Vec<_> =
-            pass_through.iter().filter(|(_, progress)| is_late(progress)).map(|(id, _)| *id).collect();
+        let is_overdue = |progress: &BodyProgress| now - progress.since >= io_timeout;
+        let overdue: Vec<_> =
+            pass_through.iter().filter(|(_, progress)| is_overdue(progress)).map(|(id, _)| *id).collect();
         self.body_progress = pass_through;
-        for id in late {
+        for id in overdue {
             self.body_progress.remove(&id);
             self.close(now, id, ConnectionEnd::SlowConsumer, timers);
         }
