--- a/crates/dunepond-broker/src/discovery/mod.rs
+++ b/crates/dunepond-broker/src/discovery/mod.rs
@@ -24,7 +24,7 @@
 use call::{DiscoveryCall, ListState, Response};
 use list::Directory;
 
-/// How long after the agent has stopped answering the endpoint list is stale. The other times of this module are
+/// How long the endpoint list counts as current after the agent has stopped answering. The other times of this module are
 /// fractions of this one.
 const STALE_AFTER_SECONDS: f64 = 6.0;
 /// How long the agent may hold a watch open. It is short enough that several calls can follow an unanswered one before
--- a/crates/dunepond-broker/src/endpoint.rs
+++ b/crates/dunepond-broker/src/endpoint.rs
@@ -1,29 +1,29 @@
-//! A row of the endpoint list, as discovery reports it.
+//! Rows of the endpoint list.
 
 use std::net::SocketAddr;
 
 use dunepond_routing::{Endpoint, EndpointState};
 
-/// A row of the endpoint list.
+/// A row of the endpoint list: a node, as the router and the connections need it.
 #[derive(Clone)]
 pub struct EndpointRow {
-    /// The node as the router needs it.
+    /// The data of the node that the router needs.
     pub endpoint: Endpoint,
-    /// What connections to the node need.
+    /// The data of the node that connections to it need.
     pub info: EndpointInfo,
 }
 
-/// A node as connections to it need it.
+/// The data of a node that connections to it need.
 #[derive(Clone)]
 pub struct EndpointInfo {
     /// The node's name.
     pub name: String,
-    /// Its address; `None` only if it is removed.
+    /// The node's address; `None` only if the node is removed.
     pub address: Option<SocketAddr>,
-    /// Its replica group.
+    /// The node's replica group.
     pub replica_group: usize,
-    /// When its process started, in Unix seconds; 0 if unknown.
+    /// When the node's process started, in Unix seconds; 0 if unknown.
     pub started_at: f64,
-    /// Whether it is active, draining or removed.
+    /// Whether the node is active, draining or removed.
     pub state: EndpointState,
 }
--- a/crates/dunepond-broker/src/logger.rs
+++ b/crates/dunepond-broker/src/logger.rs
@@ -1,4 +1,5 @@
-//! Structured logging to standard error, as text or JSON lines, rate-limited per call site so that no peer can flood it.
+//! Structured logging to standard error, as text or JSON lines. Lines are rate-limited per call site, so that no peer
+//! can flood the log.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -18,19 +19,20 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::{Layer, Registry, reload};
 
-/// Lines per second that one call site may write.
+/// How many lines per second one call site may write.
 const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// A pipe that is ready for writing takes a page at least without waiting (pipe(7), PIPE_BUF); a line end is left of it.
+/// Longest line without its line end. A pipe that is ready for writing accepts at least one page without blocking
+/// (pipe(7), PIPE_BUF), and one byte of it is needed for the line end.
 const PIPE_LINE_BYTES: usize = 4096 - 1;
 
-/// How a line is written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LogFormat {
-    /// One line of text for an event.
+    /// Each event is a line of text.
     #[default]
     Text,
-    /// One JSON object for an event.
+    /// Each event is a line with a JSON object.
     Json,
 }
 
@@ -46,7 +48,7 @@
     }
 }
 
-/// Seconds since the start, the broker's name, the level, the words, then the fields.
+/// The text format: seconds since the start, the broker's name, the level, the message, and the fields.
 struct TextFormat {
     name: String,
     start: Instant,
@@ -57,32 +59,33 @@
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
-    fn format_event(&self, context: &FmtContext<S, N>, mut to: Writer, event: &Event) -> fmt::Result {
+    fn format_event(&self, context: &FmtContext<S, N>, mut writer: Writer, event: &Event) -> fmt::Result {
         let at = self.start.elapsed().as_secs_f64();
-        write!(to, "{at:10.4} {} {} ", self.name, event.metadata().level())?;
-        context.field_format().format_fields(to.by_ref(), event)?;
-        writeln!(to)
+        write!(writer, "{at:10.4} {} {} ", self.name, event.metadata().level())?;
+        context.field_format().format_fields(writer.by_ref(), event)?;
+        writeln!(writer)
     }
 }
 
-/// Lines that were dropped for lack of room; the next line that is written reports and resets it.
+/// How many lines were dropped because standard error had no room. The next line that is written reports and resets the
+/// count.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Standard error without blocking: lines are dropped if it has no room. Guards against a pipe that nobody reads, which would stop the
-/// event loop.
+/// Writes to standard error without blocking. Lines are dropped if it has no room: otherwise a pipe that nobody reads
+/// would block the event loop.
 struct NonBlockingStderr;
 
 impl NonBlockingStderr {
-    /// Whether a line can be written at once; a file, which cannot be polled, has room.
+    /// Returns whether a line can be written at once. A file, which cannot be polled, always has room.
     fn has_room(stderr: &io::Stderr) -> bool {
         let mut polled = [PollFd::new(stderr, PollFlags::OUT)];
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-        poll(&mut polled, Some(&at_once)).map_or(true, |count| count > 0)
+        let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+        poll(&mut polled, Some(&no_wait)).map_or(true, |count| count > 0)
     }
 }
 
 impl Write for NonBlockingStderr {
-    /// Writes one line. A pipe that reports room has it for `PIPE_LINE_BYTES` in one write.
+    /// Writes one line. A pipe that reports room accepts at least `PIPE_LINE_BYTES` in one write.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let stderr = io::stderr();
         if !Self::has_room(&stderr) {
@@ -95,7 +98,7 @@
             let report = format!("{dropped} log lines dropped, as standard error was not read\n");
             out.write_all(report.as_bytes())?;
         }
-        // A longer write could block.
+        // A longer write to a pipe could block.
         let max_bytes = if dropped > 0 { PIPE_LINE_BYTES / 2 } else { PIPE_LINE_BYTES };
         out.write_all(&line[..line.len().min(max_bytes)])?;
         if line.len() > max_bytes {
@@ -109,22 +112,23 @@
     }
 }
 
-/// Lines that each call site wrote in the current second.
+/// How many lines each call site has written in the current second.
 #[derive(Default)]
 struct LinesThisSecond {
     second: u64,
     lines: HashMap<Identifier, u32>,
 }
 
-/// What counting a line has shown.
+/// The result of counting a line.
 #[derive(Default)]
 struct LineCount {
+    /// Whether the line is over the limit of its call site.
     is_over_limit: bool,
-    /// Lines that were suppressed in the previous second, if this line is the first of a new one.
+    /// How many lines were suppressed in the previous second, if this line is the first of a new one.
     suppressed_before: u32,
 }
 
-/// Suppresses lines of a call site beyond the limit.
+/// Suppresses the lines of a call site that are over the limit.
 struct RateLimit {
     name: String,
     start: Instant,
@@ -132,7 +136,7 @@
 }
 
 impl RateLimit {
-    /// Counts a line of a call site.
+    /// Counts a line of the call site that `metadata` describes.
     fn count_line(&self, metadata: &Metadata) -> LineCount {
         let second = self.start.elapsed().as_secs();
         let Ok(mut seen) = self.seen.lock() else { return LineCount::default() };
@@ -171,20 +175,21 @@
     }
 }
 
+/// The handle that changes the level of the installed logger.
 static LEVEL: OnceLock<reload::Handle<LevelFilter, Registry>> = OnceLock::new();
 
-/// Installs the logger for the whole process. `name`: the broker's name in each line.
-pub fn start(name: &str, level: LevelFilter, form: LogFormat) {
+/// Installs the logger for the whole process. `name` is the broker's name, which is in each line.
+pub fn start(name: &str, level: LevelFilter, format: LogFormat) {
     let (level, handle) = reload::Layer::new(level);
     let start = Instant::now();
-    let guard = RateLimit { name: name.to_string(), start, seen: Mutex::default() };
+    let rate_limit = RateLimit { name: name.to_string(), start, seen: Mutex::default() };
     let lines = tracing_subscriber::fmt::layer().with_writer(|| NonBlockingStderr).with_ansi(false);
-    let lines = match form {
+    let lines = match format {
         LogFormat::Text => lines.event_format(TextFormat { name: name.to_string(), start }).boxed(),
         LogFormat::Json => lines.json().flatten_event(true).with_current_span(false).boxed(),
     };
-    let subscriber = Registry::default().with(level).with(lines.with_filter(guard));
-    // Only tests install it twice; the first logger serves them as well.
+    let subscriber = Registry::default().with(level).with(lines.with_filter(rate_limit));
+    // Only tests install a logger twice. The first one stays in use.
     if tracing::subscriber::set_global_default(subscriber).is_ok() {
         let _ = LEVEL.set(handle);
     }
--- a/crates/dunepond-broker/src/persistence/inspect.rs
+++ b/crates/dunepond-broker/src/persistence/inspect.rs
@@ -1,4 +1,4 @@
-//! Reads and describes a state folder without a broker, for the command line.
+//! Reads and describes a state folder without a running broker, for the `state` commands.
 
 use std::fmt::{self, Write};
 use std::io;
@@ -13,13 +13,13 @@
 
 use super::storage::{BUDGET_JOURNAL, LEARNED_STATE_FILE, timestamp};
 
-/// The contents of a state folder, read without a broker.
+/// The contents of a state folder.
 pub struct Inspection {
-    /// The newest snapshot, if it can be read.
+    /// The newest snapshot; `None` if there is none or it cannot be read.
     pub learned_state: Option<LearnedSnapshot>,
-    /// The journal's records that can be read, oldest first.
+    /// The records of the journal that can be read, oldest first.
     pub budget_records: Vec<BudgetRecord>,
-    /// Every file or record that cannot be used, and why.
+    /// A line for every file or record that cannot be used, with the reason.
     pub faults: Vec<String>,
 }
 
@@ -31,7 +31,7 @@
     Open {
         /// Path of the folder.
         path: PathBuf,
-        /// Why not.
+        /// The error that the system reports.
         source: io::Error,
     },
     /// The folder cannot be listed.
@@ -39,7 +39,7 @@
     Read(io::Error),
 }
 
-/// Reads a state folder without changing it.
+/// Reads a state folder without changing it. Faulty files and records are listed in the result.
 pub fn inspect(path: &Path) -> Result<Inspection, InspectError> {
     let store = DiskStore::open_read_only(path);
     let store = store.map_err(|source| InspectError::Open { path: path.to_path_buf(), source })?;
@@ -67,12 +67,13 @@
     Ok(Inspection { learned_state, budget_records, faults })
 }
 
-/// Describes what a state folder holds and what a broker would restore from it at the Unix time `now`, if the endpoint list had not changed.
+/// Describes the contents of a state folder, and what a broker would restore from it at the Unix time `now` if the
+/// endpoint list had not changed.
 pub fn describe(path: &Path, now: f64) -> Result<String, InspectError> {
     let inspection = inspect(path)?;
     let now = timestamp(now);
     let mut out = String::new();
-    // Writing to a string does not fail.
+    // Writing to a string cannot fail.
     let _ = write_learned_state(&mut out, inspection.learned_state.as_ref(), &now);
     let _ = write_budgets(&mut out, &inspection, &now);
     for fault in &inspection.faults {
@@ -81,19 +82,20 @@
     Ok(out)
 }
 
+/// Describes the learned state of a snapshot, with one line for each node.
 fn write_learned_state(out: &mut String, snapshot: Option<&LearnedSnapshot>, now: &Timestamp) -> fmt::Result {
     let Some(snapshot) = snapshot else {
         return writeln!(out, "no beliefs");
     };
     let present = snapshot.identities();
     let restored = snapshot.restore(now, snapshot.query_classes(), &present);
-    let ago = restored
+    let age = restored
         .confidence
         .elapsed_seconds
         .map_or("at a time that no clock tells".to_string(), |seconds| format!("{seconds:.1} s ago"));
     writeln!(
         out,
-        "beliefs of {} nodes, written {ago}; they would count {:.0} %",
+        "beliefs of {} nodes, written {age}; they would count {:.0} %",
         snapshot.node_count(),
         100.0 * restored.confidence.weight
     )?;
@@ -110,6 +112,7 @@
     Ok(())
 }
 
+/// Describes the spent budgets of the journal.
 fn write_budgets(out: &mut String, inspection: &Inspection, now: &Timestamp) -> fmt::Result {
     match inspection.budget_records.last() {
         None => writeln!(out, "no debts")?,
--- a/crates/dunepond-broker/src/persistence/mod.rs
+++ b/crates/dunepond-broker/src/persistence/mod.rs
@@ -1,5 +1,6 @@
-//! State that outlasts the process: learned state in snapshots and spent budgets in a journal, in the operator's folder. Only startup and
-//! shutdown wait for the disk, for a bounded time; the broker serves without the folder.
+//! State that outlives the process, in a folder that the operator's file names: learned state in snapshots, and spent
+//! budgets in a journal. Only startup and shutdown wait for the disk, and for a limited time. The broker works without
+//! the folder too.
 
 mod inspect;
 mod storage;
@@ -29,34 +30,40 @@
 pub const SNAPSHOT_JOB: &str = "snapshot";
 /// Name of the background job that opens the folder again after a failure.
 pub const OPEN_JOB: &str = "open the state's folder";
-/// Longest time that startup waits for the folder to be read, and shutdown for it to be written.
+/// How long startup waits for the folder to be read.
 const STARTUP_READ_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long shutdown waits for the folder to be written.
 const SHUTDOWN_WRITE_TIMEOUT: Duration = Duration::from_millis(300);
-/// First backoff before a folder that failed is opened again; doubled up to the longest.
+/// First backoff before a folder that failed is opened again. Each further backoff is twice as long, up to
+/// `MAX_REOPEN_BACKOFF_SECONDS`.
 const FIRST_REOPEN_BACKOFF_SECONDS: f64 = 1.0;
+/// Longest backoff before a folder that failed is opened again.
 const MAX_REOPEN_BACKOFF_SECONDS: f64 = 60.0;
-/// A snapshot job that has waited for so many snapshot intervals is dropped.
+/// After how many snapshot intervals a snapshot job that has not started is dropped.
 const MAX_SNAPSHOT_DELAY_INTERVALS: f64 = 5.0;
 
 /// The broker's state folder, and the background jobs that use it.
 pub struct Persistence {
     config: RecoveryConfig,
-    /// Replaces the folder in tests.
+    /// Replaces the files of the folder in tests.
     files: Option<Arc<dyn FileStore>>,
+    /// The open folder.
     storage: SharedStorage,
-    /// Read at startup, not restored yet: there is no endpoint list.
+    /// State that was read at startup and is not restored yet, because there is no endpoint list.
     recovered: Option<Recovered>,
     /// The pending job that writes a snapshot.
     snapshot_job: Option<JobId>,
     /// The pending job that opens the folder.
     open_job: Option<JobId>,
+    /// Length of the last snapshot, as the estimated cost of the next one.
     last_snapshot_bytes: u64,
     query_classes: Vec<String>,
+    /// Whether `restore` has been done.
     restored: bool,
 }
 
 impl Persistence {
-    /// Opens the folder and reads it, waiting a bounded time. `files` replaces the folder in tests.
+    /// Opens and reads the folder, and waits for that for a limited time. `files` replaces the folder in tests.
     pub fn start(
         now: f64,
         config: RecoveryConfig,
@@ -77,7 +84,7 @@
         };
         let (sender, opened) = channel();
         let work = persistence.open_work(now, move |outcome| drop(sender.send(outcome)));
-        let began = Instant::now();
+        let start = Instant::now();
         if let Some(pool) = background.pool() {
             pool.run(0, move || (work(), 0));
         }
@@ -86,12 +93,12 @@
                 let nodes = recovered.learned_state.as_ref().map_or(0, LearnedSnapshot::node_count);
                 info!(
                     "state: read in {:.1} ms, learned state of {nodes} nodes",
-                    1e3 * began.elapsed().as_secs_f64()
+                    1e3 * start.elapsed().as_secs_f64()
                 );
                 persistence.recovered = Some(recovered);
             }
-            Ok(Err(why)) => {
-                warn!("state: {}: {why}; running without it", persistence.config.folder.display());
+            Ok(Err(error)) => {
+                warn!("state: {}: {error}; running without it", persistence.config.folder.display());
                 persistence.schedule_reopen(now, background);
             }
             Err(_) => {
@@ -101,7 +108,8 @@
         persistence
     }
 
-    /// The work that opens the folder, for the thread pool. `on_opened` gets what the folder held.
+    /// Returns the work that opens the folder, for the thread pool. `on_opened` is called with the contents of the
+    /// folder or the error.
     fn open_work(
         &self,
         now: f64,
@@ -129,6 +137,7 @@
         })
     }
 
+    /// Adds the job that opens the folder again after a backoff.
     fn schedule_reopen(&mut self, now: f64, background: &mut Background) {
         let spec = JobSpec {
             name: OPEN_JOB,
@@ -146,15 +155,16 @@
         self.open_job = Some(background.add(now, spec));
     }
 
-    /// Seconds between two snapshots.
+    /// Returns the seconds between two snapshots.
     pub fn snapshot_interval(&self) -> f64 {
         self.config.snapshot_interval_seconds
     }
 
-    /// Restores learned state and spent budgets once the first endpoint list is in force, as far as they still hold.
+    /// Restores learned state and spent budgets, as far as they are still valid, once the first endpoint list is in
+    /// use. Does nothing before that or when called again.
     pub fn restore(&mut self, now: f64, router: &mut Router, router_host: &mut RouterHost) {
         let present = router_host.upstream.identities();
-        // Only once: later this process has learned more than the folder holds.
+        // The state is restored only once: later this process has learned more than the folder holds.
         if present.is_empty() || self.restored {
             return;
         }
@@ -188,7 +198,7 @@
         router.restore_learned(router_host, &learned);
     }
 
-    /// Adds the job of another snapshot, unless one is pending.
+    /// Adds a job that writes a snapshot, unless one is pending or the folder is not open.
     pub fn schedule_snapshot(&mut self, now: f64, background: &mut Background) {
         if self.snapshot_job.is_some() || self.storage.lock().is_none() {
             return;
@@ -205,13 +215,14 @@
         self.snapshot_job = Some(background.add(now, spec));
     }
 
+    /// Returns an encoded snapshot of the router's learned state.
     fn encode_snapshot(&self, now: f64, router: &mut Router, router_host: &RouterHost) -> Vec<u8> {
         let learned = router.learned_state(router_host);
         let identities = router_host.upstream.identities();
         LearnedSnapshot::capture(timestamp(now), &self.query_classes, &identities, &learned).encode()
     }
 
-    /// Runs a job that the scheduler has started.
+    /// Runs a job that the scheduler has started, on the thread pool.
     pub fn run_job(
         &mut self,
         id: JobId,
@@ -225,7 +236,7 @@
             let folder = self.config.folder.clone();
             let work = self.open_work(now, move |outcome| match outcome {
                 Ok(_) => info!("state: {} is in use again", folder.display()),
-                Err(why) => warn!("state: {}: {why}", folder.display()),
+                Err(error) => warn!("state: {}: {error}", folder.display()),
             });
             return pool.run(id, move || (work(), 0));
         }
@@ -248,11 +259,11 @@
         });
     }
 
-    /// A job has ended or was dropped; one of others is ignored.
+    /// Handles the end or the drop of a job. Jobs of other modules are ignored.
     pub fn on_job_ended(&mut self, now: f64, id: JobId, failed: bool, background: &mut Background) {
         if self.snapshot_job == Some(id) {
             self.snapshot_job = None;
-            // The folder is reopened, with backoff, before anything is written again.
+            // The folder is opened again, with backoff, before anything more is written.
             if failed && self.open_job.is_none() {
                 *self.storage.lock() = None;
                 self.schedule_reopen(now, background);
@@ -262,7 +273,7 @@
         }
     }
 
-    /// Writes learned state and spent budgets at a graceful shutdown, waiting a bounded time.
+    /// Writes learned state and spent budgets at a graceful shutdown, and waits for that for a limited time.
     pub fn write_final_state(
         &mut self,
         now: f64,
@@ -281,7 +292,7 @@
             if let Some(open) = storage.lock().as_mut() {
                 let written = open.snapshots.write(&bytes).map(drop);
                 let written = written.and_then(|()| open.journal.append(&record.encode()).map(drop));
-                // The receiver has stopped waiting at its timeout.
+                // Sending fails if the receiver has stopped waiting.
                 let _ = sender.send(written);
             }
             (Outcome::Done, 0)
--- a/crates/dunepond-broker/src/persistence/storage.rs
+++ b/crates/dunepond-broker/src/persistence/storage.rs
@@ -1,4 +1,4 @@
-//! The state folder's files: snapshots of learned state and the journal of spent budgets.
+//! The files of the state folder: snapshots of learned state and the journal of spent budgets.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,9 +7,11 @@
 use dunepond_storage::{FileStore, Journal, SnapshotStore};
 use tracing::warn;
 
+/// Base name of the snapshot files.
 pub(super) const LEARNED_STATE_FILE: &str = "beliefs";
+/// Base name of the journal file.
 pub(super) const BUDGET_JOURNAL: &str = "debts";
-/// A longer journal is rewritten with its last record alone.
+/// A journal longer than this is rewritten with only its last record.
 const MAX_JOURNAL_BYTES: u64 = 64 * 1024;
 
 /// An open state folder.
@@ -18,26 +20,27 @@
     pub(super) journal: Journal,
 }
 
-/// What the folder held when it was opened.
+/// The contents of the folder when it was opened.
 #[derive(Default)]
 pub(super) struct Recovered {
     pub(super) learned_state: Option<LearnedSnapshot>,
     pub(super) budget_records: Vec<BudgetRecord>,
-    /// Every record of the journal could be read.
+    /// Whether every record of the journal could be read.
     pub(super) is_journal_complete: bool,
 }
 
-/// The open folder, shared with the thread pool; `None` while it cannot be used.
+/// The open folder, shared with the thread pool. It holds `None` while the folder cannot be used.
 #[derive(Clone, Default)]
 pub(super) struct SharedStorage(Arc<Mutex<Option<StateStorage>>>);
 
 impl SharedStorage {
+    /// Locks the folder for the caller.
     pub(super) fn lock(&self) -> MutexGuard<'_, Option<StateStorage>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A Unix time together with the machine's boot id and uptime at this moment.
+/// Returns a Unix time together with the machine's current boot id and uptime.
 pub fn timestamp(unix: f64) -> Timestamp {
     let read = |path: &str| std::fs::read_to_string(path).unwrap_or_default();
     let uptime = read("/proc/uptime").split(' ').next().and_then(|seconds| seconds.parse().ok());
@@ -49,7 +52,7 @@
     }
 }
 
-/// Opens a folder, reads what it holds and appends a record of this start.
+/// Opens a folder, reads its contents and appends a record of this start to the journal.
 pub(super) fn open_storage(
     files: Arc<dyn FileStore>,
     at: Timestamp,
@@ -62,8 +65,8 @@
     }
     let budget_records: Vec<_> =
         recovered.records.iter().map(|record| BudgetRecord::decode(&record.bytes)).collect();
-    // A truncated record, too, makes it incomplete: it was being written when the process ended, so that its shutdown was not
-    // completed.
+    // A truncated record also makes the journal incomplete: the process ended while it was writing the record, so its
+    // shutdown was not completed.
     let is_journal_complete = recovered.fault.is_none() && budget_records.iter().all(Result::is_ok);
     if journal.length() > MAX_JOURNAL_BYTES {
         let last = recovered.records.last().map(|record| record.bytes.clone());
@@ -77,7 +80,7 @@
     ))
 }
 
-/// The newest snapshot, if it can be read; files that cannot are logged.
+/// Returns the newest snapshot that can be read. Files that cannot be read are logged.
 fn load_learned_state(snapshots: &SnapshotStore) -> io::Result<Option<LearnedSnapshot>> {
     let found = snapshots.load()?;
     for (name, fault) in &found.faults {
--- a/crates/dunepond-broker/src/prefilter.rs
+++ b/crates/dunepond-broker/src/prefilter.rs
@@ -1,4 +1,4 @@
-//! The prefilter phase of queries: carries out the actions of `dunepond-prefilter`, and reports answers to it.
+//! Runs the prefilter phase of queries: carries out the actions of `dunepond-prefilter`, and reports answers to it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{BuildHasher, RandomState};
@@ -17,10 +17,10 @@
 use crate::router::RouterHost;
 use crate::upstream::CompletedAttempt;
 
-/// Texts that are kept for audits: more than can be pending.
+/// How many texts of pruned queries are kept for audits; more than the audits that can be pending.
 const MAX_AUDIT_TEXTS: usize = 64;
 
-/// The nodes as the router sees them.
+/// The router's view of the nodes.
 struct RouterView<'a>(&'a Router);
 
 impl NodeView for RouterView<'_> {
@@ -37,22 +37,22 @@
     }
 }
 
-/// A query in the prefilter phase, or searched after it.
-struct KnownQuery {
+/// A query that is in the prefilter phase, or is being searched after it.
+struct ActiveQuery {
     key: QueryKey,
     query_class: usize,
     text: Rc<str>,
     segments: Vec<SegmentIndex>,
 }
 
-/// What the prefilter needs to know of a query class.
+/// The settings of a query class that the prefilter needs.
 struct QueryClass {
     idempotent: bool,
-    /// The share of the weights that makes a response complete.
+    /// The share of the parts' weights from which on a response counts as complete.
     complete_at: f64,
 }
 
-/// What an audit needs of a pruned query.
+/// The data of a pruned query that an audit needs.
 #[derive(Clone)]
 struct AuditText {
     key: QueryKey,
@@ -63,19 +63,24 @@
 /// Hosts the prefilter on the broker's event loop.
 pub struct PrefilterHost {
     prefilter: Prefilter,
-    /// Keyed, so that no client can construct two texts with one hash: their answers would be taken for each other's.
+    /// Hashes query texts with a random key. Otherwise a client could construct two texts with the same hash, and the
+    /// answers to one would be used for the other.
     hashes: RandomState,
     query_classes: Vec<QueryClass>,
-    queries: HashMap<QueryId, KnownQuery>,
-    /// The queries that were pruned last, for audits, numbered from the oldest.
+    /// The queries in the prefilter phase or searched after it.
+    queries: HashMap<QueryId, ActiveQuery>,
+    /// The queries that were pruned last, for audits, by a number that grows with each.
     audit_texts: BTreeMap<u64, AuditText>,
-    last_text: u64,
+    /// The number of the last entry in `audit_texts`.
+    last_audit_text: u64,
+    /// The audits in flight, by the query that runs each.
     audits: HashMap<QueryId, Audit>,
+    /// When the pending timer fires, and its key.
     timer: Option<(f64, clock::TimerKey)>,
 }
 
 impl PrefilterHost {
-    /// Without any state.
+    /// Creates a host without queries and without learned state.
     pub fn new(config: PrefilterConfig, deployment: &Deployment) -> Self {
         let classes = deployment.query_classes.iter().map(|class| QueryClass {
             idempotent: class.idempotency == Idempotency::Idempotent,
@@ -87,18 +92,19 @@
             query_classes: classes.collect(),
             queries: HashMap::new(),
             audit_texts: BTreeMap::new(),
-            last_text: 0,
+            last_audit_text: 0,
             audits: HashMap::new(),
             timer: None,
         }
     }
 
-    /// Changes the configuration; learned state stays.
+    /// Changes the configuration and keeps the learned state.
     pub fn reconfigure(&mut self, config: PrefilterConfig) {
         self.prefilter.reconfigure(config);
     }
 
-    /// Starts a query: the router admits it, and only then are prefilter requests collected for it.
+    /// Starts a query. If it is eligible for the prefilter phase and the router admits it, prefilter requests are
+    /// collected for it.
     pub fn start_query(&mut self, router: &mut Router, router_host: &mut RouterHost, query: Query) {
         let Some((text, segments)) = router_host.prefilter_input(query.id) else {
             return router.on_query(router_host, query);
@@ -118,7 +124,7 @@
         if !self.prefilter.is_eligible(&candidate) {
             return router.on_query(router_host, query);
         }
-        self.queries.insert(id, KnownQuery { key, query_class, text, segments });
+        self.queries.insert(id, ActiveQuery { key, query_class, text, segments });
         router.on_query(router_host, Query { awaits_prefilter: true, ..query });
         if router_host.is_active(id) {
             let actions = self.prefilter.open(router_host.now, &RouterView(router), candidate);
@@ -126,17 +132,18 @@
         }
     }
 
+    /// Carries out the prefilter's actions.
     fn execute(&mut self, router: &mut Router, router_host: &mut RouterHost, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(request) => {
-                    let Some(known) = self.queries.values().find(|known| known.key == request.key) else {
+                    let Some(active) = self.queries.values().find(|active| active.key == request.key) else {
                         continue;
                     };
                     router_host.send_prefilter_request(
                         request.node,
                         request.id,
-                        &known.text,
+                        &active.text,
                         &request.segments,
                     );
                 }
@@ -145,25 +152,26 @@
         }
     }
 
+    /// Starts the search of a query whose prefilter phase is over, without the pruned segments.
     fn start_search(&mut self, router: &mut Router, router_host: &mut RouterHost, plan: &SearchPlan) {
-        let Some(known) = self.queries.get(&plan.query) else { return };
+        let Some(active) = self.queries.get(&plan.query) else { return };
         if !plan.pruned.is_empty() {
             debug!("query {}: {} shards pruned by the prefilter", plan.query, plan.pruned.len());
-            self.last_text += 1;
-            let (key, query_class, text) = (known.key, known.query_class, known.text.clone());
-            self.audit_texts.insert(self.last_text, AuditText { key, query_class, text });
+            self.last_audit_text += 1;
+            let (key, query_class, text) = (active.key, active.query_class, active.text.clone());
+            self.audit_texts.insert(self.last_audit_text, AuditText { key, query_class, text });
             while self.audit_texts.len() > MAX_AUDIT_TEXTS {
                 self.audit_texts.pop_first();
             }
         }
         let position =
-            |pruned: &PrunedSegment| known.segments.iter().position(|segment| *segment == pruned.segment);
+            |pruned: &PrunedSegment| active.segments.iter().position(|segment| *segment == pruned.segment);
         let parts: Vec<_> = plan.pruned.iter().filter_map(position).collect();
         router_host.prune(plan.query, plan.pruned.clone());
         router.on_prefilter_result(router_host, plan.query, &parts);
     }
 
-    /// A node has answered a prefilter request, or will not.
+    /// Handles the answers to a prefilter request, or its failure.
     pub fn on_response(
         &mut self,
         router: &mut Router,
@@ -174,13 +182,13 @@
         let nodes = RouterView(router);
         let actions = match answers {
             Ok(answers) => self.prefilter.on_response(router_host.now, &nodes, request, &answers),
-            Err(why) => self.prefilter.on_failure(router_host.now, &nodes, request, why),
+            Err(failure) => self.prefilter.on_failure(router_host.now, &nodes, request, failure),
         };
         self.execute(router, router_host, actions);
     }
 
-    /// An attempt has ended, before the router learns of it: what it found may confirm or refute answers, and segments that
-    /// were pruned on refuted answers have to be searched before the response is complete.
+    /// Handles the end of an attempt, before the router does. Its search report may confirm or refute answers; segments
+    /// that were pruned because of refuted answers then have to be searched before the response is complete.
     pub fn on_attempt_ended(
         &mut self,
         router: &mut Router,
@@ -191,8 +199,8 @@
         if let Some(SearchReport { version, found }) = completed.search_report {
             let began = router_host.now - completed.ended.elapsed;
             let audited = self.audits.get(&query).map(|audit| (audit.key, audit.segment));
-            let known = || self.queries.get(&query).map(|known| (known.key, known.segments[part]));
-            if let Some((key, segment)) = audited.or_else(known)
+            let active = || self.queries.get(&query).map(|active| (active.key, active.segments[part]));
+            if let Some((key, segment)) = audited.or_else(active)
                 && self.prefilter.record_search(began, key, segment, version, found)
             {
                 info!(
@@ -201,37 +209,37 @@
                 );
             }
         }
-        let Some(known) = self.queries.get(&query) else { return };
+        let Some(active) = self.queries.get(&query) else { return };
         let revoked = self.prefilter.take_revoked(query);
         if !revoked.is_empty() {
             debug!("query {query}: {} pruned shards are searched after all", revoked.len());
-            let position = |segment: &SegmentIndex| known.segments.iter().position(|s| s == segment);
+            let position = |segment: &SegmentIndex| active.segments.iter().position(|s| s == segment);
             let parts: Vec<_> = revoked.iter().filter_map(position).collect();
             router_host.restore_pruned(query, &revoked);
             router.on_prefilter_revoked(router_host, query, &parts);
         }
     }
 
-    /// A query has ended, with a response or without.
+    /// Handles the end of a query. `answered` says whether it has ended with a response.
     pub fn on_query_ended(&mut self, now: f64, query: QueryId, answered: bool) {
         if self.audits.remove(&query).is_none() && self.queries.remove(&query).is_some() {
             self.prefilter.on_query_end(now, query, answered);
         }
     }
 
-    /// A node was replaced by another process, or removed.
+    /// Forgets what has been learned of a node that was removed or replaced by another process.
     pub fn forget(&mut self, node: NodeId) {
         self.prefilter.remove_node(node);
     }
 
-    /// The prefilter phase of some query is over.
+    /// Handles the timer: the prefilter phase of a query is over.
     pub fn on_deadline(&mut self, router: &mut Router, router_host: &mut RouterHost) {
         self.timer = None;
         let actions = self.prefilter.on_deadline(router_host.now);
         self.execute(router, router_host, actions);
     }
 
-    /// The end of an iteration: sends the collected requests, and sets the next timer.
+    /// Sends the collected requests and sets the next timer, at the end of an iteration of the event loop.
     pub fn end_iteration(&mut self, router: &mut Router, router_host: &mut RouterHost) {
         let actions = self.prefilter.flush(router_host.now);
         self.execute(router, router_host, actions);
@@ -242,7 +250,7 @@
         }
     }
 
-    /// Whether a pruned segment waits to be searched as an audit.
+    /// Returns whether a pruned segment waits to be searched as an audit.
     pub fn has_audits(&self) -> bool {
         self.prefilter.has_audits()
     }
@@ -261,7 +269,7 @@
         }
     }
 
-    /// Logs counters.
+    /// Logs the counters of the prefilter.
     pub fn log_counters(&self, now: f64) {
         let counts = self.prefilter.counters();
         info!(
--- a/crates/dunepond-broker/src/prefilter_connections.rs
+++ b/crates/dunepond-broker/src/prefilter_connections.rs
@@ -1,5 +1,6 @@
-//! Connections to nodes for prefilter requests (which of these segments can match) only: a node that does not know that frame closes the
-//! connection, which must not fail an attempt.
+//! Connections to nodes that carry only prefilter requests, which ask which segments can match a query. They are
+//! separate from those for attempts because a node that does not support the request closes the connection, which must
+//! not fail an attempt.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -20,23 +21,27 @@
 use crate::iteration::{EventLoopHandle, LoopEvent, watch};
 use crate::upstream::open;
 
-/// A node that does not answer for so long counts as failed.
+/// How long a node may take to answer a prefilter request before the connection to it is closed.
 const ANSWER_TIMEOUT_SECONDS: f64 = 3.0;
-/// We close an idle connection at this share of the time at which the node closes it, so that no request crosses that.
+/// Share of the configured idle timeout after which the broker closes an idle connection. It is below 1 so that no
+/// request is in transit when the node closes the connection.
 const IDLE_CLOSE_RATIO: f64 = 0.9;
-/// How much may wait to be written to one node.
+/// How many bytes may wait to be written to one node; beyond that, requests to it fail.
 const MAX_QUEUED_BYTES: usize = 256 * 1024;
 
-/// For each requested segment, whether it can match and the version that says so.
+/// The answers to a prefilter request: for each requested segment, whether it can match and the version that was
+/// consulted.
 pub type PrefilterAnswers = Vec<SegmentAnswer>;
 
-/// A request without an answer yet.
+/// A request that has not been answered yet.
 struct OutstandingRequest {
-    /// Its number.
+    /// The request's number.
     request: u64,
+    /// When the request was queued, in Unix seconds.
     queued_at: f64,
 }
 
+/// A prefilter connection to a node.
 struct PrefilterConnection {
     node: NodeId,
     stream: Rc<TcpStream>,
@@ -44,11 +49,13 @@
     connected: bool,
     input: Option<Buffer>,
     output: WriteQueue,
+    /// Requests without an answer, oldest first.
     outstanding: VecDeque<OutstandingRequest>,
+    /// Timer for connecting, for an answer, or for being idle.
     timer: Option<TimerKey>,
 }
 
-/// All prefilter connections, one per node.
+/// All prefilter connections, at most one per node.
 pub struct PrefilterConnections {
     handle: EventLoopHandle,
     pool: Pool,
@@ -56,12 +63,12 @@
     by_node: HashMap<NodeId, usize>,
     max_connections: usize,
     settings: Rc<HostSettings>,
-    /// Answers, and why requests have none, not yet reported to the prefilter.
+    /// Answers to requests and failures of requests that are not reported to the prefilter yet.
     pub responses: VecDeque<(u64, Result<PrefilterAnswers, RequestFailure>)>,
 }
 
 impl PrefilterConnections {
-    /// No connections yet; `max_connections` bounds them.
+    /// Creates an instance without connections; `max_connections` limits them.
     pub fn new(
         handle: EventLoopHandle,
         pool: &Pool,
@@ -73,7 +80,7 @@
         Self { handle, pool, connections, by_node, max_connections, settings, responses }
     }
 
-    /// Sends the frame of a request to a node at its address. A failure is reported among the answers.
+    /// Sends the frame of a request to a node at its address. A failure is added to `responses`.
     pub fn send(
         &mut self,
         now: f64,
@@ -107,6 +114,7 @@
         self.write(id, timers);
     }
 
+    /// Opens a connection to a node, and returns its index.
     fn connect(
         &mut self,
         now: f64,
@@ -139,7 +147,7 @@
         Ok(id)
     }
 
-    /// A readiness event: the connection is readable or writable, established, or failed.
+    /// Handles a readiness event of a connection: it is readable or writable, has been established, or has failed.
     pub fn on_ready(&mut self, now: f64, id: usize, readable: bool, timers: &mut Timers) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if !connection.connected {
@@ -159,6 +167,7 @@
         self.write(id, timers);
     }
 
+    /// Writes the pending bytes of an established connection.
     fn write(&mut self, id: usize, timers: &mut Timers) {
         let Some(connection) = self.connections.get_mut(id).filter(|connection| connection.connected) else {
             return;
@@ -168,6 +177,7 @@
         }
     }
 
+    /// Reads and handles what has arrived on a connection, and sets its next timer.
     fn read(&mut self, now: f64, id: usize, timers: &mut Timers) {
         loop {
             let connection = &mut self.connections[id];
@@ -188,14 +198,14 @@
                 return self.close(id, ending, timers);
             }
         }
-        // The oldest request times out from when it was queued; without any the connection is idle.
+        // The timeout of the oldest request counts from when it was queued. Without requests the connection is idle.
         let connection = &mut self.connections[id];
         timers.cancel(connection.timer.take());
-        let until = match connection.outstanding.front() {
+        let due = match connection.outstanding.front() {
             Some(oldest) => oldest.queued_at + ANSWER_TIMEOUT_SECONDS,
             None => now + IDLE_CLOSE_RATIO * self.settings.idle_timeout_seconds,
         };
-        connection.timer = Some(timers.schedule(until, TimerEvent::PrefilterConnection(id)));
+        connection.timer = Some(timers.schedule(due, TimerEvent::PrefilterConnection(id)));
     }
 
     /// Handles each complete frame that has arrived.
@@ -203,28 +213,28 @@
         loop {
             let connection = &mut self.connections[id];
             let input = connection.input.as_mut()?;
-            let (used, request, answers) = match frames::decode_frame(input.filled()) {
+            let (frame_bytes, request, answers) = match frames::decode_frame(input.filled()) {
                 Ok(None) => return None,
-                Ok(Some((NodeFrame::PrefilterAnswers { request, answers }, used))) => {
-                    (used, request, answers)
+                Ok(Some((NodeFrame::PrefilterAnswers { request, answers }, frame_bytes))) => {
+                    (frame_bytes, request, answers)
                 }
-                Ok(Some((NodeFrame::Rejected(why), _))) => {
-                    debug!("node {}: {}", connection.node, why.escape_debug());
+                Ok(Some((NodeFrame::Rejected(reason), _))) => {
+                    debug!("node {}: rejected by the node: {}", connection.node, reason.escape_debug());
                     return Some(ConnectionEnd::RejectedByPeer);
                 }
                 Ok(Some((NodeFrame::AttemptEnded { .. }, _))) => {
                     warn!("node {}: an E frame on a prefilter connection", connection.node);
                     return Some(ConnectionEnd::ProtocolError);
                 }
-                Err(why) => {
-                    warn!("node {}: on a prefilter connection: {why}", connection.node);
+                Err(error) => {
+                    warn!("node {}: on a prefilter connection: {error}", connection.node);
                     return Some(ConnectionEnd::ProtocolError);
                 }
             };
-            input.consume(used);
+            input.consume(frame_bytes);
             match connection.outstanding.iter().position(|outstanding| outstanding.request == request) {
-                Some(at) => {
-                    let queued_at = connection.outstanding.remove(at)?.queued_at;
+                Some(position) => {
+                    let queued_at = connection.outstanding.remove(position)?.queued_at;
                     debug!(
                         "node {}: prefilter request {request} answered after {:.4} s",
                         connection.node,
@@ -240,7 +250,8 @@
         }
     }
 
-    /// A connection's timer has fired: it did not connect, did not answer, or was idle.
+    /// Closes a connection whose timer has fired: it was not established or a request was not answered in time, or it
+    /// has been idle for too long.
     pub fn on_timeout(&mut self, id: usize, timers: &mut Timers) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.timer = None;
@@ -252,14 +263,14 @@
         self.close(id, ending, timers);
     }
 
-    /// A node drains, was removed or was replaced by another process: closes the connection to it.
+    /// Closes the connection to a node that drains, was removed or was replaced by another process.
     pub fn close_node(&mut self, node: NodeId, timers: &mut Timers) {
         if let Some(id) = self.by_node.get(&node) {
             self.close(*id, ConnectionEnd::Replaced, timers);
         }
     }
 
-    /// The one place where a connection is closed; its requests have no answer.
+    /// Closes a connection; its outstanding requests fail. All prefilter connections are closed here.
     fn close(&mut self, id: usize, ending: ConnectionEnd, timers: &mut Timers) {
         let Some(connection) = self.connections.try_remove(id) else { return };
         timers.cancel(connection.timer);
@@ -270,8 +281,8 @@
             connection.node,
             connection.outstanding.len()
         );
-        let why = ending.request_failure();
+        let failure = ending.request_failure();
         self.responses
-            .extend(connection.outstanding.iter().map(|outstanding| (outstanding.request, Err(why))));
+            .extend(connection.outstanding.iter().map(|outstanding| (outstanding.request, Err(failure))));
     }
 }
--- a/crates/dunepond-broker/src/query_command.rs
+++ b/crates/dunepond-broker/src/query_command.rs
@@ -1,5 +1,5 @@
-//! `dunepond-broker query`: queries a broker at either port and prints the response. For people and scripts; the broker itself does not use
-//! it.
+//! `dunepond-broker query`, which queries a broker at either port and prints the response. It is for people and scripts; the
+//! broker itself does not use it.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,56 +10,56 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use serde_json::{Value, json};
 
-/// Searches of a file that are sent in one `_msearch`.
+/// How many searches of a file are sent in one `_msearch` request.
 const MAX_SEARCHES_PER_REQUEST: usize = 20;
-/// Longer than any query may take.
+/// How long to wait for a response; longer than any query may take.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Where to send a query, and how to print the response.
 pub struct Target<'a> {
     /// The broker's address.
     pub address: SocketAddr,
-    /// The query class.
+    /// The query class, which is the index at the search API.
     pub index: &'a str,
-    /// Prints JSON instead of a table.
+    /// Whether to print JSON instead of a table.
     pub json: bool,
 }
 
-/// Why a query has no result to be printed.
+/// Why there is no response to print.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
-    /// The broker can't be reached, or the connection failed.
+    /// The broker cannot be reached, or the connection failed.
     #[error("{address}: {source}")]
     Connection {
         /// The broker's address.
         address: SocketAddr,
-        /// What the system reports.
+        /// The error that the system reports.
         source: std::io::Error,
     },
-    /// The connection was closed before a whole head had arrived.
-    #[error("{0}: closed without an answer")]
+    /// The connection was closed before the head of the response had arrived.
+    #[error("{0}: the connection was closed before a response arrived")]
     NoResponse(SocketAddr),
-    /// Something else listens at the address.
-    #[error("{0}: does not speak HTTP")]
+    /// The response is not HTTP, so that something else listens at the address.
+    #[error("{0}: the response is not HTTP; check that the address is a broker's")]
     NotHttp(SocketAddr),
     /// The broker answered with an error.
-    #[error("answered {status}: {reason}")]
+    #[error("the broker answered {status}: {reason}")]
     Rejected {
         /// The HTTP status.
         status: u16,
         /// The reason in the response.
         reason: String,
     },
-    /// The file of searches can't be read.
+    /// The file of searches cannot be read.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system reports.
+        /// The error that the system reports.
         source: std::io::Error,
     },
-    /// The file ends with the first line of a pair.
-    #[error("{}: a head without its search at the end", .0.display())]
+    /// The file ends with the header line of a search whose second line is missing.
+    #[error("{}: the last header line has no search; each search needs two lines", .0.display())]
     IncompletePair(PathBuf),
 }
 
@@ -69,6 +69,7 @@
     body: Vec<u8>,
 }
 
+/// Sends a request on a new connection and reads the response.
 fn exchange(address: SocketAddr, request: &str) -> Result<Response, QueryError> {
     let failed = |source| QueryError::Connection { address, source };
     let mut stream = TcpStream::connect(address).map_err(failed)?;
@@ -91,11 +92,12 @@
     Ok(Response { status, body })
 }
 
+/// Returns a POST request; each of `headers` ends with a line end.
 fn post(path: &str, headers: &str, body: &str) -> String {
     format!("POST {path} HTTP/1.1\r\nHost: dunepond\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// The JSON of a response, if its status is 200.
+/// Returns the JSON of a response, or an error if its status is not 200.
 fn parse_response(response: &Response) -> Result<Value, QueryError> {
     let value: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
     if response.status == 200 {
@@ -106,7 +108,7 @@
     Err(QueryError::Rejected { status: response.status, reason })
 }
 
-/// Searches at the search API's port by a query string, or for everything without one.
+/// Searches at the search API's port by a query string. Without one, every document matches.
 pub fn search(target: &Target, query: Option<&str>, size: u64) -> Result<String, QueryError> {
     let query = query.map_or(json!({"match_all": {}}), |q| json!({"query_string": {"query": q}}));
     let body = json!({"query": query, "size": size}).to_string();
@@ -115,12 +117,12 @@
     Ok(if target.json { pretty(&answer) } else { format_hits(&answer) })
 }
 
-/// Queries some segments at the clients' port with a text, within this many seconds.
-pub fn query(target: &Target, text: &str, shards: &[u64], seconds: f64) -> Result<String, QueryError> {
-    let share = 1.0 / shards.len().max(1) as f64;
-    let segments: Vec<_> = shards.iter().map(|shard| json!({"bucket": shard, "part": share})).collect();
+/// Queries some segments at the clients' port with a text and a time budget in seconds.
+pub fn query(target: &Target, text: &str, shards: &[u64], time_budget: f64) -> Result<String, QueryError> {
+    let weight = 1.0 / shards.len().max(1) as f64;
+    let segments: Vec<_> = shards.iter().map(|shard| json!({"bucket": shard, "part": weight})).collect();
     let body = json!({"buckets": segments, "body": text}).to_string();
-    let headers = format!("X-Call-Id: query-{}\r\nX-Budget: {seconds}\r\n", std::process::id());
+    let headers = format!("X-Call-Id: query-{}\r\nX-Budget: {time_budget}\r\n", std::process::id());
     let answer =
         parse_response(&exchange(target.address, &post(&format!("/{}", target.index), &headers, &body))?)?;
     if target.json {
@@ -135,7 +137,8 @@
     Ok(format!("{table}\n{whole}\n"))
 }
 
-/// Sends a file of searches in the format of `_msearch`, several per request, with a progress bar on standard error.
+/// Sends the searches of a file in the format of `_msearch`, several per request, with a progress bar on standard
+/// error.
 pub fn search_file(target: &Target, path: &Path) -> Result<String, QueryError> {
     let unreadable = |source| QueryError::File { path: path.to_path_buf(), source };
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
@@ -150,39 +153,42 @@
     let mut table = Table::new();
     table.load_preset(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
     table.set_header(["search", "status", "hits", "shards", ""]);
-    let (mut all, mut number) = (Vec::new(), 0);
+    let (mut responses, mut number) = (Vec::new(), 0);
     for pairs in lines.chunks(2 * MAX_SEARCHES_PER_REQUEST) {
         let body = pairs.join("\n") + "\n";
         let request = post(&format!("/{}/_msearch", target.index), "", &body);
         let answer = parse_response(&exchange(target.address, &request)?)?;
-        for one in answer["responses"].as_array().into_iter().flatten() {
+        for response in answer["responses"].as_array().into_iter().flatten() {
             number += 1;
-            table.add_row(summary_row(number, one));
-            all.push(one.clone());
+            table.add_row(summary_row(number, response));
+            responses.push(response.clone());
         }
         bar.set_position(number);
     }
     bar.finish_and_clear();
-    Ok(if target.json { pretty(&json!(all)) } else { format!("{table}\n") })
+    Ok(if target.json { pretty(&json!(responses)) } else { format!("{table}\n") })
 }
 
-fn summary_row(number: u64, one: &Value) -> [String; 5] {
-    let shards = &one["_shards"];
-    let why = one.pointer("/error/reason").and_then(Value::as_str).unwrap_or_default();
-    let partial = if shards["failed"].as_u64().unwrap_or(0) > 0 { "NOT WHOLE" } else { why };
+/// Returns the table row for the response to one search of a file.
+fn summary_row(number: u64, response: &Value) -> [String; 5] {
+    let shards = &response["_shards"];
+    let reason = response.pointer("/error/reason").and_then(Value::as_str).unwrap_or_default();
+    let note = if shards["failed"].as_u64().unwrap_or(0) > 0 { "NOT WHOLE" } else { reason };
     [
         number.to_string(),
-        one["status"].to_string(),
-        one["hits"]["total"]["value"].as_u64().map_or(String::new(), |total| total.to_string()),
+        response["status"].to_string(),
+        response["hits"]["total"]["value"].as_u64().map_or(String::new(), |total| total.to_string()),
         shards["successful"].as_u64().map_or(String::new(), |s| format!("{s} of {}", shards["total"])),
-        partial.to_string(),
+        note.to_string(),
     ]
 }
 
+/// Returns a JSON value as indented text.
 fn pretty(value: &Value) -> String {
     serde_json::to_string_pretty(value).unwrap_or_default() + "\n"
 }
 
+/// Returns the hits of a search response as a table, with a summary and the failed shards below it.
 fn format_hits(answer: &Value) -> String {
     let mut table = Table::new();
     table.load_preset(comfy_table::presets::UTF8_HORIZONTAL_ONLY).set_header(["id", "score", "document"]);
@@ -192,14 +198,14 @@
         table.add_row([hit["_id"].as_str().unwrap_or_default().to_string(), score, source]);
     }
     let (total, shards) = (&answer["hits"]["total"], &answer["_shards"]);
-    let least = if total["relation"] == json!("gte") { "at least " } else { "" };
+    let at_least = if total["relation"] == json!("gte") { "at least " } else { "" };
     let mut out = format!(
-        "{table}\n{least}{} found, {} of {} shards, {} ms\n",
+        "{table}\n{at_least}{} found, {} of {} shards, {} ms\n",
         total["value"], shards["successful"], shards["total"], answer["took"]
     );
     for failure in shards["failures"].as_array().into_iter().flatten() {
-        let why = failure.pointer("/reason/reason").and_then(Value::as_str).unwrap_or_default();
-        out += &format!("NOT WHOLE: shard {}: {why}\n", failure["shard"]);
+        let reason = failure.pointer("/reason/reason").and_then(Value::as_str).unwrap_or_default();
+        out += &format!("NOT WHOLE: shard {}: {reason}\n", failure["shard"]);
     }
     out
 }
--- a/crates/dunepond-broker/src/query_request.rs
+++ b/crates/dunepond-broker/src/query_request.rs
@@ -1,4 +1,4 @@
-//! A query of a client, whichever port it arrived at.
+//! The query of a client, independent of the port at which it arrived.
 
 use dunepond_routing::Part;
 
@@ -6,18 +6,18 @@
 
 /// A validated query of a client.
 pub struct QueryRequest {
-    /// Unique among the queries in flight; part of the ids of its attempts.
+    /// The request's id, which is unique among the queries in flight and part of the ids of its parts.
     pub request_id: String,
-    /// Index into the configured query classes.
+    /// Index of the query's class among the configured query classes.
     pub query_class: usize,
-    /// Index into the configured tenants; one more than the last for an unlisted tenant.
+    /// Index of the tenant among the configured tenants; one more than the last index for an unlisted tenant.
     pub tenant: usize,
-    /// Until when the client waits.
+    /// When the client stops waiting, in Unix seconds.
     pub deadline: f64,
-    /// The client marks it as a retry.
+    /// Whether the client marks the query as a retry.
     pub is_retry: bool,
-    /// The segments it searches, each with its weight.
+    /// The segments that the query searches, each with its weight.
     pub parts: Vec<Part>,
-    /// What each part carries.
+    /// The payload of each part.
     pub payload: Payload,
 }
--- a/crates/dunepond-broker/src/search_api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -1,4 +1,5 @@
-//! The search API: each search of a request is one query of the router; the answers of its parts are merged into one response.
+//! The search API. Each search of a request is one query of the router, and the results of its parts are merged into
+//! one response.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -15,43 +16,44 @@
 use crate::http::{Head, HttpError};
 use crate::query_request::QueryRequest;
 
-/// Longest part of a client's id for a request that is used.
+/// How many characters of a client's request id are used.
 const MAX_REQUEST_ID_CHARS: usize = 64;
 
-/// The configuration of the search API; shared by the client connections, which parse with it, and the router host.
+/// The configuration of the search API, shared by the client connections, which parse requests with it, and the router
+/// host.
 pub struct SearchApi {
-    /// Bounds on requests.
+    /// Limits on requests.
     pub limits: RequestLimits,
     settings: Rc<HostSettings>,
     query_classes: Vec<QueryClass>,
 }
 
-/// What the API needs to know of a query class.
+/// The settings of a query class that the search API needs.
 struct QueryClass {
-    /// Its queries must not run twice: they are updates.
+    /// Whether the queries of the class are updates, which must not run twice.
     is_update: bool,
-    /// Its query timeout in seconds.
+    /// The query timeout in seconds.
     timeout: f64,
 }
 
-/// A parsed request.
+/// A parsed request of the search API.
 pub struct SearchRequest {
-    /// What is requested.
+    /// The API call that is requested.
     pub call: ApiRequest,
-    /// Index into the configured tenants; one more than the last for an unlisted tenant.
+    /// Index of the tenant among the configured tenants; one more than the last index for an unlisted tenant.
     pub tenant: usize,
-    /// The client marks it as a retry.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// The client's id for it, empty if it has none that can be used.
+    /// The client's id for the request; empty if there is none that can be used.
     pub request_id: String,
-    /// How long the client says it waits, in seconds.
+    /// How long the client waits for the response, in seconds; `None` if it does not say.
     pub time_budget: Option<f64>,
-    /// When its first byte arrived, Unix seconds.
+    /// When the first byte of the request arrived, in Unix seconds.
     pub received_at: f64,
 }
 
 impl SearchApi {
-    /// The API for the query classes of a deployment.
+    /// Creates the search API for the query classes of a deployment.
     pub fn new(limits: RequestLimits, settings: Rc<HostSettings>, deployment: &Deployment) -> Self {
         let classes = deployment.query_classes.iter().map(|class| QueryClass {
             is_update: class.idempotency == Idempotency::NonIdempotent,
@@ -60,8 +62,8 @@
         Self { limits, settings, query_classes: classes.collect() }
     }
 
-    /// Parses a request whose first byte arrived at `received_at`. Non-idempotent query classes are updated and not searched, all
-    /// others are searched and not updated.
+    /// Parses a request whose first byte arrived at `received_at`. Non-idempotent query classes can only be updated,
+    /// and all others can only be searched.
     pub fn parse_request(
         &self,
         head: &Head,
@@ -69,14 +71,14 @@
         received_at: f64,
     ) -> Result<SearchRequest, ApiError> {
         let call = parse(&head.method, &head.path, body, &self.settings.query_classes, &self.limits)?;
-        let call = self.check_use(call)?;
+        let call = self.check_indices(call)?;
         let tenant = self.settings.tenants.iter().position(|c| *c == head.tenant);
-        let is_plain = head.request_id.bytes().all(|b| b.is_ascii_graphic());
+        let is_usable = head.request_id.bytes().all(|b| b.is_ascii_graphic());
         Ok(SearchRequest {
             call,
             tenant: tenant.unwrap_or(self.settings.tenants.len()),
             is_retry: head.is_retry,
-            request_id: if is_plain {
+            request_id: if is_usable {
                 head.request_id.chars().take(MAX_REQUEST_ID_CHARS).collect()
             } else {
                 String::new()
@@ -86,8 +88,9 @@
         })
     }
 
-    /// Checks that each index of a call may be used so. In a multi-search only the search at fault fails.
-    fn check_use(&self, call: ApiRequest) -> Result<ApiRequest, ApiError> {
+    /// Checks that each index of a call may be searched or updated as requested. In a multi-search only the invalid
+    /// searches fail.
+    fn check_indices(&self, call: ApiRequest) -> Result<ApiRequest, ApiError> {
         match call {
             ApiRequest::Search(search) => {
                 self.check_index(&search, false)?;
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Checks that the index of a search may be updated, or searched.
+    /// Checks that the index of a search may be updated (`update`) or searched.
     fn check_index(&self, search: &Search, update: bool) -> Result<(), ApiError> {
         let name = self.index_name(search.index);
         match (self.query_classes[search.index].is_update, update) {
@@ -127,12 +130,13 @@
         }
     }
 
-    /// The name of an index, which is a query class.
+    /// Returns the name of an index, which is the name of a query class.
     pub fn index_name(&self, index: usize) -> &str {
         &self.settings.query_classes[index]
     }
 
-    /// The query of a search. Its parts have the same weight: the API does not say which segment holds more.
+    /// Returns the query for a search. All parts have the same weight, because the API does not say which segment holds
+    /// more.
     pub fn query_request(
         &self,
         search: &Search,
@@ -158,7 +162,7 @@
     }
 }
 
-/// The time budget in a request's head, in seconds; `None` if it has none.
+/// Parses the time budget of a request, in seconds; `None` if it has none.
 fn time_budget(text: &str) -> Result<Option<f64>, ApiError> {
     if text.is_empty() {
         return Ok(None);
@@ -167,7 +171,7 @@
     seconds.map(Some).ok_or_else(|| ApiError::argument("X-Budget: not a number of seconds"))
 }
 
-/// Why the value of a part has no result. The attempt counts as failed.
+/// Why a node's response to a part has no result. The attempt counts as failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ValueError {
     /// The node rejected the search.
@@ -178,25 +182,27 @@
     Failed(String),
 }
 
-/// One search of a request whose query is in flight.
+/// A search of a request whose query is in flight.
 pub struct ActiveSearch {
-    /// The number of its request.
+    /// The number of the request that the search belongs to.
     pub request: u64,
-    /// Its position among the request's searches.
+    /// Index of the search among the request's searches.
     position: usize,
     search: Search,
     index: String,
     merge: HitMerger,
     is_update: bool,
+    /// Number of documents that were updated.
     updated: u64,
     is_count: bool,
+    /// When the search started, in Unix seconds.
     started_at: f64,
     /// Why the last attempt of each segment failed.
     failures: HashMap<usize, String>,
 }
 
 impl ActiveSearch {
-    /// A search without results yet, which began at `started_at`.
+    /// Creates a search without results, which started at `started_at`.
     pub fn new(
         api: &SearchApi,
         request: u64,
@@ -220,12 +226,12 @@
         }
     }
 
-    /// Its position among the request's searches.
+    /// Returns the index of the search among the request's searches.
     pub fn position(&self) -> usize {
         self.position
     }
 
-    /// Merges the value of a part.
+    /// Merges the value that a node returned for a part.
     pub fn record_value(&mut self, segment: usize, value: &str) -> Result<(), ValueError> {
         let expected = ExpectedResult {
             index: &self.index,
@@ -237,16 +243,16 @@
             NodeOutcome::Found(found) => self.merge.add(segment, *found),
             NodeOutcome::Updated(count) => self.updated = self.updated.saturating_add(count),
             NodeOutcome::Rejected => return Err(ValueError::Rejected),
-            NodeOutcome::Failed(why) => {
-                self.failures.insert(segment, why.clone());
-                return Err(ValueError::Failed(why));
+            NodeOutcome::Failed(reason) => {
+                self.failures.insert(segment, reason.clone());
+                return Err(ValueError::Failed(reason));
             }
         }
         Ok(())
     }
 
-    /// The response from the parts that were served. `segments` are all segments, with whether each was served; `pruned` those that
-    /// were pruned.
+    /// Returns the response with the results of the parts that were served. `segments` are all segments, each with
+    /// whether it was served; `pruned` are the segments that were pruned.
     pub fn response(
         &mut self,
         now: f64,
@@ -262,16 +268,16 @@
                 Err(ApiError::unknown_outcome())
             };
         }
-        let missing = segments.iter().filter(|(segment, is_in)| !is_in && !pruned.contains(segment));
-        let why = |segment: &usize| {
+        let missing = segments.iter().filter(|(segment, is_served)| !is_served && !pruned.contains(segment));
+        let failure_reason = |segment: &usize| {
             self.failures.get(segment).map_or("not in by the answer's time", String::as_str).to_string()
         };
         let parts = PartOutcomes {
             total: segments.len(),
-            successful: segments.iter().filter(|(_, is_in)| *is_in).count(),
+            successful: segments.iter().filter(|(_, is_served)| *is_served).count(),
             skipped: pruned.len(),
             missing: missing
-                .map(|(segment, _)| MissingPart { segment: *segment, reason: why(segment) })
+                .map(|(segment, _)| MissingPart { segment: *segment, reason: failure_reason(segment) })
                 .collect(),
             timed_out: !is_complete,
         };
@@ -287,18 +293,19 @@
 pub struct ActiveRequest {
     /// The client connection that waits for the response.
     pub client: usize,
-    /// When it was accepted, Unix seconds.
+    /// When the request was accepted, in Unix seconds.
     pub started_at: f64,
     is_multi: bool,
+    /// The outcome of each search; `None` until it is known.
     outcomes: Vec<Option<Result<ResponseBody, ApiError>>>,
-    /// The queries of its searches.
+    /// The queries of the request's searches.
     pub queries: Vec<QueryId>,
-    /// The longest Retry-After of its searches, in seconds.
+    /// The longest Retry-After of the request's searches, in seconds.
     retry_after: f64,
 }
 
 impl ActiveRequest {
-    /// A request without outcomes yet.
+    /// Creates a request without outcomes.
     pub fn new(client: usize, started_at: f64, call: &ApiRequest) -> Self {
         let (is_multi, count) = match call {
             ApiRequest::Multi(searches) => (true, searches.len()),
@@ -314,7 +321,7 @@
         }
     }
 
-    /// Records the outcome of one search. With the last one, returns the response.
+    /// Records the outcome of one search. Returns the response once all outcomes are known.
     pub fn record_outcome(
         &mut self,
         now: f64,
@@ -334,7 +341,7 @@
             return Some(SearchResponse { status: 200, body, retry_after: 0.0 });
         }
         Some(match outcomes.into_iter().next()? {
-            Ok(answer) => SearchResponse { status: 200, body: answer.into_text(), retry_after: 0.0 },
+            Ok(body) => SearchResponse { status: 200, body: body.into_text(), retry_after: 0.0 },
             Err(e) => {
                 SearchResponse { status: e.status, body: e.body().to_string(), retry_after: self.retry_after }
             }
@@ -352,12 +359,12 @@
     pub retry_after: f64,
 }
 
-/// An HTTP error in the form of the API.
-pub fn error_response(why: &HttpError) -> ApiError {
-    let error = match why.status {
-        413 => ApiError::too_large(&why.reason),
-        429 | 503 => ApiError::rejected(&why.reason),
-        _ => ApiError::argument(&why.reason),
+/// Converts an HTTP error into an error of the search API.
+pub fn error_response(http_error: &HttpError) -> ApiError {
+    let error = match http_error.status {
+        413 => ApiError::too_large(&http_error.reason),
+        429 | 503 => ApiError::rejected(&http_error.reason),
+        _ => ApiError::argument(&http_error.reason),
     };
-    ApiError { status: why.status, ..error }
+    ApiError { status: http_error.status, ..error }
 }
--- a/crates/dunepond-broker/src/upstream/framing.rs
+++ b/crates/dunepond-broker/src/upstream/framing.rs
@@ -15,7 +15,7 @@
 /// write queue.
 const MAX_COPIED_TEXT_BYTES: usize = 2048;
 
-/// What is needed to encode search API requests to one node.
+/// The data that is needed to encode search API requests to one node.
 pub(super) struct SearchApiFraming<'a> {
     /// Names of the query classes, which are the names of the indices.
     pub indices: &'a [String],
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -73,7 +73,7 @@
     frame_start: u64,
     /// Offset at which the attempt's frame ends in the connection's write queue; `None` while the attempt is not
     /// framed. A connection that is not established, or is blocked, holds no frame that it has not begun to write. Its
-    /// attempts can so be withdrawn before the node knows of them, and each frame states the time left when it is
+    /// attempts can therefore be withdrawn before the node knows of them, and each frame states the time left when it is
     /// written.
     frame_end: Option<u64>,
     /// Whether the attempt has been written to the audit log.
