--- a/crates/dunepond-broker/src/body_store.rs
+++ b/crates/dunepond-broker/src/body_store.rs
@@ -340,8 +340,8 @@
         self.manager.set_other_usage(OtherUsage::PendingWrites, pending.saturating_sub(counted));
     }
 
-    /// Logs counters: the memory and files in use, and how often a body was not kept at a tier, by tier, reason and query class.
-    /// `copied_bytes` is the number of payload bytes copied into frames.
+    /// Logs counters: the memory and files in use, and how often a body was not kept at a tier, by tier, reason and query
+    /// class. `copied_bytes` is the number of payload bytes copied into frames.
     pub fn log_counters(&self, copied_bytes: u64) {
         let usage = self.manager.usage();
         let counts =
--- a/crates/dunepond-broker/src/control_plane/fence.rs
+++ b/crates/dunepond-broker/src/control_plane/fence.rs
@@ -6,7 +6,7 @@
 
 use dunepond_routing::{AttemptOutcome, Idempotency};
 
-/// The progress of an attempt at the beginning of the joint phase.
+/// How far an attempt has come, relative to the beginning of the joint phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStage {
     /// The query has begun, and the attempt is not sent.
