--- a/crates/dunepond-broker/src/body.rs
+++ b/crates/dunepond-broker/src/body.rs
@@ -44,7 +44,7 @@
     /// The blocks from number `first_block` on. Earlier blocks have been dropped.
     blocks: VecDeque<Block>,
     first_block: u64,
-    /// The bytes that arrived last and do not fill a block yet.
+    /// The most recent bytes of the body, which do not fill a block yet.
     tail: BytesMut,
     /// Offset of each reader in the body, in bytes.
     readers: Slab<u64>,
@@ -134,7 +134,7 @@
         self.state.borrow_mut().memory_limit = Some(limit);
     }
 
-    /// Returns whether some of the body's memory has to be freed before more of it may be received.
+    /// Returns whether some of the body's memory has to be freed before more bytes of the body may be received.
     pub fn is_full(&self) -> bool {
         let limit = self.state.borrow().memory_limit;
         limit.is_some_and(|limit| self.memory_bytes() + BLOCK_BYTES as u64 > limit)
--- a/crates/dunepond-broker/src/body_store.rs
+++ b/crates/dunepond-broker/src/body_store.rs
@@ -36,8 +36,8 @@
     writing_bytes: u64,
     /// Number of blocks that are being read.
     pending_reads: usize,
-    /// When the last disk operation was done or, before that, the first one began, in Unix seconds; `None` while none
-    /// is pending.
+    /// When the body's most recent disk operation completed or, before that, when the first pending one was
+    /// submitted, in Unix seconds; `None` while no operation is pending.
     io_pending_since: Option<f64>,
     /// Some of the body has been handed to the disk threads.
     has_file: bool,
@@ -56,7 +56,7 @@
     pub events: VecDeque<(BodyId, BodyEvent)>,
     /// Whether a timer is set for the next check for overdue disk operations.
     pub check_scheduled: bool,
-    /// Whether more of some body can be sent on or received than before.
+    /// Whether a body has made progress since `pump_bodies` last ran, so that more of it may be sent on or received.
     pub made_progress: bool,
 }
 
@@ -129,7 +129,8 @@
         Ok(body)
     }
 
-    /// Logs that a body is not where bodies are kept by preference; the logger limits the rate of such lines.
+    /// Logs that a body was rejected or lost, or that it is kept elsewhere than preferred, such as in a file instead
+    /// of in memory. The logger limits the rate of such lines.
     fn log_placement(&self, placement: &str, query_class: usize, reason: FallbackReason) {
         let name = self.query_classes.get(query_class).map_or("?", String::as_str);
         info!(table_type = name, reason = %reason, "body {placement}");
@@ -188,7 +189,7 @@
             if spool.submit(DiskJob::Write { file: id, offset, bytes }).is_err() {
                 body.unsubmit_block(offset);
                 // If writes are pending or the body may stay in memory, writing continues after the next disk
-                // operation.
+                // operation has completed.
                 if tracked.writing_bytes == 0 && !tracked.is_spilling {
                     self.on_disk_fault(now, id, DiskFault::Busy);
                     return false;
@@ -330,7 +331,8 @@
         self.manager.touch(now, id);
     }
 
-    /// Records the memory that requests use besides bodies, in bytes: for `buffers` and for the `values` of nodes.
+    /// Records the memory that requests use besides bodies, in bytes: for read and write `buffers`, and for the
+    /// answers that nodes returned (`values`).
     pub fn record_other_memory(&mut self, buffers: u64, values: u64) {
         self.manager.set_other_usage(OtherUsage::Buffers, buffers);
         self.manager.set_other_usage(OtherUsage::NodeValues, values);
--- a/crates/dunepond-broker/src/clock.rs
+++ b/crates/dunepond-broker/src/clock.rs
@@ -34,13 +34,13 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TimerEvent {
-    /// The time has come at which the router asked to be called.
+    /// The time at which the router has asked to be called has come.
     RouterWake,
-    /// The deadline of a query has passed, by the query's id.
+    /// The deadline of the query with this id has passed.
     QueryDeadline(u64),
-    /// A time limit of a connection to a node has passed, by its index.
+    /// A time limit of the connection to a node with this index has passed.
     UpstreamConnection(usize),
-    /// A time limit of a prefilter connection to a node has passed, by its index.
+    /// A time limit of the prefilter connection with this index has passed.
     PrefilterConnection(usize),
     /// The time for prefilter responses to some query has passed.
     Prefilter,
@@ -48,9 +48,9 @@
     Snapshot,
     /// A background job may run.
     BackgroundJob,
-    /// A time limit of a client connection has passed, by its index.
+    /// A time limit of the client connection with this index has passed.
     ClientTimeout(usize),
-    /// Reading from a client connection resumes after a pause, by its index.
+    /// Reading from the client connection with this index resumes after a pause.
     ClientResume(usize),
     /// A discovery response is overdue, or the pause between two requests is over.
     Discovery,
--- a/crates/dunepond-broker/src/config.rs
+++ b/crates/dunepond-broker/src/config.rs
@@ -36,13 +36,15 @@
     pub log_level: LevelFilter,
     /// Maximum number of open client connections.
     pub max_clients: usize,
-    /// Number of buffers that may be in use when another one is requested.
+    /// Number of buffers in use from which on a client connection is evicted before a new buffer is taken for
+    /// reading.
     pub max_buffers: usize,
     /// Maximum number of open connections to nodes.
     pub max_node_connections: usize,
     /// The settings of the deployment.
     pub deployment: Deployment,
-    /// Key of a setting that is valid but ignored, as it is not supported on sockets.
+    /// Key of a setting that is valid but ignored, because only the simulator supports it and a broker that runs on
+    /// sockets does not; `None` if no such setting is used.
     pub unsupported_setting: Option<&'static str>,
     /// Bounds on requests, and the names of query classes, tenants and zones.
     pub host_settings: HostSettings,
@@ -170,7 +172,7 @@
         return Err(settings
             .error("familyInfo.secondStep", "second steps are not supported on sockets; remove the key"));
     }
-    // The frame protocol has no probe.
+    // The frame protocol has no probe, so the setting that allows probes only works in the simulator.
     let unsupported_setting = std::mem::take(&mut deployment.may_probe).then_some("ceilings.mayProbe");
     let limits = ConnectionLimits::from_config(&config)?;
     let log_level = source.log_level()?;
--- a/crates/dunepond-broker/src/control_plane/completeness.rs
+++ b/crates/dunepond-broker/src/control_plane/completeness.rs
@@ -38,7 +38,7 @@
     verify_by_keys(map, segments, &is_answered, moved)
 }
 
-/// Does what `verify_answer` does by comparing key ranges, for any list of segments.
+/// Has the same result as `verify_answer`, but compares key ranges, which works for any list of segments.
 fn verify_by_keys(
     map: &VerifiedMap,
     segments: &[usize],
--- a/crates/dunepond-broker/src/control_plane/endpoints.rs
+++ b/crates/dunepond-broker/src/control_plane/endpoints.rs
@@ -70,8 +70,8 @@
         started.collect()
     }
 
-    /// Applies the active configuration to a row: a node that it excludes drains even if discovery reports it as
-    /// active.
+    /// Applies the active configuration to a row: a node that the configuration excludes is set to draining, even if
+    /// discovery reports it as active.
     pub(super) fn apply_exclusion(&self, mut row: EndpointRow) -> EndpointRow {
         let is_excluded =
             self.last_applied.as_ref().is_some_and(|applied| applied.config.is_excluded(&row.info.name));
--- a/crates/dunepond-broker/src/control_plane/gate.rs
+++ b/crates/dunepond-broker/src/control_plane/gate.rs
@@ -220,7 +220,7 @@
             if let Some(start) = target.start {
                 let (start_phase, start_versions) = audit_phase(&start.config, start.began_at);
                 versions.extend(start_versions);
-                // The stricter of the two phases applies.
+                // Of the phases at the query's start and at the check, the stricter one is recorded.
                 if start_phase == AuditPhase::Joint && phase == AuditPhase::Active {
                     phase = start_phase;
                 }
--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -32,7 +32,7 @@
 
 /// The event loop's side of the control plane's thread.
 pub struct ControlPlaneClient {
-    /// Checks against the active configuration.
+    /// Checks attempts against the active configuration.
     pub gate: Rc<Gate>,
     /// The control plane's thread; `None` once it has been stopped.
     thread: Option<ControlPlane>,
@@ -49,11 +49,11 @@
     partner_by_node: Vec<Option<usize>>,
     /// Duration of slow start after a node's start, in seconds.
     slow_start_seconds: f64,
-    /// The deployment's rules. The rules that the fleet has agreed on can only tighten them.
+    /// The deployment's routing rules. Those that the fleet has agreed on can only tighten them.
     deployment_rules: Rules,
     /// The configuration that was applied last.
     last_applied: Option<AppliedConfig>,
-    /// The rules that were applied last.
+    /// The routing rules that were applied last.
     applied_rules: Rules,
     /// The fleet-wide quotas; `None` if the operator's file has none.
     quotas: Option<Quotas>,
@@ -62,14 +62,14 @@
 /// A configuration that has been applied.
 struct AppliedConfig {
     config: Arc<ActiveConfig>,
-    /// Whether this broker's lease was valid at that time.
+    /// Whether this broker's lease was valid when the configuration was applied.
     lease_was_valid: bool,
 }
 
 /// What a change of the active configuration means for the router.
 #[derive(Default)]
 pub struct Changes {
-    /// The new rules; `None` if they did not change.
+    /// The new routing rules; `None` if they did not change.
     pub rules: Option<Rules>,
     /// The rows of the endpoint list whose state changed.
     pub endpoints: Vec<EndpointRow>,
@@ -91,9 +91,9 @@
         self.gate.control.set_overloaded(overloaded);
     }
 
-    /// Returns what the active configuration has changed since the last call; `None` if it is the same. It is called
-    /// before each event, so that a process that stalled does not act on a configuration whose lease has expired
-    /// meanwhile.
+    /// Returns what the active configuration changes compared with the last call; `None` if neither the configuration
+    /// nor the validity of its lease has changed. Called before each event, so that a process that stalled does not
+    /// act on a configuration whose lease has expired meanwhile.
     pub fn poll_changes(&mut self) -> Option<Changes> {
         if self.last_applied.as_ref().is_some_and(|applied| self.is_unchanged(applied)) {
             return None;
--- a/crates/dunepond-broker/src/control_plane/quotas.rs
+++ b/crates/dunepond-broker/src/control_plane/quotas.rs
@@ -25,9 +25,10 @@
     report_interval: f64,
     bounds: SharedQuotas,
     local: LocalQuota,
-    /// How many parts per second a warm node takes; `None` if slow start is not shared.
+    /// How many parts per second a node takes once its slow start is over; `None` if the quota for slow start is not
+    /// shared among the brokers of the fleet.
     slow_start_rate: Option<f64>,
-    /// Whether the retry budget is shared.
+    /// Whether the brokers of the fleet share the retry budget.
     shares_retries: bool,
     /// Quota of each tenant, by tenant index; `None` if the tenant's quota is not shared.
     tenants: Vec<Option<TenantQuota>>,
@@ -42,9 +43,9 @@
 /// The shared quota of a tenant.
 struct TenantQuota {
     name: String,
-    /// The quota of the whole fleet.
+    /// The tenant's quota for the whole fleet, in queries per second.
     queries_per_second: f64,
-    /// Number of queries since the last sample.
+    /// Number of the tenant's queries since the last sample of demand.
     arrivals: f64,
 }
 
@@ -52,7 +53,8 @@
 struct AppliedQuotas {
     config: Arc<ActiveConfig>,
     lease_was_valid: bool,
-    /// Whether use by an earlier incarnation of this broker still counted.
+    /// Whether quota use by an earlier incarnation of this broker may still have counted when the shares were
+    /// computed.
     was_settling: bool,
 }
 
--- a/crates/dunepond-broker/src/control_plane/rules.rs
+++ b/crates/dunepond-broker/src/control_plane/rules.rs
@@ -4,8 +4,8 @@
 
 use super::DEFAULT_RETRY_WINDOW_SECONDS;
 
-/// Returns, for each rule, the stricter of the deployment's and the agreed one: a fleet must not relax a deployment's
-/// limits.
+/// Returns, for each rule, the stricter of the deployment's own rule and the one that the brokers of the fleet have
+/// agreed on: a fleet must not relax a deployment's limits.
 pub(super) fn strictest_rules(own: &Rules, agreed: &dunepond_consensus::RoutingRules) -> Rules {
     let own_budget = own.retry_budget.as_ref();
     let retry_budget = own_budget.map_or(
@@ -31,7 +31,8 @@
     }
 }
 
-/// Returns the greater share of each query class. A class without an agreed share keeps its own.
+/// Returns, for each query class, the greater of the deployment's share and the one that the fleet has agreed on. A
+/// class for which the fleet has agreed on no share keeps the deployment's.
 fn greater_shares(own: &[f64], agreed: &[f64]) -> Vec<f64> {
     let greater =
         |(class, share): (usize, &f64)| agreed.get(class).map_or(*share, |agreed| share.max(*agreed));
--- a/crates/dunepond-broker/src/control_plane/rules/tests/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/rules/tests/mod.rs
@@ -29,7 +29,7 @@
     assert_eq!((retry_budget.window, retry_budget.min_retries, retry_budget.ratio), (4.0, 5.0, 0.1));
     assert_eq!((strictest.max_attempts, strictest.hedging_enabled), (3, false));
     assert_eq!((strictest.slow_start_multiple, strictest.max_retry_after), (1.5, 1.0));
-    // Without a retry budget of the deployment, the agreed one applies.
+    // If the deployment has no retry budget, the one that the brokers of the fleet have agreed on applies.
     agreed.retry_budget_min = 7.0;
     let retry_budget = strictest_rules(&Rules { retry_budget: None, ..own }, &agreed).retry_budget.unwrap();
     assert_eq!((retry_budget.min_retries, retry_budget.ratio), (7.0, 0.2));
--- a/crates/dunepond-broker/src/discovery/call.rs
+++ b/crates/dunepond-broker/src/discovery/call.rs
@@ -19,7 +19,7 @@
     pub(super) write_queue: WriteQueue,
     /// Whether a request has been sent and its response is not complete.
     pub(super) awaiting_response: bool,
-    /// Whether the last request is a watch; otherwise it is for a complete list.
+    /// Whether the most recent request is a watch; otherwise it is for a complete list.
     pub(super) is_watch: bool,
     /// When the response is due, in Unix seconds.
     pub(super) response_due_at: f64,
@@ -29,7 +29,7 @@
 pub(super) struct ListState {
     /// The version to watch from; `None` until a complete list has been received, and after each interruption.
     pub(super) version: Option<u64>,
-    /// Whether the last list had an invalid row.
+    /// Whether the most recent list had an invalid row.
     pub(super) had_invalid_row: bool,
     /// The ids of the nodes and zones that the lists have named.
     pub(super) directory: Directory,
--- a/crates/dunepond-broker/src/discovery/mod.rs
+++ b/crates/dunepond-broker/src/discovery/mod.rs
@@ -24,15 +24,18 @@
 use call::{DiscoveryCall, ListState, Response};
 use list::Directory;
 
-/// How long the endpoint list counts as current after the agent has stopped answering. The other times of this module are
-/// fractions of this one.
+/// How long the endpoint list counts as current after the agent has stopped answering. The platform assumes that a
+/// broker knows a change of the list at the latest this long after the agent had it and could be reached, whether or
+/// not the broker has heard of the change. A call whose response has been due for that long is closed, so that a
+/// fresh call can bring the change. The other times of this module are fractions of this one.
 const STALE_AFTER_SECONDS: f64 = 6.0;
 /// How long the agent may hold a watch open. It is short enough that several calls can follow an unanswered one before
 /// the endpoint list is stale.
 const WATCH_TIMEOUT_MILLISECONDS: u64 = (STALE_AFTER_SECONDS / 4.0 * 1000.0) as u64;
 /// How long after its due time a response counts as overdue. Another call is then made in parallel, since the
-/// connection of the first may be broken. Limits the parallel calls to twelve, which `RESERVED_DESCRIPTORS` in
-/// `config.rs` allows for.
+/// connection of the first may be broken. A call is closed once its response has been due for `STALE_AFTER_SECONDS`,
+/// which is twelve times as long, so that at most twelve calls are open at a time; `RESERVED_DESCRIPTORS` in
+/// `config.rs` allows for these.
 pub const RESPONSE_OVERDUE_SECONDS: f64 = STALE_AFTER_SECONDS / 12.0;
 /// The agent continues a watch if the next request comes within this time after its response.
 const WATCH_CONTINUATION_SECONDS: f64 = 0.2;
@@ -64,7 +67,7 @@
     calls: Vec<DiscoveryCall>,
     timer: Option<TimerKey>,
     list: ListState,
-    /// Whether the last call found no free file descriptor. The call is repeated once one has been freed.
+    /// Whether the most recent call found no free file descriptor. The call is repeated once one has been freed.
     pub out_of_descriptors: bool,
     last_request_at: f64,
     /// Seconds before the next call after a failed one.
@@ -178,9 +181,10 @@
             Some(call) if call.awaiting_response => {
                 let silence = now - self.last_request_at;
                 warn!("discovery {}: no answer for {silence:.1} s; calling again", self.address);
-                // Closes calls whose response would be stale by now. Closing them sooner would mean that no response of
-                // a slow agent is ever received. The tolerance of half an interval prevents a thirteenth call when a
-                // timer fires early.
+                // Closes calls whose response would be stale by now. Closing them sooner would mean that no response
+                // of a slow agent is ever received. A response is stale after twelve intervals of
+                // `RESPONSE_OVERDUE_SECONDS`, so that at most twelve calls are open. The tolerance of half an
+                // interval keeps that limit even if a timer fires early.
                 let is_stale = |call: &&DiscoveryCall| {
                     now - call.response_due_at > STALE_AFTER_SECONDS - RESPONSE_OVERDUE_SECONDS / 2.0
                 };
--- a/crates/dunepond-broker/src/downstream/accept.rs
+++ b/crates/dunepond-broker/src/downstream/accept.rs
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Has accepting resume after a pause: by a timer rather than at once, as this may run while connections are accepted.
+    /// If accepting connections is paused, schedules a timer that is due at once and resumes it.
     pub(super) fn schedule_resume_accepting(&self, timers: &mut Timers) {
         if self.accepting_paused {
             timers.schedule(0.0, TimerEvent::ResumeAccept);
--- a/crates/dunepond-broker/src/downstream/arrivals.rs
+++ b/crates/dunepond-broker/src/downstream/arrivals.rs
@@ -13,8 +13,8 @@
     reads: VecDeque<(f64, u64)>,
     /// How many bytes have been read from the connection.
     total_bytes: u64,
-    /// Until the socket has been read empty for the first time, its bytes may have arrived at any time since this one;
-    /// `None` afterwards.
+    /// The earliest time at which the connection's first bytes can have arrived, in Unix seconds. Applies to all
+    /// reads until the socket has been read empty for the first time; `None` afterwards.
     first_read_since: Option<f64>,
 }
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Records that the socket has been read empty: bytes read later have arrived only since.
+    /// Records that the socket has been read empty, so that bytes which are read later have arrived after this call.
     pub fn mark_drained(&mut self) {
         self.first_read_since = None;
     }
--- a/crates/dunepond-broker/src/downstream/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Queues the clients that are sending a request to be read; what they have sent by now counts before
-    /// `expire_pending_requests`.
+    /// Queues the clients that are sending a request to be read; what they have sent by now is then handled before
+    /// `expire_pending_requests` times out the requests that are still incomplete.
     pub fn read_pending_requests(&mut self) {
         for id in self.awaiting_request.values().copied().collect::<Vec<_>>() {
             self.read_before_timeout(id);
@@ -112,8 +112,9 @@
         client.timer
     }
 
-    /// Whether `timer`, which has fired, is still the client's after what the client had sent was read. If so, the client has
-    /// timed out.
+    /// Returns whether the client has timed out, that is, whether `timer`, which has fired, is still its timer. To be
+    /// called once the bytes that `read_before_timeout` has queued the client for are read: handling them may have
+    /// replaced or cancelled the timer.
     pub fn is_still_timed_out(&self, id: usize, timer: Option<TimerKey>) -> bool {
         timer.is_some() && self.connections.get(id).is_some_and(|client| client.timer == timer)
     }
@@ -206,9 +207,9 @@
     }
 
     /// Returns the connection to evict: never one that is owed a response or has sent bytes that are not read yet. A
-    /// connection that has only just been accepted comes last, unless connections without a whole request take more than
-    /// half of the bound. Returns `None` if there is no candidate, or if all of them have just been found to have sent
-    /// bytes.
+    /// connection that has only just been accepted comes last, unless connections without a whole request take more
+    /// than half of the bound. Returns `None` if there is no connection to choose from, or if each one turns out to
+    /// have sent bytes.
     pub(super) fn eviction_candidate(&mut self, now: f64) -> Option<usize> {
         let evictable_until = now + REQUEST_TIMEOUT_SECONDS - EVICTABLE_AFTER_SECONDS;
         loop {
@@ -224,7 +225,7 @@
                 return Some(id);
             }
         }
-        // All candidates are queued to be read; of these, one that has disconnected may be evicted.
+        // Every candidate is queued to be read. One whose client has disconnected may be evicted all the same.
         let all = self.awaiting_request.values().chain(self.lingering.values()).chain(self.idle.values());
         let candidates: Vec<_> = all.copied().collect();
         candidates.into_iter().find(|id| matches!(self.final_read(now, *id), FinalRead::Disconnected(_)))
--- a/crates/dunepond-broker/src/downstream/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -41,7 +41,7 @@
     Query(QueryRequest),
     /// The head of a query whose body is streamed has been read.
     StreamedQuery(QueryRequest, Box<Head>),
-    /// The client has disconnected; the value is its query in flight, if any.
+    /// The client has disconnected. Holds the id of the client's query in flight, if there is one.
     Disconnected(Option<QueryId>),
     /// A whole request of the search API has been read.
     SearchRequest(Box<SearchRequest>),
@@ -69,11 +69,11 @@
 struct StreamedRequest {
     /// The state of parsing the request.
     message: Message,
-    /// The body that its bytes are received into.
+    /// The body that the request's bytes are received into.
     body: Rc<Body>,
     /// The validated request; `None` once its query has started.
     request: Option<QueryRequest>,
-    /// The id of its query; `None` until the query has started.
+    /// The id of the request's query; `None` until the query has started.
     query: Option<QueryId>,
     /// Whether the whole body has arrived.
     body_complete: bool,
@@ -82,7 +82,7 @@
 /// A connection of a client.
 struct ClientConnection {
     stream: Rc<TcpStream>,
-    /// The port that it was accepted at.
+    /// The port at which the connection was accepted.
     port: Port,
     token: RegistrationToken,
     /// Bytes that are read and not parsed yet.
@@ -91,14 +91,15 @@
     read_ahead: VecDeque<Buffer>,
     output: WriteQueue,
     phase: RequestPhase,
-    /// Whether there may be bytes to read; kept, as readiness events are edge-triggered.
+    /// Whether there may be bytes to read. Kept here because readiness events are edge-triggered and so not repeated.
     readable: bool,
-    /// When it was last checked for a disconnect, in Unix seconds.
+    /// When the connection was last checked for a disconnect, in Unix seconds.
     last_checked_at: f64,
     /// How the connection ended; `None` until the client is found disconnected.
     disconnected: Option<ConnectionEnd>,
     arrivals: ArrivalTimes,
-    /// When the first byte of the current request arrived or, in the lingering phase, when that began.
+    /// When the first byte of the current request arrived or, in the lingering phase, when that phase began; in Unix
+    /// seconds.
     request_started_at: f64,
     /// Whether the connection stays open after the response.
     keep_alive: bool,
--- a/crates/dunepond-broker/src/downstream/validation.rs
+++ b/crates/dunepond-broker/src/downstream/validation.rs
@@ -77,9 +77,9 @@
 
 /// An entry of the list of parts, before validation.
 struct PartEntry {
-    /// `None` if it is missing or of the wrong type.
+    /// Index of the segment; `None` if it is missing or of the wrong type.
     segment: Option<u64>,
-    /// `None` if it is missing or of the wrong type.
+    /// Weight of the part; `None` if it is missing or of the wrong type.
     weight: Option<f64>,
 }
 
--- a/crates/dunepond-broker/src/endpoint.rs
+++ b/crates/dunepond-broker/src/endpoint.rs
@@ -7,13 +7,13 @@
 /// A row of the endpoint list: a node, as the router and the connections need it.
 #[derive(Clone)]
 pub struct EndpointRow {
-    /// The data of the node that the router needs.
+    /// What the router needs to know of the node.
     pub endpoint: Endpoint,
-    /// The data of the node that connections to it need.
+    /// What the connections to the node need to know of it.
     pub info: EndpointInfo,
 }
 
-/// The data of a node that connections to it need.
+/// What the connections to a node need to know of it.
 #[derive(Clone)]
 pub struct EndpointInfo {
     /// The node's name.
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -34,10 +34,10 @@
     router: Router,
     router_host: RouterHost,
     discovery: DiscoveryClient,
-    /// `None` if the operator's file does not enable the prefilter.
+    /// The prefilter; `None` if the operator's file does not enable it.
     prefilter: Option<PrefilterHost>,
     background: Background,
-    /// `None` if the operator's file names no state folder.
+    /// The state that outlives the process; `None` if the operator's file names no folder for it.
     persistence: Option<Persistence>,
     /// Whether a background job for a prefilter audit is scheduled.
     audit_scheduled: bool,
@@ -48,9 +48,9 @@
     times: IterationTimes,
     /// The longest query timeout in seconds; lowered if the longest one of a reloaded configuration is shorter.
     longest_timeout: f64,
-    /// `None` until a shutdown has been requested.
+    /// The schedule of the graceful shutdown; `None` until a shutdown has been requested.
     shutdown: Option<Shutdown>,
-    /// The last stage of the shutdown that was carried out.
+    /// The stage of the shutdown that was carried out most recently.
     shutdown_stage: ShutdownStage,
     /// Whether the listeners are closed; the loop then ends once no client connection is left.
     listeners_closed: bool,
@@ -106,8 +106,8 @@
         self.process_pending();
     }
 
-    /// Resumes accepting after a pause, and accepts the listeners' backlog at once: only its connections count as having
-    /// waited since the pause began, not those that come later.
+    /// Resumes accepting after a pause, and accepts the listeners' backlog at once, so that only the connections in
+    /// the backlog count as having waited since the pause began, not those that come later.
     fn accept_backlog(&mut self) {
         self.router_host.downstream.resume_accepting();
         for port in Port::ALL {
--- a/crates/dunepond-broker/src/event_loop/pending.rs
+++ b/crates/dunepond-broker/src/event_loop/pending.rs
@@ -10,8 +10,9 @@
 use crate::upstream::CompletedAttempt;
 
 impl EventLoop {
-    /// Handles pending work until none is left: requests that have been read, frames to be written, and attempts that
-    /// ended during a call to the router, which must not be called from within a call.
+    /// Handles pending work until none is left: requests that have been read, frames to be written, and ends of
+    /// attempts. The latter are queued because an attempt may end during a call to the router, which must not be
+    /// called again from within that call.
     pub(super) fn process_pending(&mut self) {
         loop {
             self.end_disconnected_queries();
--- a/crates/dunepond-broker/src/event_loop/setup.rs
+++ b/crates/dunepond-broker/src/event_loop/setup.rs
@@ -29,7 +29,7 @@
     pub(super) folder: Arc<dyn SpillFolder>,
 }
 
-/// The error of a startup at which `part` could not be set up.
+/// Returns the error for a startup that failed because `part` of the broker could not be set up.
 pub(super) fn setup_error(part: &str, reason: &dyn std::fmt::Display) -> ConfigError {
     ConfigError(format!("{part}: {reason}"))
 }
--- a/crates/dunepond-broker/src/event_loop/shutdown.rs
+++ b/crates/dunepond-broker/src/event_loop/shutdown.rs
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Enters a stage that is due, before the events of this iteration are handled: that stage applies to their requests.
+    /// Enters the next stage of the shutdown if it is due. Called before the events of an iteration are handled, so
+    /// that the stage applies to the requests that they bring.
     pub(super) fn advance_shutdown(&mut self) {
         if self.shutdown.is_some_and(|shutdown| shutdown.stage(self.router_host.now) > self.shutdown_stage) {
             self.run_shutdown_stages();
--- a/crates/dunepond-broker/src/frames.rs
+++ b/crates/dunepond-broker/src/frames.rs
@@ -16,7 +16,7 @@
         id: &'a str,
         /// How the attempt ended.
         outcome: ReplicaOutcome,
-        /// What the attempt found.
+        /// What the attempt found, as text.
         value: &'a str,
         /// The node's report on the search; see [`parse_search_report`].
         report: &'a str,
@@ -35,7 +35,7 @@
 /// The outcome of an attempt, as a node states it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReplicaOutcome {
-    /// The segment was searched, and there is a value.
+    /// The segment was searched, and the frame holds what was found.
     Served,
     /// The attempt failed while it ran.
     Failed,
--- a/crates/dunepond-broker/src/http/head.rs
+++ b/crates/dunepond-broker/src/http/head.rs
@@ -11,11 +11,11 @@
 /// How the rest of a body is framed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Framing {
-    /// So many bytes of the body are left.
+    /// This many bytes of the body are left.
     Length(usize),
     /// The size line of a chunk is next.
     ChunkSize,
-    /// So many bytes of the current chunk are left.
+    /// This many bytes of the current chunk are left.
     Chunk(usize),
     /// The line end after a chunk is next.
     ChunkTerminator,
--- a/crates/dunepond-broker/src/iteration.rs
+++ b/crates/dunepond-broker/src/iteration.rs
@@ -27,18 +27,19 @@
     pub const ALL: [Self; 2] = [Self::Queries, Self::SearchApi];
 }
 
-/// An event of the event loop. The flag of a readiness event says whether the connection can be read. The index of a
-/// connection may have been reused within the iteration; the new connection is then read once without need.
+/// An event of the event loop. A readiness event holds a flag that says whether the connection can be read. The index
+/// in it may already belong to a new connection, if the old one was closed within the iteration; the new connection
+/// is then read once without need.
 pub enum LoopEvent {
     /// Connections wait in the backlog of this port.
     Accept(Port),
-    /// A client connection is ready, by its index.
+    /// The client connection with this index is ready; the flag says whether it can be read.
     ClientReady(usize, bool),
-    /// A connection to a node is ready, by its index.
+    /// The connection to a node with this index is ready; the flag says whether it can be read.
     UpstreamReady(usize, bool),
-    /// A prefilter connection to a node is ready, by its index.
+    /// The prefilter connection with this index is ready; the flag says whether it can be read.
     PrefilterReady(usize, bool),
-    /// A connection to discovery is ready.
+    /// A connection to the discovery agent is ready; the flag says whether it can be read.
     DiscoveryReady(bool),
     /// The disk spill for bodies has completed an operation.
     DiskDone(DiskEvent),
--- a/crates/dunepond-broker/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -46,17 +46,19 @@
         #[arg(value_name = "FILE")]
         file: PathBuf,
     },
-    /// Convert a configuration of the old shape (rings, told returns) to the new one (sets)
+    /// Convert a configuration of the earlier format (segments that span replica groups, rejections that say when to
+    /// retry) to the current format
     Migrate {
         #[arg(value_name = "OLD")]
         old: PathBuf,
         /// Path of the new file
         #[arg(long, value_name = "FILE", required_unless_present = "dry_run")]
         out: Option<PathBuf>,
-        /// Number of sets that the nodes form, if the old cells do not say
+        /// Number of replica groups (sets) in the new configuration; by default as many old groups are joined into
+        /// one as held a segment
         #[arg(long, value_name = "COUNT")]
         sets: Option<usize>,
-        /// Disable hedged attempts (second copies) in the new configuration
+        /// Disable hedged attempts in the new configuration
         #[arg(long)]
         one_at_a_time: bool,
         /// Replace an existing file
@@ -76,7 +78,7 @@
         /// The broker's address: its search API's port, or with --shards its port for clients
         #[arg(long, value_name = "ADDRESS:PORT")]
         at: SocketAddr,
-        /// The index, which is a query class
+        /// Name of the index to search; each index is a query class of the deployment
         index: String,
         /// The query in the API's simple form, or with --shards the query's text; without it, everything matches
         text: Option<String>,
@@ -89,7 +91,7 @@
         /// Time budget in seconds, with --shards
         #[arg(long, default_value_t = 2.0)]
         seconds: f64,
-        /// Send a file of searches (for each a line with its head and a line with its body) instead of one query
+        /// Send a file of searches instead of one query; each search takes two lines, its header and its body
         #[arg(long, value_name = "FILE", conflicts_with_all = ["text", "shards"])]
         msearch: Option<PathBuf>,
         /// Print JSON instead of a table
@@ -155,7 +157,7 @@
     }
 }
 
-/// Runs a broker until it has shut down. `path` is that of the operator's file.
+/// Runs a broker until it has shut down. `path` is the path of the operator's file.
 fn run(
     path: Option<PathBuf>,
     signals: Option<Result<CaughtSignals, ConfigError>>,
--- a/crates/dunepond-broker/src/persistence/mod.rs
+++ b/crates/dunepond-broker/src/persistence/mod.rs
@@ -55,7 +55,7 @@
     snapshot_job: Option<JobId>,
     /// The pending job that opens the folder.
     open_job: Option<JobId>,
-    /// Length of the last snapshot, as the estimated cost of the next one.
+    /// Length of the most recent snapshot in bytes, used as the estimated cost of the next one.
     last_snapshot_bytes: u64,
     query_classes: Vec<String>,
     /// Whether `restore` has been done.
--- a/crates/dunepond-broker/src/prefilter.rs
+++ b/crates/dunepond-broker/src/prefilter.rs
@@ -45,14 +45,14 @@
     segments: Vec<SegmentIndex>,
 }
 
-/// The settings of a query class that the prefilter needs.
+/// What the prefilter needs to know of a query class.
 struct QueryClass {
     idempotent: bool,
     /// The share of the parts' weights from which on a response counts as complete.
     complete_at: f64,
 }
 
-/// The data of a pruned query that an audit needs.
+/// What an audit needs to know of a pruned query.
 #[derive(Clone)]
 struct AuditText {
     key: QueryKey,
--- a/crates/dunepond-broker/src/prefilter_connections.rs
+++ b/crates/dunepond-broker/src/prefilter_connections.rs
@@ -63,7 +63,8 @@
     by_node: HashMap<NodeId, usize>,
     max_connections: usize,
     settings: Rc<HostSettings>,
-    /// Answers to requests and failures of requests that are not reported to the prefilter yet.
+    /// Outcomes of requests that have not been reported to the prefilter yet: each is a request's number with its
+    /// answers, or with the reason why it failed.
     pub responses: VecDeque<(u64, Result<PrefilterAnswers, RequestFailure>)>,
 }
 
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Closes a connection; its outstanding requests fail. All prefilter connections are closed here.
+    /// Closes a connection; its outstanding requests fail. Every close of a prefilter connection goes through here.
     fn close(&mut self, id: usize, ending: ConnectionEnd, timers: &mut Timers) {
         let Some(connection) = self.connections.try_remove(id) else { return };
         timers.cancel(connection.timer);
--- a/crates/dunepond-broker/src/router/admission.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -105,7 +105,7 @@
         self.complete_search(id, position, Err(error), retry_after);
     }
 
-    /// Adds a query to those in flight and schedules its deadline; returns what the router needs of it.
+    /// Adds a query to those in flight and schedules its deadline; returns it in the form that the router needs.
     fn insert_query(
         &mut self,
         client: usize,
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -22,7 +22,7 @@
     keyed_parts: Vec<KeyedPart>,
 }
 
-/// What the attempts of one part of a keyed query have come to.
+/// The state of the attempts of one part of a keyed query.
 #[derive(Clone, Default)]
 struct KeyedPart {
     /// Number of attempts that have not ended.
@@ -98,8 +98,9 @@
         may_send
     }
 
-    /// Writes an answer to the audit log and returns whether it may be marked complete. With a shard map, it may only if the
-    /// answered parts cover the query under one map; pruned parts count as answered.
+    /// Writes an answer to the audit log and returns whether it may be marked complete. If there is a shard map, an
+    /// answer may be marked complete only if the answered parts cover the query under one map; pruned parts count as
+    /// answered.
     pub(super) fn check_and_audit_completeness(&mut self, query: QueryId, complete: bool) -> bool {
         let (Some(control_plane), Some(active)) = (&self.control_plane, self.queries.get(&query)) else {
             return complete;
@@ -130,7 +131,7 @@
         complete
     }
 
-    /// Writes a query's final answer that has no values to the audit log.
+    /// Writes a query's final response to the audit log if it has no results, that is, if it is an error.
     pub(super) fn audit_answer(&self, query: QueryId, status: u16, complete: bool) {
         if let (Some(control_plane), Some(active)) = (&self.control_plane, self.queries.get(&query)) {
             control_plane.gate.control.audit(|| AuditEvent::Answer {
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -47,7 +47,8 @@
     segments: Vec<usize>,
     /// The id of each part in the nodes' frames: request id and segment.
     part_ids: Vec<Rc<str>>,
-    /// The value of each part; `None` until the part has been answered.
+    /// The answer that a node returned for each part, as text; `None` until the part has been answered. For a search
+    /// API request it is an empty text, as the answer is merged into `search`.
     values: Vec<Option<String>>,
     /// Segments that the prefilter pruned, each with the basis of that decision.
     pruned: Vec<PrunedSegment>,
@@ -59,7 +60,8 @@
     expires_at: f64,
     timer: Option<TimerKey>,
     tenant: usize,
-    /// `None` unless the query has been checked against a fleet's active configuration.
+    /// What the fleet's active configuration requires of the query; `None` unless the query has been checked against
+    /// it.
     coordination: Option<Coordination>,
     /// Number of attempts that have not ended.
     outstanding: usize,
@@ -102,9 +104,9 @@
     pub control_plane: Option<ControlPlaneClient>,
     /// Finished queries that the prefilter has not been told of.
     pub finished_queries: Vec<FinishedQuery>,
-    /// Search API requests in flight, by the id that their client connection has for them.
+    /// Search API requests in flight, by the id under which their client connection knows them.
     search_requests: HashMap<u64, ActiveRequest>,
-    /// Total size in bytes of the values held for queries in flight.
+    /// Total size in bytes of the answers to parts (`ActiveQuery::values`) that are held for queries in flight.
     value_bytes: u64,
     /// The client connection that uploads each streamed body.
     uploads: HashMap<BodyId, usize>,
@@ -120,9 +122,10 @@
     retry_windows: Vec<f64>,
     queries: HashMap<QueryId, ActiveQuery>,
     request_ids: HashSet<String>,
-    /// The id given last to a query or a search API request.
+    /// The id that was most recently given to a query or a search API request.
     last_id: QueryId,
-    /// Number of unfinished queries plus that of their parts without a value; bounded by `HostSettings::max_in_flight`.
+    /// Number of unfinished queries plus the number of their parts that have not been answered; bounded by
+    /// `HostSettings::max_in_flight`.
     in_flight: usize,
 }
 
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Returns the number of parts without a value.
+    /// Returns the number of parts that have not been answered.
     fn open_parts(&self) -> usize {
         self.values.iter().filter(|value| value.is_none()).count()
     }
--- a/crates/dunepond-broker/src/router/transport.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -118,7 +118,8 @@
 }
 
 impl RouterHost {
-    /// Records a new attempt of a part and returns what its frame needs; `None` if the query is not in flight.
+    /// Records a new attempt of a part and returns the data from which its frame is encoded; `None` if the query is
+    /// not in flight.
     fn start_attempt(&mut self, query: QueryId, part: usize, node: NodeId) -> Option<AttemptRequest> {
         let active = self.queries.get_mut(&query)?;
         let index = active.attempts[part].len();
--- a/crates/dunepond-broker/src/search_api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -28,7 +28,7 @@
     query_classes: Vec<QueryClass>,
 }
 
-/// The settings of a query class that the search API needs.
+/// What the search API needs to know of a query class.
 struct QueryClass {
     /// Whether the queries of the class are updates, which must not run twice.
     is_update: bool,
@@ -197,7 +197,7 @@
     is_count: bool,
     /// When the search started, in Unix seconds.
     started_at: f64,
-    /// Why the last attempt of each segment failed.
+    /// Why the most recent failed attempt for each segment failed.
     failures: HashMap<usize, String>,
 }
 
@@ -231,7 +231,8 @@
         self.position
     }
 
-    /// Merges the value that a node returned for a part.
+    /// Merges the response that a node returned for a part into the results of the search. Fails if it is a rejection
+    /// or an error.
     pub fn record_value(&mut self, segment: usize, value: &str) -> Result<(), ValueError> {
         let expected = ExpectedResult {
             index: &self.index,
--- a/crates/dunepond-broker/src/signals.rs
+++ b/crates/dunepond-broker/src/signals.rs
@@ -9,7 +9,7 @@
 pub struct CaughtSignals {
     /// Event source of the signals.
     pub(crate) signals: Signals,
-    /// When the signals were blocked, at the latest: none of them came earlier.
+    /// A time just before the signals were blocked: none of the caught signals came earlier.
     pub(crate) since: Instant,
 }
 
--- a/crates/dunepond-broker/src/upstream/connection.rs
+++ b/crates/dunepond-broker/src/upstream/connection.rs
@@ -163,7 +163,7 @@
     }
 
     /// Closes a connection and completes its attempts; their outcome follows from `ending` and from whether their
-    /// frames were fully written. All connections are closed here.
+    /// frames were fully written. Every close of a connection to a node goes through here.
     pub(super) fn close(&mut self, now: f64, id: usize, ending: ConnectionEnd, timers: &mut Timers) {
         let Some(connection) = self.connections.try_remove(id) else { return };
         timers.cancel(connection.timer);
--- a/crates/dunepond-broker/src/upstream/framing.rs
+++ b/crates/dunepond-broker/src/upstream/framing.rs
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Returns the number of the first batch that is not framed yet.
+    /// Returns the number of the first batch of attempts on this connection that is not framed yet.
     fn next_unframed_batch(&self) -> Option<u64> {
         self.outstanding.iter().find(|out| out.frame_end.is_none()).map(|out| out.batch)
     }
 
-    /// Queues a batch as a request of the search API. Such a batch has exactly one attempt.
+    /// Queues a batch of exactly one attempt as a request of the search API.
     fn frame_search_request(&mut self, now: f64, batch: u64, search_api: &SearchApiFraming) {
         let Some(out) = self.outstanding.iter_mut().find(|out| out.batch == batch) else { return };
         let request = &mut out.request;
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -101,20 +101,21 @@
     /// Ids of cancelled attempts whose end the node has not reported. The node may still be running them, so each
     /// counts towards the limit of parts on the connection.
     cancelled: Vec<Rc<str>>,
-    /// The number of the last batch.
+    /// The number of the batch that was assigned to this connection most recently.
     last_batch: u64,
     /// The connection speaks the search API, which allows one request at a time.
     uses_search_api: bool,
     /// The search API response that is being received.
     message: Option<Message>,
-    /// Ids of the last attempts that ended or were cancelled on this connection, at most `MAX_FINISHED_REMEMBERED`.
+    /// Ids of the attempts that most recently ended or were cancelled on this connection, at most
+    /// `MAX_FINISHED_REMEMBERED`.
     finished: VecDeque<Rc<str>>,
 }
 
 /// A node, with the connections to it.
 #[derive(Default)]
 struct NodeEntry {
-    /// The node's last row in the endpoint list; `None` if this index is free.
+    /// The node's most recent row in the endpoint list; `None` if this index is free.
     endpoint: Option<EndpointInfo>,
     /// Indices of the connections to the node.
     connections: Vec<usize>,
@@ -126,7 +127,7 @@
 pub struct CompletedAttempt {
     /// The attempt and its outcome, as the router needs them.
     pub ended: AttemptEnded,
-    /// The value that the node returned; `None` if the attempt was not served.
+    /// The answer that the node returned for the part, as text; `None` if the attempt was not served.
     pub value: Option<String>,
     /// The version that was searched and whether anything was found; `None` if the node does not report that.
     pub search_report: Option<SearchReport>,
@@ -144,7 +145,9 @@
 struct BodyProgress {
     /// Offset in the body, in bytes.
     offset: u64,
-    /// Since when the connection has been at this offset while other readers wait for it, in Unix seconds.
+    /// Since when this connection, as the slowest reader of the body, has been stuck at `offset` and held up the
+    /// others, in Unix seconds. If the connection has moved on or holds up no other reader, the time of the most
+    /// recent check.
     since: f64,
 }
 
@@ -169,8 +172,8 @@
     settings: Rc<HostSettings>,
     /// Nodes with attempts that are not assigned to a connection yet.
     nodes_to_flush: Vec<NodeId>,
-    /// Batches for which no file descriptor was left for a connection. They wait until one is freed, and end as not
-    /// sent if none can be.
+    /// Batches of attempts for which no connection could be opened, as no file descriptor was free. They wait until
+    /// one is freed, and end as not sent if none can be.
     awaiting_descriptor: Vec<(NodeId, Vec<AttemptRequest>)>,
     /// Removed nodes whose index is still in use.
     removed_nodes: Vec<NodeId>,
@@ -216,7 +219,8 @@
         self.frame_end.is_some_and(|end| end <= output.written_offset())
     }
 
-    /// Ends the attempt with an outcome and, if it was served, the value that the node returned.
+    /// Ends the attempt with an outcome and, if it was served, the answer that the node returned for the part, as
+    /// text.
     fn into_completed(
         self,
         node: NodeId,
--- a/crates/dunepond-broker/src/upstream/request.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -36,13 +36,13 @@
         }
     }
 
-    /// Returns whether a batch waits for a file descriptor for its connection.
+    /// Returns whether a batch of attempts waits for a free file descriptor to open a connection with.
     pub fn is_awaiting_descriptor(&self) -> bool {
         !self.awaiting_descriptor.is_empty()
     }
 
-    /// Takes a batch that waits for a file descriptor. Queues it again if `has_descriptor`; otherwise its attempts end
-    /// as not sent.
+    /// Takes a batch of attempts that waits for a free file descriptor. Queues the batch again if `has_descriptor`;
+    /// otherwise its attempts end as not sent.
     pub fn retry_awaiting_descriptor(&mut self, now: f64, has_descriptor: bool, timers: &mut Timers) {
         let Some((node, requests)) = self.awaiting_descriptor.pop() else { return };
         if has_descriptor {
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Assigns a batch to a connection that has room for it or to a new one; if neither is possible, its attempts end.
+    /// Assigns a batch of attempts to a connection that has room for it or to a new one; if neither is possible, its
+    /// attempts end.
     fn queue_batch(&mut self, now: f64, node: NodeId, requests: Vec<AttemptRequest>, timers: &mut Timers) {
         let mut found = self.find_connection(now, node, &requests);
         // Reads from an idle connection before it is used, to find out whether the node has closed it: an attempt
--- a/crates/dunepond-broker/src/upstream/response.rs
+++ b/crates/dunepond-broker/src/upstream/response.rs
@@ -141,7 +141,8 @@
         None
     }
 
-    /// Returns the outcome that a search API response stands for, and its value if the attempt was served.
+    /// Returns the outcome that a search API response stands for and, if the attempt was served, the response's body
+    /// as the answer for the part.
     fn search_outcome(
         &self,
         node: NodeId,
@@ -150,7 +151,7 @@
     ) -> (AttemptOutcome, Option<String>) {
         let expected = ExpectedResult {
             index: &self.settings.query_classes[query_class],
-            // The limits are in the payload, which only the search API front end parses; it checks the value against
+            // The limits are in the payload, which only the search API front end parses; it checks the answer against
             // them.
             max_hits: usize::MAX,
             sort_keys: None,
