--- a/crates/dunepond-broker/src/control_plane/rules.rs
+++ b/crates/dunepond-broker/src/control_plane/rules.rs
@@ -1,10 +1,11 @@
-//! Routing rules of a fleet: the stricter of what the deployment has and what the fleet has agreed on.
+//! Combines the routing rules of the deployment with those that the fleet has agreed on.
 
 use dunepond_routing::{RetryBudget, Rules};
 
 use super::DEFAULT_RETRY_WINDOW_SECONDS;
 
-/// The stricter of the deployment's and the agreed rules: a fleet must not widen a deployment's limits.
+/// Returns, for each rule, the stricter of the deployment's own rule and the one that the brokers of the fleet have
+/// agreed on: a fleet must not relax a deployment's limits.
 pub(super) fn strictest_rules(own: &Rules, agreed: &dunepond_consensus::RoutingRules) -> Rules {
     let own_budget = own.retry_budget.as_ref();
     let retry_budget = own_budget.map_or(
@@ -30,7 +31,8 @@
     }
 }
 
-/// The greater share of each query class; agreed shares may be fewer.
+/// Returns, for each query class, the greater of the deployment's share and the one that the fleet has agreed on. A
+/// class for which the fleet has agreed on no share keeps the deployment's.
 fn greater_shares(own: &[f64], agreed: &[f64]) -> Vec<f64> {
     let greater =
         |(class, share): (usize, &f64)| agreed.get(class).map_or(*share, |agreed| share.max(*agreed));
