--- a/crates/dunepond-broker/tests/agent/mod.rs
+++ b/crates/dunepond-broker/tests/agent/mod.rs
@@ -1,4 +1,4 @@
-//! A discovery agent that the test controls step by step, and helpers of the tests of the endpoint list.
+//! Support for the endpoint list tests: a discovery agent that the test controls step by step, and brokers connected to it.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,13 +8,14 @@
 use serde_json::{Value, json};
 use socket2::SockRef;
 
-/// Half of the 6 s after which a change counts as known although discovery is silent; the rest is tolerance for a busy machine.
+/// Longest time until the broker applies a new endpoint list: half of the 6 s that is allowed while discovery is silent. The
+/// other half is tolerance for a busy machine.
 pub const MAX_UPDATE_DELAY: Duration = Duration::from_secs(3);
 
-/// A discovery agent that answers as the test says.
+/// A stand-in for the discovery agent: it accepts connections and responds only when the test calls its methods.
 pub struct Agent(pub TcpListener);
 
-/// A connection from the broker.
+/// A connection from the broker to the discovery agent.
 pub struct Call(BufReader<TcpStream>);
 
 impl Agent {
@@ -32,7 +33,7 @@
         Call(BufReader::new(stream))
     }
 
-    /// The next connection, and the path of its first request.
+    /// Accepts the next connection; returns it with the path of its first request.
     pub fn accept_request(&self) -> (Call, String) {
         let mut call = self.accept();
         let path = call.read_request();
@@ -41,33 +42,36 @@
 }
 
 impl Call {
-    /// The path of the next request.
+    /// Reads the next request head and returns its path.
     pub fn read_request(&mut self) -> String {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
-            assert!(self.0.read_line(&mut head).unwrap() > 0, "closed");
+            assert!(self.0.read_line(&mut head).unwrap() > 0, "the broker closed the connection");
         }
         head.split(' ').nth(1).unwrap().to_string()
     }
 
-    pub fn say(&mut self, text: &str) {
+    /// Writes text as it is; a closed connection is ignored.
+    pub fn write_text(&mut self, text: &str) {
         let _ = self.0.get_mut().write_all(text.as_bytes());
     }
 
+    /// Sends a response with this list.
     pub fn answer(&mut self, list: &Value) {
-        self.say(&http_response(&list.to_string()));
+        self.write_text(&http_response(&list.to_string()));
     }
 
+    /// Closes the connection with a TCP reset.
     pub fn reset(self) {
         SockRef::from(self.0.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// Waits for the broker to close it.
+    /// Waits until the broker closes or resets the connection.
     pub fn wait_closed(&mut self) {
         match self.0.read(&mut [0]) {
             Ok(0) => {}
             Err(e) if e.kind() == ErrorKind::ConnectionReset => {}
-            other => panic!("not closed: {other:?}"),
+            other => panic!("the broker did not close the connection: {other:?}"),
         }
     }
 }
@@ -76,20 +80,22 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-pub fn full_list(seq: u64, lines: Vec<Value>) -> Value {
-    json!({"seq": seq, "whole": true, "hosts": lines})
+/// A complete endpoint list with this version and these rows.
+pub fn full_list(seq: u64, rows: Vec<Value>) -> Value {
+    json!({"seq": seq, "whole": true, "hosts": rows})
 }
 
 pub fn nodes() -> [Node; 2] {
     [Node::start("s-0"), Node::start("s-1")]
 }
 
-/// A list in which the first node drains and the second is ready.
+/// A complete endpoint list in which the first node is draining and the second is ready.
 pub fn first_node_draining(seq: u64, nodes: &[Node; 2]) -> Value {
     full_list(seq, vec![nodes[0].endpoint("draining"), nodes[1].endpoint("ready")])
 }
 
-/// A broker whose configured list has the first node only, and its first call.
+/// Starts a broker whose configured list has the first node only; returns it with its agent and its first call, which requests
+/// the complete list and has no response yet.
 pub fn broker_awaiting_list(nodes: &[Node; 2]) -> (Broker, Agent, Call) {
     let agent = Agent::start();
     let broker = Broker::start(&config(agent.address(), vec![nodes[0].endpoint("ready")]));
@@ -98,7 +104,8 @@
     (broker, agent, call)
 }
 
-/// A broker that has received the first node alone as a list of this version, and now watches.
+/// Starts a broker and sends it a list of this version that has the first node only; returns it with its agent and its call,
+/// which now watches for changes.
 pub fn broker_with_watch(seq: u64, nodes: &[Node; 2]) -> (Broker, Agent, Call) {
     let (broker, agent, mut call) = broker_awaiting_list(nodes);
     call.answer(&full_list(seq, vec![nodes[0].endpoint("ready")]));
@@ -106,7 +113,7 @@
     (broker, agent, call)
 }
 
-/// Sends a few queries; all parts go to the second node.
+/// Sends three queries and asserts that only the second node received their parts.
 pub fn assert_only_second_node_serves(broker: &Broker, nodes: &[Node; 2]) {
     let mut client = Client::connect(broker);
     for i in 0..3 {
--- a/crates/dunepond-broker/tests/held_up.rs
+++ b/crates/dunepond-broker/tests/blocked_event_loop.rs
@@ -1,4 +1,4 @@
-//! Guards against a blocked event loop: by a configuration file that cannot be read at SIGHUP, and by a log pipe that is not read.
+//! Guards against blocking the event loop on a configuration file that cannot be read at SIGHUP, or on a log pipe that nobody reads.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -9,18 +9,20 @@
     Broker, Client, DiscoveryServer, Node, broker_program, config, launch_command, query_request,
 };
 
-/// A request's deadline, and how long its answer is awaited.
+/// Time budget of each request.
 const BUDGET_SECONDS: &str = "1.0";
+/// Longest wait for a response.
 const MAX_WAIT: Duration = Duration::from_secs(2);
-/// Requests whose log lines exceed the size of a pipe several times.
+/// Number of requests; their log lines exceed the capacity of a pipe several times.
 const REQUESTS: usize = 2_000;
 
+/// Sends a query and returns its status; `None` if there is no response in time.
 fn status(client: &mut Client, id: &str) -> Option<u16> {
     client.stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
     client.try_request(&query_request("find", id, &[1], BUDGET_SECONDS)).map(|answer| answer.status)
 }
 
-/// The file is a pipe without a writer.
+/// The configuration file is a named pipe without a writer, so that opening it blocks.
 #[test]
 fn unreadable_config_does_not_block() {
     let nodes = [Node::start("s-0")];
@@ -32,7 +34,7 @@
     broker.signal("HUP");
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(status(&mut client, "c2"), Some(200));
-    // Another reload while the first is still reading, and the shutdown.
+    // A second reload while the first is still reading, and a shutdown.
     broker.signal("HUP");
     broker.signal("TERM");
     assert_eq!(status(&mut client, "c3"), Some(200));
@@ -40,22 +42,23 @@
     assert_eq!(broker.exit_code(), Some(0));
 }
 
+/// A broker whose log is read only until it listens.
 struct BrokerWithUnreadLog {
     child: Child,
     address: SocketAddr,
-    /// Its log, which is no longer read.
+    /// The broker's log, kept open and no longer read.
     _log: BufReader<std::process::ChildStderr>,
 }
 
 impl BrokerWithUnreadLog {
     fn start(list: &DiscoveryServer, nodes: &[Node]) -> Self {
-        let lines = nodes.iter().map(|node| node.endpoint("ready")).collect();
-        let (mut child, _file) = launch_command(Command::new(broker_program()), &config(list.address, lines));
+        let rows = nodes.iter().map(|node| node.endpoint("ready")).collect();
+        let (mut child, _file) = launch_command(Command::new(broker_program()), &config(list.address, rows));
         let mut log = BufReader::with_capacity(1, child.stderr.take().unwrap());
         let mut line = String::new();
         while !line.contains("listening on") {
             line.clear();
-            assert!(log.read_line(&mut line).unwrap() > 0, "it ended");
+            assert!(log.read_line(&mut line).unwrap() > 0, "the broker closed its log before it listened");
         }
         let address = line.trim_end().split(' ').next_back().unwrap().parse().unwrap();
         Self { child, address, _log: log }
--- a/crates/dunepond-broker/tests/client_close/attempts.rs
+++ b/crates/dunepond-broker/tests/client_close/attempts.rs
@@ -1,4 +1,5 @@
-//! The close together with answers of the node: no retry and no pipelined request follows, and other queries go on.
+//! A client's close that reaches the broker together with a response of the node: no attempt is retried, no pipelined request is
+//! started, and other queries are not affected.
 
 use std::thread;
 use std::time::Duration;
@@ -23,7 +24,7 @@
     assert_eq!(scenario.node.sent_counts("c1.0").0, 1);
 }
 
-/// Without the close the attempt is retried: shows that the scenario above tests anything.
+/// Control for `failed_attempt_is_not_retried_after_close`: without the close the same failure leads to a retry.
 #[test]
 fn failed_attempt_is_retried_for_a_waiting_client() {
     let scenario = Scenario::start();
@@ -36,7 +37,7 @@
     assert_eq!(client.read_answer().unwrap().status, 200);
 }
 
-/// It was read with the first request, and starts with the first's response.
+/// The second request is read together with the first one and would be started when the first one is answered.
 #[test]
 fn pipelined_request_is_not_started_after_close() {
     let mut scenario = Scenario::start();
@@ -51,8 +52,8 @@
     assert_eq!((scenario.node.sent_counts("c1.0").0, scenario.node.sent_counts("c2.0")), (1, (0, 0)));
 }
 
-/// The client closes during an iteration that handles the failure of its attempt: no event of that iteration reports the
-/// close. A retry would begin too late.
+/// The client closes during the iteration that handles the failure of its attempt, so that no event of that iteration reports
+/// the close. A retry would be sent later than is allowed after a close.
 #[test]
 fn no_retry_after_close_while_the_broker_is_busy() {
     let mut scenario = Scenario::start();
@@ -61,23 +62,24 @@
         let mut client = Client::connect(&scenario.broker);
         client.send(&query_request("find", &id, &[0], "2.9"));
         scenario.node.wait_for('A', &part);
-        // The longest that an attempt may begin after the close.
+        // 100 ms is the longest time after the close at which an attempt may be sent.
         thread::sleep(Duration::from_millis(100));
         let busy = BusyLoad::connect(&scenario);
         scenario.while_stopped(|scenario| {
             busy.send();
             scenario.node.end_attempt(&part, "fault");
         });
-        let in_time = busy.while_handled(&scenario, || close(client));
+        let in_time = busy.while_busy(&scenario, || close(client));
         scenario.send_marker();
         in_time.then(|| scenario.node.sent_counts(&part).0)
     };
     assert_eq!((0..9).find_map(attempts_of_query), Some(1));
 }
 
-/// A node's response together with the client's close: no other query is affected, and the connection stays open.
+/// A node's response arrives together with the client's close: the other attempt is cancelled once, and the node's connection
+/// stays open.
 #[test]
-fn response_at_the_close_disturbs_no_connection() {
+fn response_at_client_close_keeps_node_connection() {
     let mut scenario = Scenario::start();
     let mut client = Client::connect(&scenario.broker);
     client.send(&query_request("find", "c1", &[0, 1], "2.9"));
@@ -93,11 +95,11 @@
     scenario.node.wait(|received| received.connections.len() == 1);
 }
 
-/// The client has no query in flight.
+/// A client closes its connection while it has no query in flight.
 #[rstest]
-#[case::unasked("")]
-#[case::half("POST /find HTTP/1.1\r\nContent-Length: 99\r\n\r\n{")]
-#[case::answered("GET /ready HTTP/1.1\r\n\r\n")]
+#[case::no_request("")]
+#[case::partial_request("POST /find HTTP/1.1\r\nContent-Length: 99\r\n\r\n{")]
+#[case::answered_request("GET /ready HTTP/1.1\r\n\r\n")]
 fn close_without_attempts_cancels_nothing(#[case] sent_before: &str) {
     let mut scenario = Scenario::start();
     let mut client = Client::connect(&scenario.broker);
--- a/crates/dunepond-broker/tests/client_close/detection.rs
+++ b/crates/dunepond-broker/tests/client_close/detection.rs
@@ -1,4 +1,4 @@
-//! Detection of the close: before the request is read, and behind full buffers.
+//! Detection of a client's close before its request is read, and behind unread data in full buffers.
 
 use std::io::Write;
 use std::time::{Duration, Instant};
@@ -12,16 +12,16 @@
 /// The request and the close both arrive before the connection is read.
 #[rstest]
 #[case::in_the_backlog(false)]
-#[case::on_a_connection_at_rest(true)]
+#[case::on_an_idle_connection(true)]
 fn closed_before_read_is_not_dispatched(#[case] established: bool) {
     let mut scenario = Scenario::start();
-    let resting = established.then(|| {
+    let idle = established.then(|| {
         let mut client = Client::connect(&scenario.broker);
         assert_eq!(client.request(&query_request("find", "mark", &[0], "2.0")).status, 200);
         client
     });
     scenario.while_stopped(|scenario| {
-        let mut client = resting.unwrap_or_else(|| Client::connect(&scenario.broker));
+        let mut client = idle.unwrap_or_else(|| Client::connect(&scenario.broker));
         client.send(&query_request("find", "c1", &[0], "2.0"));
         close(client);
     });
@@ -29,7 +29,7 @@
     assert_eq!(scenario.node.sent_counts("c1.0"), (0, 0));
 }
 
-/// A new process waits for its endpoint list; while_handled clients wait in the backlog.
+/// A new broker accepts no connection before its first endpoint list: the request and the close wait in the backlog.
 #[test]
 fn closed_while_accepting_is_delayed_is_not_dispatched() {
     let node = Node::start();
@@ -45,7 +45,7 @@
     assert_eq!(scenario.node.sent_counts("c1.0"), (0, 0));
 }
 
-/// What it sent fills the read buffer, and its close stands behind that.
+/// The client's pipelined requests fill the read buffer, so that the close is only seen behind them.
 #[test]
 fn close_behind_a_full_buffer_is_detected() {
     let mut scenario = Scenario::start();
@@ -58,20 +58,20 @@
     close(client);
     let closed = Instant::now();
     scenario.node.wait_for('B', "c1.0");
-    // It is not its time that was up.
+    // Well before the deadline: the close caused the cancellation, not a timeout.
     assert!(closed.elapsed() < Duration::from_millis(1450), "{:?}", closed.elapsed());
     scenario.send_marker();
     assert_eq!((scenario.node.sent_counts("c1.0"), scenario.node.sent_counts("more0.0")), ((1, 1), (0, 0)));
 }
 
-/// A request of nearly half a read buffer.
-fn long(id: &str) -> String {
+/// A request that takes nearly half of the read buffer.
+fn long_request(id: &str) -> String {
     let body = json!({"buckets": [{"bucket": 0, "part": 1.0}], "body": "x".repeat(30_000)}).to_string();
     let head = format!("POST /find HTTP/1.1\r\nX-Call-Id: {id}\r\nX-Budget: 2.9\r\n");
     format!("{head}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// What it sent fills the sockets' buffers as well, so that its close has not even been transmitted.
+/// The client's pipelined requests also fill the sockets' buffers, so that its close is not transmitted yet.
 #[test]
 fn close_behind_full_socket_buffers_is_detected() {
     let mut scenario = Scenario::start();
@@ -81,7 +81,7 @@
     client.stream.set_nonblocking(true).unwrap();
     scenario.while_stopped(|_| {
         for i in 0.. {
-            let more = long(&format!("more{i}"));
+            let more = long_request(&format!("more{i}"));
             if !matches!((&client.stream).write(more.as_bytes()), Ok(count) if count == more.len()) {
                 break;
             }
@@ -90,7 +90,7 @@
     });
     let closed = Instant::now();
     scenario.node.wait_for('B', "c1.0");
-    // It is not its time that was up.
+    // Well before the deadline: the close caused the cancellation, not a timeout.
     assert!(closed.elapsed() < Duration::from_millis(1450), "{:?}", closed.elapsed());
     scenario.send_marker();
     assert_eq!((scenario.node.sent_counts("c1.0"), scenario.node.sent_counts("more0.0")), ((1, 1), (0, 0)));
--- a/crates/dunepond-broker/tests/client_close/harness.rs
+++ b/crates/dunepond-broker/tests/client_close/harness.rs
@@ -1,4 +1,4 @@
-//! A broker before one node whose answers the test decides, and means to let several events reach the broker at once.
+//! A broker with one node whose responses the test controls, and helpers that let several events reach the broker at once.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,35 +12,36 @@
 /// Longest wait for an expected event.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A frame as it reached the node.
+/// A frame that the node received.
 pub struct Frame {
-    /// `A`: attempt, `B`: cancellation.
+    /// `A` for an attempt, `B` for a cancellation.
     pub kind: char,
     content: String,
-    /// Index of its connection.
+    /// Index in [`Received::connections`] of the connection that carried the frame.
     connection: usize,
 }
 
 impl Frame {
-    /// Marker queries are served at once.
+    /// Whether the frame is an attempt of a marker query, which the node serves at once.
     fn is_marker(&self) -> bool {
         self.kind == 'A' && self.content.starts_with("mark")
     }
 
+    /// Whether the frame has this kind and belongs to this part.
     pub fn is_of_part(&self, kind: char, part: &str) -> bool {
         let rest = self.content.strip_prefix(part);
         self.kind == kind && rest.is_some_and(|rest| rest.is_empty() || rest.starts_with(' '))
     }
 }
 
-/// What reached a node.
+/// The frames and connections that a node received, in order of arrival.
 #[derive(Default)]
 pub struct Received {
     pub frames: Vec<Frame>,
     pub connections: Vec<TcpStream>,
 }
 
-/// A node that answers what the test says; parts of a marker query it serves at once.
+/// A node that serves parts of marker queries at once and other parts only when the test ends their attempts.
 pub struct Node {
     pub address: SocketAddr,
     pub received: Arc<(Mutex<Received>, Condvar)>,
@@ -104,28 +105,29 @@
             "health": "ready", "share": 1.0, "born_ms": 0})
     }
 
+    /// Waits until this holds for what the node received.
     pub fn wait(&self, until: impl Fn(&Received) -> bool) {
         let (lock, changed) = &*self.received;
         let late = changed
             .wait_timeout_while(lock.lock().unwrap(), EVENT_TIMEOUT, |received| !until(received))
             .unwrap()
             .1;
-        assert!(!late.timed_out(), "the node has not received what it should");
+        assert!(!late.timed_out(), "the node did not receive the expected frame or connection in time");
     }
 
-    /// Waits for an attempt of a part, or for its cancellation.
+    /// Waits for a frame of this kind (`A`: attempt, `B`: cancellation) that belongs to this part.
     pub fn wait_for(&self, kind: char, part: &str) {
         self.wait(|received| received.frames.iter().any(|f| f.is_of_part(kind, part)));
     }
 
-    /// Ends an attempt that has arrived, on its connection, with this outcome.
+    /// Sends the last received attempt's response with this outcome, on the connection that carried the attempt.
     pub fn end_attempt(&self, part: &str, outcome: &str) {
         let received = self.received.0.lock().unwrap();
         let connection = received.frames.iter().rfind(|f| f.is_of_part('A', part)).unwrap().connection;
         (&received.connections[connection]).write_all(&end_frame(part, outcome)).unwrap();
     }
 
-    /// How many attempts and cancellations of a part reached the node.
+    /// Returns how many attempts and how many cancellations of a part the node received.
     pub fn sent_counts(&self, part: &str) -> (usize, usize) {
         let received = self.received.0.lock().unwrap();
         let count = |kind| received.frames.iter().filter(|f| f.is_of_part(kind, part)).count();
@@ -133,7 +135,8 @@
     }
 }
 
-/// Shuts the connection down: a mere close would leave it open in a process that another test is forking.
+/// Shuts the client's connection down. Closing the descriptor alone would leave the connection open in a child process that
+/// another test is forking.
 pub fn close(client: impl Into<Option<Client>>) {
     client.into().iter().for_each(|client| client.stream.shutdown(Shutdown::Both).unwrap());
 }
@@ -156,8 +159,8 @@
         scenario
     }
 
-    /// Sends a marker query: once it is served, everything before it has been sent, as there is one node and one
-    /// connection. On a busy machine the node may look slow and the query may be rejected; it is retried then.
+    /// Sends a marker query and waits until it is served. There is one node with one connection, so that all earlier frames have
+    /// been sent by then. On a busy machine the node may appear slow and the query be rejected; it is then retried.
     pub fn send_marker(&mut self) {
         let since = Instant::now();
         loop {
@@ -171,7 +174,7 @@
         }
     }
 
-    /// Lets events happen in this order while the broker is stopped, so that it sees them all at once.
+    /// Runs `events` while the broker's process is stopped, so that the broker sees all of them in one iteration.
     pub fn while_stopped(&self, events: impl FnOnce(&Self)) {
         let state = || std::fs::read_to_string(format!("/proc/{}/stat", self.broker.pid())).unwrap();
         self.broker.signal("STOP");
@@ -183,7 +186,7 @@
     }
 }
 
-/// Clients that send so many requests at once that the broker is busy for longer than an attempt may be late.
+/// Clients that send so many requests at once that the broker is busy for longer than an attempt may be sent after a close.
 pub struct BusyLoad(Vec<Client>);
 
 impl BusyLoad {
@@ -191,13 +194,15 @@
         Self((0..6).map(|_| Client::connect(&scenario.broker)).collect())
     }
 
+    /// Sends the requests of all clients.
     pub fn send(&self) {
         let ready = "GET /ready HTTP/1.1\r\n\r\n".repeat(2600);
         self.0.iter().for_each(|client| (&client.stream).write_all(ready.as_bytes()).unwrap());
     }
 
-    /// Lets these events happen once the broker handles their requests; true if it had not reached the last client by then.
-    pub fn while_handled(&self, scenario: &Scenario, events: impl FnOnce()) -> bool {
+    /// Stops the broker once it has answered the first client and runs `events`; returns whether the last client had no response
+    /// by then, so that the broker was still busy.
+    pub fn while_busy(&self, scenario: &Scenario, events: impl FnOnce()) -> bool {
         let (first, last) = (&self.0[0].stream, &self.0.last().unwrap().stream);
         first.peek(&mut [0]).unwrap();
         last.set_nonblocking(true).unwrap();
--- a/crates/dunepond-broker/tests/client_close/late_connection.rs
+++ b/crates/dunepond-broker/tests/client_close/late_connection.rs
@@ -1,4 +1,4 @@
-//! The close while attempts wait for a connection to their node.
+//! A client's close while its attempts wait for a connection to their node.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 
 use crate::harness::{BusyLoad, Node, Scenario, close};
 
-/// A listener with a full backlog: a connection is established once there is room and the connect is retried.
+/// A listener with a full backlog: a new connection is established only once there is room and the system retries the connect.
 struct FullListener {
     listener: TcpListener,
-    /// Connections that fill the backlog.
+    /// The connections that fill the backlog.
     filling: Vec<TcpStream>,
 }
 
@@ -30,7 +30,7 @@
         Self { filling: filling.collect(), listener }
     }
 
-    /// Waits until a connect is pending.
+    /// Waits until another connection to the listener is being established.
     fn wait_connect_pending(&self) {
         let port = format!(":{:04X} 02 ", self.listener.local_addr().unwrap().port());
         while !std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&port) {
@@ -39,16 +39,18 @@
     }
 }
 
-/// When the client closes, whose attempt waits for a connection.
+/// When the client closes, while its attempt waits for a connection.
 #[derive(Clone, Copy, PartialEq)]
 enum CloseTime {
+    /// Before the connection is established.
     BeforeConnect,
+    /// Together with the establishment of the connection, so that the broker sees both events at once.
     WhenEstablished,
-    /// The broker has the event that the connection is established, and is busy with something else.
+    /// While the broker is busy with other requests and has not handled the established connection yet.
     WhileBusy,
 }
 
-/// How often the part was sent; `None` if the test itself was too slow.
+/// Returns how often the part was sent; `None` if the test itself was too slow to close in time.
 fn attempts_on_late_connection(close_time: CloseTime) -> Option<usize> {
     let late = FullListener::start();
     let address = late.listener.local_addr().unwrap();
@@ -77,7 +79,7 @@
         node.wait(|received| received.connections.iter().any(is_brokers));
         close(client.take_if(|_| close_time == CloseTime::WhenEstablished));
     });
-    let in_time = busy.is_none_or(|busy| busy.while_handled(&scenario, || close(client.take())));
+    let in_time = busy.is_none_or(|busy| busy.while_busy(&scenario, || close(client.take())));
     scenario.node = node;
     scenario.send_marker();
     in_time.then(|| scenario.node.sent_counts("c1.0").0)
--- a/crates/dunepond-broker/tests/client_close/main.rs
+++ b/crates/dunepond-broker/tests/client_close/main.rs
@@ -1,4 +1,4 @@
-//! A client that closes its connection: no attempt is sent for it any more, whatever else arrives at the same time.
+//! After a client closes its connection, no attempt is sent for it, whatever other events arrive at the same time.
 
 mod attempts;
 mod detection;
--- a/crates/dunepond-broker/tests/hangup.rs
+++ b/crates/dunepond-broker/tests/client_disconnect.rs
@@ -1,4 +1,4 @@
-//! How long a disconnect check is valid before an attempt is sent for the client, and what invalidates it at once.
+//! How long a disconnect check of a client is valid when an attempt is sent for it, and what invalidates the check at once.
 
 use std::net::{Shutdown, SocketAddr};
 use std::rc::Rc;
@@ -13,9 +13,9 @@
 use dunepond_testkit::stand_ins::{Client, query_request, settings};
 
 /// Longest wait for an expected event.
-const PATIENCE: Duration = Duration::from_secs(10);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The client side without a router: the test handles the readiness events.
+/// The client side of a broker without its router; the test handles the readiness events.
 struct Harness {
     event_loop: EventLoop<'static, Iteration>,
     clients: Downstream,
@@ -26,12 +26,13 @@
 }
 
 impl Harness {
-    /// With one client whose query is in flight since `at`.
-    fn with_query(at: f64) -> Self {
-        Self::with_bound(64, at)
+    /// With one client whose query is in flight since `now`, in seconds.
+    fn with_query(now: f64) -> Self {
+        Self::with_bound(64, now)
     }
 
-    fn with_bound(most: usize, at: f64) -> Self {
+    /// With this maximum number of client connections, and one client whose query is in flight since `now`, in seconds.
+    fn with_bound(max_clients: usize, now: f64) -> Self {
         let mut event_loop = EventLoop::try_new().unwrap();
         let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
@@ -39,53 +40,56 @@
         let (settings, mut timers) = (settings(), Timers::default());
         let bounds = Rc::new(host_settings(&Fields::new("settings", &settings).unwrap()).unwrap());
         let mut clients =
-            Downstream::new(event_loop.handle(), &Pool::default(), bounds, most, 64, listener).unwrap();
-        event_loop.dispatch(PATIENCE, &mut Iteration::default()).unwrap();
-        clients.accept(at, Port::Queries, &mut timers);
+            Downstream::new(event_loop.handle(), &Pool::default(), bounds, max_clients, 64, listener)
+                .unwrap();
+        event_loop.dispatch(EVENT_TIMEOUT, &mut Iteration::default()).unwrap();
+        clients.accept(now, Port::Queries, &mut timers);
         let id = clients.pending_clients.pop().unwrap();
         let mut harness = Self { event_loop, clients, timers, address, client, id };
         harness.send(&query_request("find", "c1", &[1], "2.0"));
-        assert!(matches!(harness.clients.next_event(at, id, &mut harness.timers), ClientEvent::Query(_)));
+        assert!(matches!(harness.clients.next_event(now, id, &mut harness.timers), ClientEvent::Query(_)));
         harness.clients.assign_query(id, 7);
         harness
     }
 
+    /// Sends bytes from the client and waits for the readiness event.
     fn send(&mut self, bytes: &str) {
         self.client.send(bytes);
         self.wait_readable();
     }
 
-    fn hang_up(&mut self) {
+    /// Shuts the client's connection down and waits for the readiness event.
+    fn disconnect(&mut self) {
         self.client.stream.shutdown(Shutdown::Both).unwrap();
         self.wait_readable();
     }
 
-    /// Waits for the readiness event of the client.
+    /// Waits for a client's readiness event, without handling it.
     fn wait_readable(&mut self) {
-        let (mut turn, start) = (Iteration::default(), Instant::now());
-        while !turn.events.iter().any(|ready| matches!(ready, LoopEvent::ClientReady(_, true))) {
-            self.event_loop.dispatch(PATIENCE, &mut turn).unwrap();
-            assert!(start.elapsed() < PATIENCE, "nothing is told");
+        let (mut iteration, start) = (Iteration::default(), Instant::now());
+        while !iteration.events.iter().any(|ready| matches!(ready, LoopEvent::ClientReady(_, true))) {
+            self.event_loop.dispatch(EVENT_TIMEOUT, &mut iteration).unwrap();
+            assert!(start.elapsed() < EVENT_TIMEOUT, "no readiness event");
         }
     }
 }
 
-/// No attempt may begin more than 0.1 s after the close; half of that is left for writing its frame.
+/// No attempt may be sent more than 100 ms after the close; half of that is reserved for writing its frame.
 #[test]
 fn disconnect_check_expires_within_50_ms() {
     let mut harness = Harness::with_query(100.0);
-    harness.hang_up();
+    harness.disconnect();
     let seen = [100.01, 100.04, 100.06].map(|now| harness.clients.check_disconnected(now, harness.id));
     assert_eq!(seen, [false, false, true]);
     assert_eq!(harness.clients.next_disconnected(&mut harness.timers), Some(Some(7)));
     assert_eq!((harness.clients.next_disconnected(&mut harness.timers), harness.clients.count()), (None, 0));
 }
 
-/// A recent check must not hide a readiness event that is newer.
+/// A readiness event that is newer than the last check must lead to a new check.
 #[test]
 fn readiness_event_forces_a_disconnect_check() {
     let mut harness = Harness::with_query(100.0);
-    harness.hang_up();
+    harness.disconnect();
     harness.clients.check_waiting_client(100.0, harness.id);
     assert_eq!(harness.clients.next_disconnected(&mut harness.timers), Some(Some(7)));
 }
@@ -98,7 +102,7 @@
     assert_eq!(harness.client.read_answer().unwrap().status, 200);
     harness.clients.pending_clients.clear();
     harness.send(&query_request("find", "c2", &[1], "2.0"));
-    harness.hang_up();
+    harness.disconnect();
     harness.clients.on_timeout(100.01, harness.id, &mut harness.timers);
     assert_eq!(harness.clients.pending_clients, [harness.id]);
     assert!(matches!(
@@ -108,17 +112,17 @@
     assert_eq!(harness.clients.next_disconnected(&mut harness.timers), Some(None));
 }
 
-/// There is no room for it until another client is answered.
+/// The number of connections is at its limit, so that the client is accepted only after another one is answered.
 #[test]
 fn request_and_close_while_accepting_is_paused_are_not_dispatched() {
     let mut harness = Harness::with_bound(1, 100.0);
-    let mut waits = Client::connect_to(harness.address);
-    waits.send(&query_request("find", "c2", &[1], "2.0"));
+    let mut waiting = Client::connect_to(harness.address);
+    waiting.send(&query_request("find", "c2", &[1], "2.0"));
     assert!(
         !harness.clients.accept(100.1, Port::Queries, &mut harness.timers)
             && harness.clients.pending_clients.is_empty()
     );
-    waits.stream.shutdown(Shutdown::Both).unwrap();
+    waiting.stream.shutdown(Shutdown::Both).unwrap();
     harness.clients.reply(100.2, harness.id, 200, "{}", 0.0, &mut harness.timers);
     harness.clients.pending_clients.clear();
     harness.clients.resume_accepting();
--- a/crates/dunepond-broker/tests/closing.rs
+++ b/crates/dunepond-broker/tests/connection_close.rs
@@ -1,5 +1,5 @@
-//! Bytes that arrive between the last read of a client's connection and its close. The event loop is dispatched by the
-//! tests: a readiness event stays unhandled, like one in the same iteration as the close.
+//! Bytes that arrive between the last read of a client's connection and its close. The tests dispatch the event loop themselves, so
+//! that a readiness event stays unhandled, as if it came in the same iteration as the close.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -17,19 +17,23 @@
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 
+/// The client side of a broker without its router; the test handles the events and sets the time.
 struct Harness {
     event_loop: EventLoop<'static, Iteration>,
     clients: Downstream,
     timers: Timers,
     address: SocketAddr,
+    /// The current time in seconds.
     now: f64,
 }
 
 impl Harness {
-    fn new(most: usize) -> Self {
-        Self::with_settings(most, settings())
+    /// With this maximum number of client connections.
+    fn new(max_clients: usize) -> Self {
+        Self::with_settings(max_clients, settings())
     }
 
+    /// With this deadline for every query class, in milliseconds.
     fn with_timeouts(ms: f64) -> Self {
         let mut settings = settings();
         for service in settings["services"].as_array_mut().unwrap() {
@@ -38,46 +42,52 @@
         Self::with_settings(64, settings)
     }
 
-    fn with_settings(most: usize, settings: Value) -> Self {
+    fn with_settings(max_clients: usize, settings: Value) -> Self {
         let event_loop = EventLoop::try_new().unwrap();
         let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
         let bounds = Rc::new(host_settings(&Fields::new("settings", &settings).unwrap()).unwrap());
         let clients =
-            Downstream::new(event_loop.handle(), &Pool::default(), bounds, most, 64, listener).unwrap();
+            Downstream::new(event_loop.handle(), &Pool::default(), bounds, max_clients, 64, listener)
+                .unwrap();
         Self { event_loop, clients, timers: Timers::default(), address, now: 100.0 }
     }
 
-    /// Waits for the readiness event of this client, and does not handle it.
+    /// Waits for the readiness event of this client, without handling it.
     fn wait_readable(&mut self, id: usize) {
-        let (mut turn, start) = (Iteration::default(), Instant::now());
-        while !turn.events.iter().any(|ready| matches!(ready, LoopEvent::ClientReady(of, true) if *of == id))
+        let (mut iteration, start) = (Iteration::default(), Instant::now());
+        while !iteration
+            .events
+            .iter()
+            .any(|ready| matches!(ready, LoopEvent::ClientReady(of, true) if *of == id))
         {
-            self.event_loop.dispatch(Duration::from_millis(100), &mut turn).unwrap();
-            assert!(start.elapsed() < Duration::from_secs(5), "nothing is told of it");
+            self.event_loop.dispatch(Duration::from_millis(100), &mut iteration).unwrap();
+            assert!(start.elapsed() < Duration::from_secs(5), "no readiness event for client {id}");
         }
     }
 
+    /// Connects a client and accepts it; returns it with its id.
     fn connect(&mut self) -> (Client, usize) {
         let client = Client::connect_to(self.address);
-        let mut turn = Iteration::default();
-        self.event_loop.dispatch(Duration::from_secs(5), &mut turn).unwrap();
+        let mut iteration = Iteration::default();
+        self.event_loop.dispatch(Duration::from_secs(5), &mut iteration).unwrap();
         self.clients.accept(self.now, Port::Queries, &mut self.timers);
         (client, self.clients.pending_clients.pop().unwrap())
     }
 
-    /// The same for a client whose receive buffer is tiny.
+    /// Connects and accepts a client with a receive buffer of 4 KiB; returns it with its id.
     fn connect_with_small_buffer(&mut self) -> (Client, usize) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
         socket.connect(&self.address.into()).unwrap();
         socket.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-        let mut turn = Iteration::default();
-        self.event_loop.dispatch(Duration::from_secs(5), &mut turn).unwrap();
+        let mut iteration = Iteration::default();
+        self.event_loop.dispatch(Duration::from_secs(5), &mut iteration).unwrap();
         self.clients.accept(self.now, Port::Queries, &mut self.timers);
         (Client::from_stream(socket.into()), self.clients.pending_clients.pop().unwrap())
     }
 
+    /// Sends a query and reads it.
     fn send_query(&mut self, client: &mut Client, id: usize) {
         client.send(&query_request("find", "c1", &[1], "2.0"));
         self.wait_readable(id);
@@ -85,17 +95,19 @@
         assert!(self.reads_query(id));
     }
 
-    /// Whether reading from the client returns a query.
+    /// Reads from the client; returns whether there was a complete query.
     fn reads_query(&mut self, id: usize) -> bool {
         matches!(self.clients.next_event(self.now, id, &mut self.timers), ClientEvent::Query(_))
     }
 
+    /// Answers the client's query and checks that the client receives the response.
     fn respond(&mut self, client: &mut Client, id: usize) {
         self.clients.reply(self.now, id, 200, "{}", 0.0, &mut self.timers);
         assert_eq!(client.read_answer().unwrap().status, 200);
         self.clients.pending_clients.clear();
     }
 
+    /// Connects a client whose connection is idle after an answered query; returns it with its id.
     fn idle_client(&mut self) -> (Client, usize) {
         let (mut client, id) = self.connect();
         self.send_query(&mut client, id);
@@ -104,18 +116,19 @@
         (client, id)
     }
 
-    /// What it sends has arrived with a readiness event, and is not read yet.
+    /// Sends bytes from the client and waits for their readiness event, without reading them.
     fn send(&mut self, client: &mut Client, id: usize, bytes: &str) {
         client.send(bytes);
         self.wait_readable(id);
     }
 
+    /// Lets the client's timeout pass and handles it.
     fn time_out(&mut self, id: usize) {
         self.now += 4.0;
         assert_eq!(self.clients.on_timeout(self.now, id, &mut self.timers), None);
     }
 
-    /// Reads from the pending clients; returns those with a query.
+    /// Reads from the pending clients; returns the ids of those with a complete query.
     fn read_pending(&mut self) -> Vec<usize> {
         let mut queries = Vec::new();
         while let Some(id) = self.clients.pending_clients.pop() {
@@ -182,7 +195,7 @@
     harness.respond(&mut client, id);
 }
 
-/// Guards against a reset that loses what the client has not read yet.
+/// Guards against a reset, which would lose what the client has not read yet.
 #[test]
 fn request_after_the_close_is_discarded_without_reset() {
     let mut harness = Harness::new(64);
@@ -202,7 +215,7 @@
     assert_eq!(harness.clients.count(), 0);
 }
 
-/// A quarter of all connections may be idle.
+/// At most a quarter of all client connections may be idle: with eight, a third idle one evicts the one that is idle for longest.
 #[test]
 fn request_during_eviction_of_idle_is_accepted() {
     let mut harness = Harness::new(8);
@@ -230,7 +243,7 @@
     harness.respond(&mut longest, id);
 }
 
-/// No client waits longer than the longest query timeout, and half a second later the response counts as lost.
+/// No client waits for longer than the longest query timeout; half a second after it an unread response counts as lost.
 #[rstest]
 fn response_may_be_read_until_the_longest_timeout(
     #[values(300.0, 60_000.0)] timeout: f64,
@@ -239,7 +252,7 @@
     let mut harness = Harness::with_timeouts(timeout);
     let (mut client, id) = harness.connect();
     if responded_in_body {
-        // Answered before its body has arrived: it reads the response once the body is sent.
+        // Answered before its body has arrived: the client reads the response only after sending the body.
         harness.clients.accepts_streamed = true;
         let head = "POST /nowhere HTTP/1.1\r\nX-Buckets: 1=1.0\r\nContent-Length: 9000000\r\n\r\n";
         harness.send(&mut client, id, head);
@@ -247,50 +260,50 @@
         assert!(!harness.reads_query(id));
     } else {
         harness.send_query(&mut client, id);
-        // More than the socket's send buffer.
+        // 16 MiB exceed the socket's send buffer.
         harness.clients.reply(harness.now, id, 200, &"x".repeat(16 << 20), 0.0, &mut harness.timers);
     }
-    let mut is_up = |after: f64| {
+    let mut is_timed_out = |after: f64| {
         let due = std::iter::from_fn(|| harness.timers.pop_due(harness.now + 0.001 * timeout + after));
         due.filter(|due| *due == TimerEvent::ClientTimeout(id)).count() > 0
     };
-    // A client that may still send its body has at least the request timeout.
-    assert_eq!((is_up(0.49), is_up(if responded_in_body { 2.0 } else { 0.51 })), (false, true));
+    // A client that may still send its body is given at least the request timeout.
+    assert_eq!((is_timed_out(0.49), is_timed_out(if responded_in_body { 2.0 } else { 0.51 })), (false, true));
 }
 
-/// Guards the rest of a response in the socket's send buffer, which a reset would lose.
+/// Guards against a reset, which would lose the rest of a response in the socket's send buffer.
 #[rstest]
-fn slow_reader_gets_the_whole_last_response(#[values(false, true)] takes: bool) {
+fn slow_reader_gets_the_whole_last_response(#[values(false, true)] reads: bool) {
     let mut harness = Harness::new(64);
     let (mut client, id) = harness.connect_with_small_buffer();
     harness.send_query(&mut client, id);
     harness.clients.close_after_responses();
     let answer = "x".repeat(500_000);
     harness.clients.reply(harness.now, id, 200, &format!("\"{answer}\""), 0.0, &mut harness.timers);
-    // All is written: only the client's close is awaited.
-    let times = [1.1, 2.2, 3.3].map(|after| {
+    // The response is written; only the client's close is awaited.
+    let open_connections = [1.1, 2.2, 3.3].map(|after| {
         harness.clients.on_timeout(harness.now + after, id, &mut harness.timers);
         client.stream.write_all(b"x").unwrap();
         harness.clients.count()
     });
-    assert_eq!(times, [1; 3]);
-    if takes {
+    assert_eq!(open_connections, [1; 3]);
+    if reads {
         assert_eq!(client.read_answer().unwrap().body, json!(answer));
     }
-    // Once the response is read or too late, the connection is closed.
+    // Once the response is read or counts as lost, the connection is closed.
     harness.clients.on_timeout(harness.now + 3.6, id, &mut harness.timers);
     assert_eq!(harness.clients.count(), 0);
 }
 
-/// In a shutdown.
+/// A shutdown closes idle connections and connections without a request; a request that has already arrived is accepted.
 #[rstest]
-fn request_during_a_shutdown_stage_is_accepted(#[values(false, true)] rests: bool) {
+fn request_during_a_shutdown_stage_is_accepted(#[values(false, true)] idle: bool) {
     let mut harness = Harness::new(64);
-    let (mut client, id) = if rests { harness.idle_client() } else { harness.connect() };
-    let (mut silent, _) = if rests { harness.idle_client() } else { harness.connect() };
+    let (mut client, id) = if idle { harness.idle_client() } else { harness.connect() };
+    let (mut silent, _) = if idle { harness.idle_client() } else { harness.connect() };
     harness.clients.close_after_responses();
     harness.send(&mut client, id, &request());
-    match rests {
+    match idle {
         true => harness.clients.close_idle(harness.now, &mut harness.timers),
         false => harness.clients.close_without_request(harness.now, &mut harness.timers),
     }
@@ -300,7 +313,7 @@
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
 }
 
-/// The request was sent on a connection that was still open.
+/// The request arrives before the response that would announce the close.
 #[test]
 fn request_during_the_last_response_is_accepted() {
     let mut harness = Harness::new(64);
--- a/crates/dunepond-broker/tests/discovery/calls.rs
+++ b/crates/dunepond-broker/tests/discovery/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that are slow, endless or broken: the list is still received in time.
+//! Discovery calls whose responses are slow, never end or are malformed: the list is still received in time.
 
 use std::time::Instant;
 
@@ -9,42 +9,42 @@
     first_node_draining, http_response, nodes,
 };
 
-/// Guards against ending slow calls for newer ones, which would be just as slow.
+/// Guards against closing a slow call in favour of newer ones, which would be just as slow.
 #[rstest]
-#[case::late(0)]
-#[case::in_its_head(20)]
-#[case::in_its_list(120)]
-fn slow_answer_accepted_beside_later_calls(#[case] at_first: usize) {
+#[case::not_started(0)]
+#[case::within_the_head(20)]
+#[case::within_the_list(120)]
+fn slow_answer_accepted_beside_later_calls(#[case] sent_first: usize) {
     let nodes = nodes();
     let (broker, agent, mut slow) = broker_awaiting_list(&nodes);
     let text = http_response(&first_node_draining(2, &nodes).to_string());
-    slow.say(&text[..at_first]);
-    let _beside: Vec<_> = (0..7).map(|_| agent.accept_request()).collect();
-    slow.say(&text[at_first..]);
+    slow.write_text(&text[..sent_first]);
+    let _later: Vec<_> = (0..7).map(|_| agent.accept_request()).collect();
+    slow.write_text(&text[sent_first..]);
     assert!(slow.read_request().contains("index=2&"));
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// Guards against responses that drip for ever and take up all calls.
+/// Guards against responses that arrive byte by byte without end and occupy all calls that are allowed at once.
 #[test]
 fn endless_answers_are_replaced_by_new_calls() {
     let nodes = nodes();
     let (broker, agent, mut call) = broker_awaiting_list(&nodes);
-    let mut dripping = Vec::new();
-    call.say("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n");
+    let mut endless = Vec::new();
+    call.write_text("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n");
     for _ in 0..14 {
-        dripping.push(std::mem::replace(&mut call, agent.accept_request().0));
-        call.say("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n");
-        dripping.iter_mut().for_each(|call| call.say(" "));
+        endless.push(std::mem::replace(&mut call, agent.accept_request().0));
+        call.write_text("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n");
+        endless.iter_mut().for_each(|call| call.write_text(" "));
     }
-    dripping[..2].iter_mut().for_each(Call::wait_closed);
+    endless[..2].iter_mut().for_each(Call::wait_closed);
     let (mut next, _) = agent.accept_request();
     next.answer(&first_node_draining(2, &nodes));
     assert!(next.read_request().contains("index=2&"));
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// The list is received in time although several calls in a row break in the same way.
+/// Several calls in a row fail in the same way, and the list is still received in time.
 #[rstest]
 #[case::closed("", false)]
 #[case::reset("", true)]
@@ -63,7 +63,7 @@
     let (broker, agent, mut call) = broker_with_watch(1, &nodes);
     let since = Instant::now();
     for _ in 0..4 {
-        call.say(sent);
+        call.write_text(sent);
         if reset {
             call.reset();
         } else {
--- a/crates/dunepond-broker/tests/discovery/first_list.rs
+++ b/crates/dunepond-broker/tests/discovery/first_list.rs
@@ -1,4 +1,4 @@
-//! Readiness and queries before the first list.
+//! Readiness and queries before the first endpoint list.
 
 use std::time::Instant;
 
@@ -8,7 +8,7 @@
 
 use crate::agent::{Agent, MAX_UPDATE_DELAY, first_node_draining, nodes};
 
-/// Without any list readiness is refused until discovery answers.
+/// A broker without a configured list is not ready until discovery sends one.
 #[rstest]
 #[case::no_list(Value::Null)]
 #[case::no_nodes(json!({"seq": 1, "whole": true, "hosts": []}))]
@@ -29,7 +29,7 @@
     assert!(since.elapsed() < MAX_UPDATE_DELAY, "{:?}", since.elapsed());
 }
 
-/// Connections are accepted by the system before the first list; their requests are rejected within their own deadlines.
+/// The system establishes connections before the broker has its first list; their requests are rejected within their deadlines.
 #[test]
 fn query_before_first_list_rejected_in_time() {
     let nodes = nodes();
--- a/crates/dunepond-broker/tests/discovery/full_list.rs
+++ b/crates/dunepond-broker/tests/discovery/full_list.rs
@@ -1,4 +1,4 @@
-//! When a complete list is requested after a change, and what happens to nodes that it does not name.
+//! When the broker requests a complete list after a change, and what happens to nodes that are missing from it.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,7 +14,7 @@
     nodes,
 };
 
-/// Changes of a lower version do not follow the list that is held.
+/// A change with a lower version than the broker's list cannot be applied to that list.
 #[test]
 fn lower_version_change_triggers_full_list() {
     let nodes = nodes();
@@ -27,10 +27,10 @@
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// A watch does not repeat the change of an invalid row.
+/// A watch does not repeat a change, so that an invalid row would stay unknown without a complete list.
 #[rstest]
-#[case::word("health", json!("drain"))]
-#[case::type_of("block", json!("0"))]
+#[case::health("health", json!("drain"))]
+#[case::block("block", json!("0"))]
 #[case::address("dial", json!("here"))]
 fn invalid_row_in_change_triggers_full_list(#[case] key: &str, #[case] value: Value) {
     let nodes = nodes();
@@ -44,7 +44,7 @@
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// The row may stay invalid: the list is requested once more and then accepted without it.
+/// The row stays invalid: the broker requests the list once more and then accepts it without the row.
 #[test]
 fn full_list_with_invalid_row_requested_once_more() {
     let nodes = nodes();
@@ -59,7 +59,8 @@
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// A listener with a full accept queue, so that connecting hangs, and the addresses of the connections that fill it.
+/// Returns a listener with a full accept queue, so that connecting hangs, its address, and the addresses of the connections
+/// that fill the queue.
 fn unreachable_listener() -> (TcpListener, SocketAddr, Vec<SocketAddr>) {
     let full = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     full.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
@@ -71,8 +72,8 @@
     (full.into(), address, fill)
 }
 
-/// A node that a complete list does not name is removed while its connection is being established: its parts go elsewhere, and nothing
-/// is written once it is up.
+/// A complete list without the node arrives while its connection is being established: its parts go to another node, and nothing
+/// is written to the connection once it is established.
 #[test]
 fn connecting_parts_leave_unlisted_node() {
     let (full, address, fill) = unreachable_listener();
@@ -91,8 +92,8 @@
     list.publish(vec![nodes[1].endpoint("ready")]);
     assert!(clients.iter_mut().all(|client| client.read_answer().unwrap().status == 200));
     // Once the queue has room the connection is established by the next SYN, after a second.
-    let mut came =
+    let mut accepted =
         std::iter::repeat_with(|| full.accept().unwrap()).find(|(_, peer)| !fill.contains(peer)).unwrap().0;
-    came.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-    assert_eq!(came.read(&mut [0; 100]).unwrap(), 0);
+    accepted.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+    assert_eq!(accepted.read(&mut [0; 100]).unwrap(), 0);
 }
--- a/crates/dunepond-broker/tests/discovery/main.rs
+++ b/crates/dunepond-broker/tests/discovery/main.rs
@@ -1,5 +1,5 @@
-//! Discovery: calls that break at any point, restarted agents, nodes missing from complete lists, and startup without a list, a
-//! port or descriptors.
+//! Endpoint discovery: calls that fail at any point, restarted agents, nodes missing from complete lists, and startup without a
+//! list, a free port or free descriptors.
 
 #[path = "../agent/mod.rs"]
 mod agent;
--- a/crates/dunepond-broker/tests/discovery/restarted_agent.rs
+++ b/crates/dunepond-broker/tests/discovery/restarted_agent.rs
@@ -1,4 +1,4 @@
-//! An agent that restarts or is replaced: its list is followed although its versions are lower.
+//! A discovery agent that restarts or is replaced: the broker follows its list although its versions are lower.
 
 use std::net::TcpListener;
 use std::time::Instant;
@@ -10,7 +10,7 @@
     full_list, nodes,
 };
 
-/// The agent is down for a while; its versions restart from 1.
+/// The agent is down for some calls; its versions then restart from 1.
 #[test]
 fn restarted_agent_is_followed_from_first_version() {
     let nodes = nodes();
@@ -30,7 +30,7 @@
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// The old watch stays open and silent; the list with the lower version is the newer one.
+/// The old watch stays open without a response; the list with the lower version is the newer one.
 #[test]
 fn restarted_agent_with_lower_versions_is_followed() {
     let nodes = nodes();
@@ -42,7 +42,8 @@
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// Guards against taking a response of the old agent for one of the new, if both are ready after a stall.
+/// Guards against attributing the old agent's response to the new agent: after a stall, the response and the reload are handled
+/// together.
 #[test]
 fn old_agent_answer_holds_until_new_agent_answers() {
     let nodes = nodes();
@@ -56,10 +57,10 @@
     let new = Agent::start();
     broker.reload_config(&config(new.address(), vec![]));
     broker.signal("CONT");
-    let (mut at_new, path) = new.accept_request();
+    let (mut new_call, path) = new.accept_request();
     assert_eq!(path, "/v1/endpoints");
-    at_new.answer(&first_node_draining(1, &nodes));
-    assert!(at_new.read_request().contains("index=1&"));
+    new_call.answer(&first_node_draining(1, &nodes));
+    assert!(new_call.read_request().contains("index=1&"));
     call.wait_closed();
     assert_only_second_node_serves(&broker, &nodes);
 }
--- a/crates/dunepond-broker/tests/list.rs
+++ b/crates/dunepond-broker/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list when discovery is silent, truncates responses or answers late.
+//! The endpoint list when discovery does not respond, truncates responses or responds late.
 
 mod agent;
 
@@ -13,7 +13,7 @@
     full_list, http_response, nodes,
 };
 
-/// Guards against waiting for ever on one broken connection of a healthy agent.
+/// Guards against waiting without end on one broken connection to a healthy agent.
 #[rstest]
 #[case::no_response("")]
 #[case::after_half_a_head("HTTP/1.1 200 OK\r\nContent-")]
@@ -22,8 +22,8 @@
     let nodes = nodes();
     let (broker, agent, mut silent) = broker_with_watch(1, &nodes);
     let since = Instant::now();
-    silent.say(sent);
-    // The next call may be silent, too.
+    silent.write_text(sent);
+    // The second call gets no response either.
     let (_silent_too, path) = agent.accept_request();
     assert_eq!(path, "/v1/endpoints");
     let (mut call, path) = agent.accept_request();
@@ -34,19 +34,19 @@
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// A response without a length ends at a regular close.
+/// A response without a length ends when the agent closes the connection regularly.
 #[test]
 fn list_without_length_ends_at_close() {
     let nodes = nodes();
     let (broker, agent, mut call) = broker_with_watch(1, &nodes);
-    call.say(&format!("HTTP/1.1 200 OK\r\n\r\n{}", first_node_draining(2, &nodes)));
+    call.write_text(&format!("HTTP/1.1 200 OK\r\n\r\n{}", first_node_draining(2, &nodes)));
     drop(call);
     let (_next, path) = agent.accept_request();
     assert!(path.starts_with("/v1/endpoints?index=2&"), "{path}");
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// A reset does not end a response, nor does a close within the list.
+/// A response without a length is incomplete if the connection is reset, or closed within the list.
 #[rstest]
 #[case::reset(true)]
 #[case::cut_short(false)]
@@ -54,7 +54,10 @@
     let nodes = nodes();
     let (broker, agent, mut call) = broker_with_watch(1, &nodes);
     let text = full_list(2, vec![nodes[0].endpoint("ready")]).to_string();
-    call.say(&format!("HTTP/1.1 200 OK\r\n\r\n{}", if reset { &text } else { &text[..text.len() / 2] }));
+    call.write_text(&format!(
+        "HTTP/1.1 200 OK\r\n\r\n{}",
+        if reset { &text } else { &text[..text.len() / 2] }
+    ));
     if reset {
         call.reset();
     } else {
@@ -67,7 +70,7 @@
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// Guards against taking the later of two crossed responses for newer.
+/// Guards against regarding the later one of two crossing responses as the newer list.
 #[rstest]
 fn first_of_crossed_answers_wins(#[values(false, true)] late_first: bool) {
     let nodes = nodes();
@@ -89,17 +92,17 @@
     call.answer(&json!({"seq": 0, "whole": false, "hosts": [nodes[0].endpoint("ready")]}));
     let (mut call, path) = agent.accept_request();
     assert_eq!(path, "/v1/endpoints");
-    // At once, not after the time of a watch.
+    // Requested at once, not after a watch has timed out.
     assert!(since.elapsed() < Duration::from_millis(1400), "{:?}", since.elapsed());
     call.answer(&first_node_draining(2, &nodes));
     call.read_request();
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// The configured list is older than what the agent has.
+/// The configured list is older than the agent's list, and must not be used while the agent may still respond.
 #[rstest]
-#[case::late(false)]
-#[case::silent_on_its_first_call(true)]
+#[case::late_response(false)]
+#[case::no_response_to_the_first_call(true)]
 fn no_service_before_first_list(#[case] silent_first: bool) {
     let nodes = nodes();
     let agent = Agent::start();
@@ -127,7 +130,7 @@
     assert!(since.elapsed() < MAX_UPDATE_DELAY, "{:?}", since.elapsed());
 }
 
-/// SIGHUP changes the agent; both the old and, at first, the new one are silent.
+/// A reload changes the agent; the old agent does not respond, and neither does the new one at first.
 #[test]
 fn silent_new_agent_called_again() {
     let nodes = nodes();
@@ -135,7 +138,7 @@
     let new = Agent::start();
     let since = Instant::now();
     broker.reload_config(&config(new.address(), vec![]));
-    // One connection is closed without a response, one stays silent.
+    // The first connection is closed without a response, the second one stays open without a response.
     drop(new.accept());
     let (_silent_too, path) = new.accept_request();
     assert_eq!(path, "/v1/endpoints");
@@ -146,19 +149,19 @@
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// Two hundred nodes, and as much white space as the limit on a list allows.
+/// A list of two hundred nodes that is padded with white space to the largest size that is allowed.
 #[test]
 fn list_may_be_indented() {
     let nodes = nodes();
     let (broker, _agent, mut call) = broker_with_watch(1, &nodes);
-    let mut lines: Vec<_> = (2..200)
+    let mut rows: Vec<_> = (2..200)
         .map(|i| json!({"host": format!("s-{i}"), "dial": "127.0.0.1:1", "block": 0, "health": "draining"}))
         .collect();
-    lines.extend([nodes[0].endpoint("draining"), nodes[1].endpoint("ready")]);
-    let mut text = serde_json::to_string_pretty(&full_list(2, lines)).unwrap().replace('\n', "\r\n\t");
+    rows.extend([nodes[0].endpoint("draining"), nodes[1].endpoint("ready")]);
+    let mut text = serde_json::to_string_pretty(&full_list(2, rows)).unwrap().replace('\n', "\r\n\t");
     assert!(text.len() < 65536, "{}", text.len());
     text += &" ".repeat(65536 - text.len());
-    call.say(&http_response(&text));
+    call.write_text(&http_response(&text));
     assert!(call.read_request().contains("index=2&"));
     assert_only_second_node_serves(&broker, &nodes);
 }
--- a/crates/dunepond-broker/tests/fleet/harness.rs
+++ b/crates/dunepond-broker/tests/fleet/harness.rs
@@ -1,4 +1,4 @@
-//! Brokers of one fleet as processes, their audit logs, and a fill service.
+//! Support for the fleet tests: brokers of one fleet as processes, their audit logs, and a stand-in for the fill service.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,48 +14,62 @@
 use dunepond_testkit::stand_ins::{self, Answer, Broker, Client, DiscoveryServer, Node, query_request};
 use serde_json::{Value, json};
 
+/// Longest wait for an expected audit record or fill request.
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// An address that only this process uses. A port that was found free could be taken before the broker starts, and a broker keeps its
-/// address over a restart.
+/// Returns a new loopback address that only this test process uses. A port that was found free could be taken before the broker
+/// starts, and a broker must keep its address over a restart. Brokers listen on other addresses than they connect from, as behind
+/// a relay.
 pub fn address() -> SocketAddr {
     static COUNT: AtomicU16 = AtomicU16::new(0);
     let [_, a, b, c] = std::process::id().to_be_bytes();
     SocketAddr::from(([127, 1 + a % 127, b, c], 7400 + COUNT.fetch_add(1, Ordering::Relaxed)))
 }
 
-/// Brokers of one fleet, all of them voters, before the same nodes.
+/// The brokers of one fleet, all of them voters, with the same nodes.
 pub struct Fleet {
+    /// Folder of all files of the fleet, removed on drop.
     pub folder: PathBuf,
+    /// The brokers' fleet addresses, by index of the broker.
     pub addresses: Vec<SocketAddr>,
+    /// The stand-ins for the nodes.
     pub nodes: Vec<Node>,
+    /// The discovery server of all brokers.
     pub list: DiscoveryServer,
-    /// Further nodes of the operator's file.
-    pub more: String,
-    /// The queries' deadline in milliseconds.
+    /// Additional text in the `fleet` section of the operator's file.
+    pub extra_kdl: String,
+    /// Deadline of every query class, in milliseconds.
     pub deadline_ms: f64,
-    /// The idempotency of the query class `find`, as in the settings.
-    pub find: &'static str,
+    /// The `semantics` value of the query class `find` in the settings.
+    pub find_semantics: &'static str,
 }
 
 impl Fleet {
-    pub fn new(brokers: usize, more: &str) -> Self {
+    pub fn new(brokers: usize, extra_kdl: &str) -> Self {
         let folder = stand_ins::scratch_path("fleet");
         fs::create_dir(&folder).unwrap();
         let nodes: Vec<_> = (0..3).map(|i| Node::start(&format!("s-{i}"))).collect();
         let list = DiscoveryServer::start(nodes.iter().map(|node| node.endpoint("ready")).collect());
         let addresses = (0..brokers).map(|_| address()).collect();
-        Self { folder, addresses, nodes, list, more: more.to_string(), deadline_ms: 800.0, find: "pure" }
+        Self {
+            folder,
+            addresses,
+            nodes,
+            list,
+            extra_kdl: extra_kdl.to_string(),
+            deadline_ms: 800.0,
+            find_semantics: "pure",
+        }
     }
 
     pub fn path(&self, name: &str) -> PathBuf {
         self.folder.join(name)
     }
 
-    pub fn start(&self, at: usize) -> Broker {
-        let name = format!("n{at}");
+    /// Starts the broker with this index; its name is `n` and the index.
+    pub fn start(&self, broker: usize) -> Broker {
+        let name = format!("n{broker}");
         let (version, record) = (self.path(&format!("{name}.json")), self.path(&format!("{name}.jsonl")));
-        // They listen at other addresses than they connect from, as behind a relay.
         let (folder, key) = (self.path(&name), self.path("key"));
         fs::write(&key, "a secret of some length\n").unwrap();
         fs::create_dir_all(&folder).unwrap();
@@ -64,7 +78,7 @@
         let text = format!(
             "fleet listen=\"{}\" folder={folder:?} lease=0.6 drift=0.01 bound=4.0 {{\n{voters}key {key:?}\nversion {version:?}\n\
              record {record:?}\nmap least-holders=1 least-zones=1 most-changed=1.0\n{}\n}}\ncounters every=1.0\n",
-            self.addresses[at], self.more,
+            self.addresses[broker], self.extra_kdl,
         );
         let kdl = self.path(&format!("{name}.kdl"));
         fs::write(&kdl, text).unwrap();
@@ -77,7 +91,7 @@
             service["deadlineMs"] = json!(self.deadline_ms);
             service["aimMs"] = json!(200.0);
         });
-        config["settings"]["services"][0]["semantics"] = json!(self.find);
+        config["settings"]["services"][0]["semantics"] = json!(self.find_semantics);
         config["settings"]["services"][0]["repeatWindowMs"] = json!(5000.0);
         config["settings"]["projects"] = json!([{"name": "mill", "quotaPerS": 100.0}]);
         config["settings"]["ceilings"]["connectTimeoutMs"] = json!(2500.0);
@@ -86,48 +100,54 @@
         Broker::from_child(stand_ins::launch_command(command, &config))
     }
 
-    pub fn offer(&self, at: usize, version: &Value) {
-        fs::write(self.path(&format!("n{at}.json")), version.to_string()).unwrap();
+    /// Writes the file from which this broker proposes a configuration version.
+    pub fn offer(&self, broker: usize, version: &Value) {
+        fs::write(self.path(&format!("n{broker}.json")), version.to_string()).unwrap();
     }
 
-    /// The audit log of a broker so far.
-    pub fn audit_log(&self, at: usize) -> Vec<AuditRecord> {
-        read_audit_log(&self.path(&format!("n{at}.jsonl")))
+    /// Reads the complete records of this broker's audit log.
+    pub fn audit_log(&self, broker: usize) -> Vec<AuditRecord> {
+        read_audit_log(&self.path(&format!("n{broker}.jsonl")))
     }
 
-    pub fn wait(&self, at: usize, what: &str, is_so: impl Fn(&AuditRecord) -> bool) -> AuditRecord {
+    /// Waits until this broker's audit log has a matching record; returns the last one. `expected` describes it for a failure.
+    pub fn wait(&self, broker: usize, expected: &str, matches: impl Fn(&AuditRecord) -> bool) -> AuditRecord {
         let start = Instant::now();
         loop {
-            if let Some(line) = self.audit_log(at).into_iter().rev().find(&is_so) {
-                return line;
+            if let Some(record) = self.audit_log(broker).into_iter().rev().find(&matches) {
+                return record;
             }
-            assert!(start.elapsed() < MAX_WAIT, "n{at}: {what}: not in time");
+            assert!(start.elapsed() < MAX_WAIT, "n{broker}: no audit record in time for: {expected}");
             thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Waits until its lease has expired, by the last phase in its audit log.
-    pub fn wait_lease_expired(&self, at: usize) {
-        self.wait(at, "cut", |_| {
-            let log = self.audit_log(at);
+    /// Waits until this broker is without a lease according to the last phase in its audit log.
+    pub fn wait_lease_expired(&self, broker: usize) {
+        self.wait(broker, "lease expired", |_| {
+            let log = self.audit_log(broker);
             let last = log.iter().rev().find(|line| matches!(line.event, AuditEvent::Phase { .. }));
             last.is_some_and(is_without_lease)
         });
     }
 
-    pub fn wait_active(&self, at: usize, number: u64) {
+    /// Waits until this broker's audit log has the active phase of this configuration version.
+    pub fn wait_active(&self, broker: usize, number: u64) {
         self.wait(
-            at,
-            &format!("alone on {number}"),
+            broker,
+            &format!("version {number} active"),
             |line| matches!(line.event, AuditEvent::Phase { phase: AuditPhase::Active, last_version, .. } if last_version == number),
         );
     }
 }
 
-/// A fill service that answers all requests at once when told to.
+/// A stand-in for the fill service that holds every request until the test lets it respond.
 pub struct FillService {
+    /// The address that it listens on.
     pub address: SocketAddr,
+    /// The bodies of all requests, in order of arrival.
     pub requests: Arc<Mutex<Vec<Value>>>,
+    /// Whether it responds to requests, including those it holds.
     pub is_answering: Arc<AtomicBool>,
 }
 
@@ -149,6 +169,7 @@
         fill_service
     }
 
+    /// Reads one request, records its body and responds once `is_answering` is set.
     pub fn serve(
         mut stream: TcpStream,
         requests: &Mutex<Vec<Value>>,
@@ -172,10 +193,11 @@
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").ok()
     }
 
+    /// Waits for this number of requests; returns the bodies of all requests so far.
     pub fn wait(&self, count: usize) -> Vec<Value> {
         let start = Instant::now();
         while self.requests.lock().unwrap().len() < count {
-            assert!(start.elapsed() < MAX_WAIT, "no fill was requested");
+            assert!(start.elapsed() < MAX_WAIT, "fewer than {count} fill requests in time");
             thread::sleep(Duration::from_millis(10));
         }
         self.requests.lock().unwrap().clone()
@@ -188,32 +210,33 @@
     }
 }
 
-pub fn ask(broker: &Broker, query_class: &str, id: &str, segments: &[usize]) -> Answer {
+/// Sends a query on a new connection and returns its response.
+pub fn send_query(broker: &Broker, query_class: &str, id: &str, segments: &[usize]) -> Answer {
     Client::connect(broker).request(&query_request(query_class, id, segments, "2.5"))
 }
 
+/// Whether the record is a phase in which the broker has no lease.
 pub fn is_without_lease(line: &AuditRecord) -> bool {
     matches!(line.event, AuditEvent::Phase { phase: AuditPhase::LeaseExpired | AuditPhase::Unconfigured, .. })
 }
 
-/// Non-idempotent attempts that were sent: the node, and the versions.
+/// Returns the node and the configuration versions of each non-idempotent attempt that was sent.
 pub fn non_idempotent_sent(log: Vec<AuditRecord>) -> Vec<(String, Vec<u64>)> {
     let sent = log.into_iter().filter_map(|line| match line.event {
-        AuditEvent::AttemptSent { non_idempotent: true, node, versions: numbers, .. } => {
-            Some((node, numbers))
-        }
+        AuditEvent::AttemptSent { non_idempotent: true, node, versions, .. } => Some((node, versions)),
         _ => None,
     });
     sent.collect()
 }
 
+/// Reads the records of an audit log; an incomplete last line is left out.
 pub fn read_audit_log(path: &Path) -> Vec<AuditRecord> {
     let text = fs::read_to_string(path).unwrap_or_default();
-    let whole = text.rfind('\n').map_or("", |end| &text[..end]);
-    whole.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
+    let complete = text.rfind('\n').map_or("", |end| &text[..end]);
+    complete.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
 }
 
-/// A version in which these nodes own the segments in turns.
+/// A configuration version in which the segments are assigned to these owners round-robin.
 pub fn version(number: u64, owners: &[&str]) -> Value {
     let count = 6_u64;
     let step = u64::MAX / count + 1;
--- a/crates/dunepond-broker/tests/fleet/main.rs
+++ b/crates/dunepond-broker/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Brokers of a fleet: the active configuration takes effect, and non-idempotent parts go to their owner only.
+//! Brokers of a fleet follow the active configuration version, and send non-idempotent parts only to the segment's owner.
 
 mod harness;
 
@@ -14,24 +14,24 @@
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 
-use harness::{FillService, Fleet, ask, is_without_lease, non_idempotent_sent, version};
+use harness::{FillService, Fleet, is_without_lease, non_idempotent_sent, send_query, version};
 
 #[test]
 fn non_idempotent_parts_go_to_agreed_owners() {
     let fleet = Fleet::new(3, "");
     fleet.offer(1, &version(1, &["s-1"]));
-    let brokers: Vec<_> = (0..3).map(|at| fleet.start(at)).collect();
-    (0..3).for_each(|at| fleet.wait_active(at, 1));
-    for (at, broker) in brokers.iter().enumerate() {
-        let answer = ask(broker, "fix", &format!("f{at}"), &[0, 4]);
+    let brokers: Vec<_> = (0..3).map(|index| fleet.start(index)).collect();
+    (0..3).for_each(|index| fleet.wait_active(index, 1));
+    for (index, broker) in brokers.iter().enumerate() {
+        let answer = send_query(broker, "fix", &format!("f{index}"), &[0, 4]);
         assert_eq!(answer.status, 200, "{answer:?}");
-        let answer = ask(broker, "find", &format!("r{at}"), &[0, 1, 2, 3, 4, 5]);
+        let answer = send_query(broker, "find", &format!("r{index}"), &[0, 1, 2, 3, 4, 5]);
         assert_eq!(answer.status, 200, "{answer:?}");
-        fleet.wait(at, "a whole answer", |line| {
+        fleet.wait(index, "a complete answer", |line| {
             matches!(&line.event, AuditEvent::Answer { complete: true, map_epoch: Some(1), segments, .. } if segments.len() == 6)
         });
     }
-    let sent: Vec<_> = (0..3).flat_map(|at| non_idempotent_sent(fleet.audit_log(at))).collect();
+    let sent: Vec<_> = (0..3).flat_map(|index| non_idempotent_sent(fleet.audit_log(index))).collect();
     assert_eq!(sent.len(), 6);
     assert!(sent.iter().all(|(node, numbers)| node == "s-1" && *numbers == [1]), "{sent:?}");
 }
@@ -42,35 +42,35 @@
     fleet.offer(0, &version(1, &["s-0"]));
     let broker = fleet.start(0);
     fleet.wait_active(0, 1);
-    assert_eq!(ask(&broker, "fix", "a", &[0]).status, 200);
+    assert_eq!(send_query(&broker, "fix", "a", &[0]).status, 200);
     let mut next = version(2, &["s-2"]);
     next["standings"]["draining"] = json!(["s-1"]);
     fleet.offer(0, &next);
     broker.signal("HUP");
-    fleet.wait(0, "joint", |line| {
+    fleet.wait(0, "joint phase", |line| {
         matches!(
             line.event,
             AuditEvent::Phase { phase: AuditPhase::Joint, first_version: 1, last_version: 2, .. }
         )
     });
-    let between = ask(&broker, "fix", "b", &[0]);
+    let between = send_query(&broker, "fix", "b", &[0]);
     assert_eq!(between.status, 429, "{between:?}");
     assert!(between.head.contains("Retry-After: "), "{between:?}");
-    // Before the router heard of it.
+    // The query was rejected before it reached the router.
     fleet.wait(
         0,
-        "refused",
+        "a rejection of b",
         |line| matches!(&line.event, AuditEvent::Rejected { request_id, .. } if request_id == "b"),
     );
     // The excluded node gets nothing new in the joint phase.
     let left = fleet.nodes[1].frames('A').len();
-    (0..6).for_each(|i| assert_eq!(ask(&broker, "find", &format!("c{i}"), &[0, 1, 2]).status, 200));
+    (0..6).for_each(|i| assert_eq!(send_query(&broker, "find", &format!("c{i}"), &[0, 1, 2]).status, 200));
     assert_eq!(fleet.nodes[1].frames('A').len(), left);
     fleet.wait_active(0, 2);
-    assert_eq!(ask(&broker, "fix", "d", &[0]).status, 200);
-    // Nor afterwards, although discovery lists it as ready.
+    assert_eq!(send_query(&broker, "fix", "d", &[0]).status, 200);
+    // It gets nothing new in the active phase either, although discovery lists it as ready.
     let before = fleet.nodes[1].frames('A').len();
-    (0..12).for_each(|i| assert_eq!(ask(&broker, "find", &format!("e{i}"), &[0, 1, 2]).status, 200));
+    (0..12).for_each(|i| assert_eq!(send_query(&broker, "find", &format!("e{i}"), &[0, 1, 2]).status, 200));
     assert_eq!(fleet.nodes[1].frames('A').len(), before);
     assert_eq!(
         non_idempotent_sent(fleet.audit_log(0)),
@@ -109,14 +109,18 @@
     assert_eq!(answers.each_ref().map(|answer| answer.status), [429, 200], "{answers:?}");
     fleet.wait_lease_expired(0);
     assert_eq!(non_idempotent_sent(fleet.audit_log(0)), []);
-    // With the other voter back it gets a lease.
+    // With the other voter back the broker gets a lease again.
     let _other = fleet.start(1);
     fleet.wait(0, "a lease", |line| {
-        let later =
-            fleet.audit_log(0).iter().rev().find(|line| is_without_lease(line)).map_or(0.0, |cut| cut.at);
+        let later = fleet
+            .audit_log(0)
+            .iter()
+            .rev()
+            .find(|line| is_without_lease(line))
+            .map_or(0.0, |expired| expired.at);
         line.at > later && matches!(line.event, AuditEvent::Phase { phase: AuditPhase::Active, .. })
     });
-    assert_eq!(ask(&broker, "fix", "c", &[0]).status, 200);
+    assert_eq!(send_query(&broker, "fix", "c", &[0]).status, 200);
 }
 
 #[test]
@@ -128,15 +132,15 @@
     let broker = fleet.start(0);
     fleet.wait_active(0, 1);
     let answer_state = |id: &str, segments: &[usize]| {
-        let answer = ask(&broker, "find", id, segments);
+        let answer = send_query(&broker, "find", id, segments);
         (answer.status, answer.body["finished"].as_bool())
     };
     assert_eq!(answer_state("a", &[0, 4]), (200, Some(true)));
-    // All parts were answered, but the map does not have their keys.
+    // All parts were answered, but the shard map does not have all their keys.
     assert_eq!(answer_state("b", &[0, 5]), (200, Some(false)));
     fleet.wait(
         0,
-        "a false answer",
+        "an incomplete answer of b",
         |line| matches!(&line.event, AuditEvent::Answer { request_id, complete: false, map_epoch: None, .. } if request_id == "b"),
     );
 }
@@ -144,25 +148,25 @@
 #[rstest]
 #[case::allowed(true, 2)]
 #[case::forbidden(false, 1)]
-fn keyed_retry_obeys_active_version(#[case] repeats: bool, #[case] min_attempts: usize) {
+fn keyed_retry_obeys_active_version(#[case] retries: bool, #[case] min_attempts: usize) {
     let mut fleet = Fleet::new(1, "");
-    fleet.find = "token";
+    fleet.find_semantics = "token";
     let mut first = version(1, &["s-0"]);
-    first["rules"]["repeats"] = json!(repeats);
+    first["rules"]["repeats"] = json!(retries);
     fleet.offer(0, &first);
     let broker = fleet.start(0);
     fleet.wait_active(0, 1);
-    // Samples for the usual latency, then a query whose attempts all fail.
-    (0..20).for_each(|i| drop(ask(&broker, "find", &format!("a{i}"), &[0])));
+    // First samples for the usual latency, then a query whose attempts all fail.
+    (0..20).for_each(|i| drop(send_query(&broker, "find", &format!("a{i}"), &[0])));
     fleet.nodes.iter().for_each(|node| node.set_behavior(NodeBehavior::ReplyStatus("fault")));
     let sent = || fleet.nodes.iter().map(|node| node.frames('A').len()).sum::<usize>();
     let before = sent();
-    assert_ne!(ask(&broker, "find", "b", &[0]).status, 200);
+    assert_ne!(send_query(&broker, "find", "b", &[0]).status, 200);
     let sent = sent() - before;
-    assert!(if repeats { sent >= min_attempts } else { sent == min_attempts }, "{sent}");
+    assert!(if retries { sent >= min_attempts } else { sent == min_attempts }, "{sent}");
 }
 
-/// A listener with a full accept queue, and the connections that fill it.
+/// Returns a listener with a full accept queue, its address, and the connections that fill the queue.
 fn full_listener() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -176,13 +180,14 @@
     (listener, address, filling)
 }
 
-/// Tried up to four times, as on a busy machine the connection may time out first.
+/// Guards against sending a part whose connection is established only after the lease has expired. Tried up to four times, as on
+/// a busy machine the connect may time out first.
 #[test]
 fn connecting_part_past_lease_not_sent() {
-    assert!((0..4).any(|_| is_withheld_past_lease()), "never held back");
+    assert!((0..4).any(|_| is_withheld_past_lease()), "the part was never withheld");
 }
 
-/// Asserts that nothing is sent; true if the part was withheld when its frame was about to be written.
+/// Asserts that nothing is sent; returns whether the part was withheld when its frame was about to be written.
 fn is_withheld_past_lease() -> bool {
     let mut fleet = Fleet::new(2, "");
     fleet.deadline_ms = 3000.0;
@@ -192,27 +197,27 @@
     fleet.list = DiscoveryServer::start(vec![line.clone()]);
     fleet.nodes = Vec::new();
     let (broker, other) = (fleet.start(0), fleet.start(1));
-    // With a lease, without a version.
+    // Version 0: the broker has a lease, but no configuration version yet.
     fleet.wait_active(0, 0);
     let mut client = Client::connect(&broker);
     client.send(&query_request("fix", "a", &[0], "2.9"));
     drop(other);
     fleet.wait_lease_expired(0);
-    // Only now can the connection be established.
+    // Makes room in the accept queue, so that the connection can be established.
     drop(filling);
     listener.set_nonblocking(true).unwrap();
     let start = Instant::now();
-    let mut came = Vec::new();
+    let mut received = Vec::new();
     while start.elapsed() < Duration::from_secs(4) {
         if let Ok((mut stream, _)) = listener.accept() {
             stream.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
             let mut bytes = [0; 64];
             let count = stream.read(&mut bytes).unwrap_or(0);
-            came.extend_from_slice(&bytes[..count]);
+            received.extend_from_slice(&bytes[..count]);
         }
         thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(String::from_utf8_lossy(&came), "");
+    assert_eq!(String::from_utf8_lossy(&received), "");
     assert_ne!(client.read_answer().unwrap().status, 200);
     assert_eq!(non_idempotent_sent(fleet.audit_log(0)), []);
     broker.log_text().contains("the active configuration forbids it")
@@ -221,36 +226,36 @@
 #[test]
 fn interrupted_fill_retried_and_settled_once() {
     let fill_service = FillService::start();
-    let more = format!(
+    let extra_kdl = format!(
         "partner \"north\" zones=\"a\" customers=\"mill\" brokers=\"n0\"\npartner \"south\" zones=\"b\"\n\
          fills at=\"{}\" deadline=60.0 segment=\"1MiB\"",
         fill_service.address
     );
-    let mut fleet = Fleet::new(1, &more);
+    let mut fleet = Fleet::new(1, &extra_kdl);
     let mut rows: Vec<_> = fleet.nodes.iter().map(|node| node.endpoint("ready")).collect();
     rows[2]["site"] = json!("b");
     fleet.list = DiscoveryServer::start(rows);
     let holder = |node: &str, partner: &str, filled: bool, share: f64| json!({"node": node, "partner": partner, "filled": filled, "share": share});
     let with_holders = |number: u64, segment: u64, third: Option<Value>| {
         let mut version = version(number, &["s-0"]);
-        for (id, at) in version["map"]["segments"].as_array_mut().unwrap().iter_mut().enumerate() {
+        for (id, row) in version["map"]["segments"].as_array_mut().unwrap().iter_mut().enumerate() {
             let mut holders = vec![holder("s-0", "north", true, 0.5), holder("s-1", "north", true, 0.5)];
             holders.extend(third.clone().filter(|_| id as u64 == segment));
-            at["holders"] = json!(holders);
+            row["holders"] = json!(holders);
         }
         version
     };
     fleet.offer(0, &with_holders(1, 0, None));
     let mut broker = fleet.start(0);
     fleet.wait_active(0, 1);
-    // Answers of south's node for north's tenant are north's debt.
-    let mill = |i: usize| {
+    // The responses of south's node to north's tenant are counted as north's debt.
+    let tenant_query = |i: usize| {
         let scan = query_request("find", &format!("m{i}"), &[0, 1, 2, 3, 4, 5], "0.7");
         scan.replacen("X-Call-Id", "X-Caller: mill\r\nX-Call-Id", 1)
     };
-    (0..10).for_each(|i| drop(Client::connect(&broker).request(&mill(i))));
+    (0..10).for_each(|i| drop(Client::connect(&broker).request(&tenant_query(i))));
     let max_bytes = fleet.nodes[2].frames('A').len() as u64 * "v-q1".len() as u64;
-    assert!(max_bytes > 0, "south's node was never asked");
+    assert!(max_bytes > 0, "south's node received no attempt");
     thread::sleep(Duration::from_millis(1700));
 
     fleet.offer(0, &with_holders(2, 3, Some(holder("s-2", "south", false, 0.0))));
@@ -264,9 +269,9 @@
     broker.signal("KILL");
     drop(broker);
     let broker = fleet.start(0);
-    let again = fill_service.wait(2);
-    assert_eq!(again[1]["id"], first[0]["id"]);
-    // The fill from before the crash is completed, too.
+    let repeated = fill_service.wait(2);
+    assert_eq!(repeated[1]["id"], first[0]["id"]);
+    // Also completes the fill that was requested before the crash.
     fill_service.is_answering.store(true, Ordering::Relaxed);
     fleet.wait_active(0, 2);
     let settled = |log: Vec<AuditRecord>| -> Vec<(String, String, u64)> {
@@ -279,7 +284,7 @@
     let settled = settled(fleet.audit_log(0));
     let [(id, debtor, bytes)] = &settled[..] else { panic!("{settled:?}") };
     assert_eq!((id.as_str(), debtor.as_str()), ("2/3/s-2@fleet", "north"));
-    // Answers that were cancelled before they were complete do not count.
+    // Responses that were cancelled before they were complete do not count.
     assert!((1..=max_bytes).contains(bytes), "{bytes} of {max_bytes}");
     assert!(broker.log_text().contains("settled 2/3/s-2@fleet"));
 }
--- a/crates/dunepond-broker/tests/migrate.rs
+++ b/crates/dunepond-broker/tests/migrate.rs
@@ -1,4 +1,4 @@
-//! `dunepond-broker migrate`: converts a configuration of the old format, and a broker serves with the result.
+//! `dunepond-broker migrate`: converts a configuration of the old format; a broker serves queries with the result.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// Whether it succeeded, its standard output and its standard error.
+/// Runs `migrate`; returns whether it succeeded, its standard output and its standard error.
 fn migrate(args: &[&str]) -> (bool, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
     let out = command.arg("migrate").args(args).output().unwrap();
@@ -17,7 +17,7 @@
     (out.status.success(), text(&out.stdout), text(&out.stderr))
 }
 
-/// Six replica groups in a ring of which two hold a segment, with Retry-After enabled.
+/// A configuration of the old format: six replica groups in a ring, two of which hold each segment, with Retry-After enabled.
 fn old_format() -> Value {
     let host = json!({"host": "old-1", "dial": "127.0.0.1:1", "site": "a", "class": "m", "block": 5,
         "health": "ready", "share": 1.0, "born_ms": 0});
@@ -27,6 +27,7 @@
     config
 }
 
+/// Writes text to a new scratch file and returns its path.
 fn write_file(text: &str) -> PathBuf {
     let path = stand_ins::scratch_path("json");
     std::fs::write(&path, text).unwrap();
@@ -53,16 +54,16 @@
 
     // Three sets of two nodes each; segments 1 and 4 belong to set 1 alone.
     let nodes: Vec<_> = (0..6).map(|i| Node::start(&format!("s-{i}"))).collect();
-    let line = |(i, node): (usize, &Node)| {
-        let mut line = node.endpoint("ready");
-        line["block"] = json!(i % 3);
-        line
+    let row = |(i, node): (usize, &Node)| {
+        let mut row = node.endpoint("ready");
+        row["block"] = json!(i % 3);
+        row
     };
-    let list = DiscoveryServer::start(nodes.iter().enumerate().map(line).collect());
+    let list = DiscoveryServer::start(nodes.iter().enumerate().map(row).collect());
     config["discovery"] = json!(list.address.to_string());
     let broker = Broker::start(&config);
     let mut client = Client::connect(&broker);
-    // It knows no node before the first list.
+    // The migrated configuration has no endpoint list: the broker knows no node before the first list of discovery.
     let start = Instant::now();
     while client.request("GET /ready HTTP/1.1\r\nHost: b\r\n\r\n").status != 200 {
         assert!(start.elapsed() < Duration::from_secs(30));
@@ -72,9 +73,9 @@
         let answer = client.request(&query_request("find", &format!("c{i}"), &[1, 4], "2.0"));
         assert_eq!(answer.status, 200);
     }
-    let asked: Vec<_> = nodes.iter().map(|node| node.frames('A').len()).collect();
-    assert!(asked[1] > 0 && asked[4] > 0, "{asked:?}");
-    assert_eq!(asked[0] + asked[2] + asked[3] + asked[5], 0, "{asked:?}");
+    let attempts: Vec<_> = nodes.iter().map(|node| node.frames('A').len()).collect();
+    assert!(attempts[1] > 0 && attempts[4] > 0, "{attempts:?}");
+    assert_eq!(attempts[0] + attempts[2] + attempts[3] + attempts[5], 0, "{attempts:?}");
     [old, new].iter().for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
@@ -130,12 +131,14 @@
     assert!(!printed.contains("blue") && !printed.contains("maxHeld"), "{printed}");
 }
 
+/// The configuration of the old format without this key of the object at this JSON pointer.
 fn old_format_without(key: &str, path: &str) -> String {
     let mut old = old_format();
     old.pointer_mut(path).unwrap().as_object_mut().unwrap().remove(key);
     old.to_string()
 }
 
+/// The configuration of the old format with this value at this JSON pointer.
 fn old_format_with(path: &str, value: Value) -> String {
     let mut old = old_format();
     *old.pointer_mut(path).unwrap() = value;
@@ -144,24 +147,24 @@
 
 #[rstest]
 #[case::not_json("{".to_string(), "EOF")]
-#[case::twice(r#"{"name":"a","name":"b"}"#.to_string(), "'name' is given twice")]
-#[case::missing(old_format_without("cells", "/settings/familyInfo"), "familyInfo.cells: missing")]
+#[case::duplicate_key(r#"{"name":"a","name":"b"}"#.to_string(), "'name' is given twice")]
+#[case::missing_key(old_format_without("cells", "/settings/familyInfo"), "familyInfo.cells: missing")]
 #[case::no_listen(old_format_without("listen", ""), "config: listen: missing")]
 #[case::wrong_type(old_format_with("/settings/familyInfo/span", json!("two")), "familyInfo.span: not a whole number")]
 #[case::uneven_sets(old_format_with("/settings/familyInfo/span", json!(4)), "familyInfo.cells: 6 cells do not part into sets of 4")]
-#[case::no_share(old_format_with("/settings/familyInfo/wholeAt", json!([1.5, 1.0])), "familyInfo.wholeAt: a share")]
-#[case::negative(old_format_with("/settings", {
+#[case::invalid_share(old_format_with("/settings/familyInfo/wholeAt", json!([1.5, 1.0])), "familyInfo.wholeAt: a share")]
+#[case::negative_penalty(old_format_with("/settings", {
     let mut settings = old_format()["settings"].clone();
     settings["penalties"] = json!({"crossZone": -0.01});
     settings
 }), "penalties.crossZone: not a number from 0 up")]
-#[case::two_steps(old_format_with("/settings/familyInfo/secondStep", json!([2, 0])), "familyInfo.secondStep: second steps")]
-fn invalid_file_is_named_and_not_migrated(#[case] text: String, #[case] named: &str) {
+#[case::two_second_steps(old_format_with("/settings/familyInfo/secondStep", json!([2, 0])), "familyInfo.secondStep: second steps")]
+fn invalid_file_is_named_and_not_migrated(#[case] text: String, #[case] named_fault: &str) {
     let (old, new) = (write_file(&text), stand_ins::scratch_path("json"));
     let (succeeded, printed, errors) = migrate(&[as_str(&old), "--out", as_str(&new)]);
     assert!(!succeeded && !new.exists() && printed.is_empty());
     assert!(
-        errors.contains(as_str(&old)) && errors.contains(named) && errors.lines().count() == 1,
+        errors.contains(as_str(&old)) && errors.contains(named_fault) && errors.lines().count() == 1,
         "{errors}"
     );
 }
--- a/crates/dunepond-broker/tests/handover/queued.rs
+++ b/crates/dunepond-broker/tests/node_connections/queued.rs
@@ -1,4 +1,4 @@
-//! Parts that are partly written, or queued behind such a frame.
+//! Parts whose frame is partly written, and parts that are queued behind a partly written frame.
 
 use std::io::Read;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 
 use crate::harness::{BlockedNode, ManualNode, disconnect, start_broker};
 
-/// Guards against a budget that does not count the time in the queue.
+/// Guards against sending a time limit that ignores the time that the part spent in the queue.
 #[test]
 fn queued_part_carries_remaining_budget() {
     let mut blocked = BlockedNode::start_broker("find", &[("/settings/ceilings/secondCopies", json!(false))]);
-    let waits = Duration::from_millis(500);
-    std::thread::sleep(waits);
+    let delay = Duration::from_millis(500);
+    std::thread::sleep(delay);
     let (first, second) = (blocked.connection.read_part(), blocked.connection.read_part());
-    assert!(second.wait + waits <= first.wait + Duration::from_millis(20), "{first:?} {second:?}");
+    assert!(second.time_left + delay <= first.time_left + Duration::from_millis(20), "{first:?} {second:?}");
     blocked.connection.serve(&first);
     blocked.connection.serve(&second);
     assert_eq!(
@@ -24,9 +24,9 @@
     );
 }
 
-/// The last byte of neither frame was written, so that both may be retried.
+/// The last byte of neither frame was written, so that neither part can have run and both may be retried.
 #[test]
-fn partly_written_and_queued_parts_never_ran_at_reset() {
+fn partly_written_and_queued_parts_retried_after_reset() {
     let mut blocked = BlockedNode::start_broker("fix", &[]);
     let node = blocked.add_node("ready");
     blocked.connection.reset();
@@ -37,7 +37,7 @@
     assert_eq!(node.frames('A').len(), 2);
 }
 
-/// It may have run.
+/// A non-idempotent part whose frame was completely written may have run.
 #[test]
 fn fully_written_part_not_resent_after_reset() {
     let (manual, node) = (ManualNode::start(), Node::start("s-1"));
@@ -54,7 +54,7 @@
     assert_eq!(node.frames('A').len(), 0);
 }
 
-/// A draining node gets the rest of a frame, and no new one.
+/// A draining node receives the rest of a partly written frame, and no new frame.
 #[test]
 fn queued_part_leaves_draining_node() {
     let mut blocked = BlockedNode::start_broker("fix", &[]);
@@ -69,9 +69,9 @@
     assert!(blocked.connection.read_to_close().is_empty());
 }
 
-/// Guards against closing a connection, and losing the frame ahead, to withdraw a queued part.
+/// Guards against closing the connection, which would lose the frame ahead, to withdraw a queued part.
 #[test]
-fn queued_part_of_disconnected_client_spares_frame_ahead() {
+fn queued_part_of_disconnected_client_does_not_affect_frame_ahead() {
     let mut blocked = BlockedNode::start_broker("fix", &[]);
     disconnect([blocked.second]);
     let first = blocked.connection.read_part();
@@ -81,9 +81,9 @@
     assert!(blocked.connection.read_to_close().is_empty());
 }
 
-/// The last byte of neither frame was written: the clients may retry.
+/// The last byte of neither frame was written when the broker must respond: the clients may retry.
 #[test]
-fn partly_written_and_queued_parts_refused_at_last_answers() {
+fn partly_written_and_queued_parts_rejected_at_deadline() {
     let mut blocked = BlockedNode::start_broker("fix", &[]);
     assert_eq!(
         (blocked.first.read_answer().unwrap().status, blocked.second.read_answer().unwrap().status),
@@ -94,7 +94,7 @@
     assert!(blocked.connection.read_to_close().len() < u32::from_be_bytes(length) as usize);
 }
 
-/// Without cancellation nothing is withdrawn at a node, but a frame without a client is not completed.
+/// With cancellation disabled no part is cancelled at a node, but a frame whose client is gone is not completed.
 #[test]
 fn partly_written_part_aborted_on_client_disconnect() {
     let mut blocked = BlockedNode::start_broker("fix", &[("/settings/ceilings/cancel", json!(false))]);
--- a/crates/dunepond-broker/tests/scenarios/attempts.rs
+++ b/crates/dunepond-broker/tests/scenarios/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at nodes that fail, hang or answer malformed frames, and their cancellation.
+//! Attempts at nodes that fail, hang or send malformed frames, and cancellation of attempts.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 
 use super::nodes;
 
-/// A node that breaks, garbles or rejects costs an idempotent query another attempt, and no more.
+/// A node that closes connections, sends invalid frames, hangs or rejects costs an idempotent query one more attempt at most.
 #[rstest]
 #[case(NodeBehavior::CloseMidFrame)]
 #[case(NodeBehavior::ReportProtocolError)]
@@ -19,9 +19,9 @@
 #[case(NodeBehavior::ReplyStatus("fault"))]
 #[case(NodeBehavior::ReplyStatus("overload"))]
 #[case(NodeBehavior::ReplyStatus("hm"))]
-fn idempotent_query_survives_a_bad_node(#[case] manner: NodeBehavior) {
+fn idempotent_query_survives_a_bad_node(#[case] behavior: NodeBehavior) {
     let nodes = nodes(2);
-    nodes[0].set_behavior(manner);
+    nodes[0].set_behavior(behavior);
     let (broker, _list) = Broker::start_for(&nodes);
     let mut client = Client::connect(&broker);
     for i in 0..4 {
@@ -31,7 +31,7 @@
     assert!(!nodes[0].frames('A').is_empty());
 }
 
-/// The node is healthy: guards against waiting for ever for the silent connection.
+/// Only the first connection to a healthy node is silent: guards against waiting for it without end.
 #[test]
 fn silent_connection_is_replaced() {
     let nodes = nodes(1);
@@ -45,15 +45,15 @@
     assert!((0..50).any(served));
 }
 
-/// The value is valid: surplus bytes must not lose it, or the next one.
+/// Bytes after or within a valid response must not make the broker lose its value, or that of the next response.
 #[rstest]
-#[case::copy(NodeBehavior::ServeThenRaw(b"\0\0\0\x11Ec0.2 hit 7 -\nv-q1"))]
-#[case::noise(NodeBehavior::ServeThenRaw(b"?!?!?!?!"))]
-#[case::half_a_frame(NodeBehavior::ServeThenRaw(b"\0\0\0\x30E"))]
-#[case::report(NodeBehavior::ServeWithHead("hit 7 {\"load\": zz, "))]
-fn surplus_bytes_do_not_spoil_a_response(#[case] manner: NodeBehavior) {
+#[case::duplicate_response(NodeBehavior::ServeThenRaw(b"\0\0\0\x11Ec0.2 hit 7 -\nv-q1"))]
+#[case::invalid_bytes(NodeBehavior::ServeThenRaw(b"?!?!?!?!"))]
+#[case::partial_frame(NodeBehavior::ServeThenRaw(b"\0\0\0\x30E"))]
+#[case::invalid_load_report(NodeBehavior::ServeWithHead("hit 7 {\"load\": zz, "))]
+fn surplus_bytes_do_not_spoil_a_response(#[case] behavior: NodeBehavior) {
     let nodes = nodes(1);
-    nodes[0].set_behavior(manner);
+    nodes[0].set_behavior(behavior);
     let (broker, _list) = Broker::start_for(&nodes);
     let mut client = Client::connect(&broker);
     for i in 0..3 {
@@ -62,16 +62,16 @@
     }
 }
 
-/// It may have run, and nothing more can be read from its connection: it fails at once.
+/// The attempt may have run, and its connection can no longer be read: it fails with unknown outcome at once.
 #[rstest]
 #[case::another_id(NodeBehavior::ReplyRaw(b"\0\0\0\x10Ec9.2 hit 7 -\nv-q"))]
-#[case::the_rest_never_comes(NodeBehavior::ReplyRaw(b"\0\0\0\x30Ec0.2 hit 7 -\nv-"))]
-#[case::three_gigabytes(NodeBehavior::ReplyRaw(b"\xb2\xd0\x5e\0Ec0.2 hit 7 -\nv-"))]
-#[case::no_score(NodeBehavior::ServeWithHead("hit x -"))]
-#[case::no_end(NodeBehavior::ServeWithHead("hitt 7 -"))]
-fn malformed_response_fails_its_attempt_at_once(#[case] manner: NodeBehavior) {
+#[case::incomplete_frame(NodeBehavior::ReplyRaw(b"\0\0\0\x30Ec0.2 hit 7 -\nv-"))]
+#[case::frame_length_of_three_gigabytes(NodeBehavior::ReplyRaw(b"\xb2\xd0\x5e\0Ec0.2 hit 7 -\nv-"))]
+#[case::invalid_score(NodeBehavior::ServeWithHead("hit x -"))]
+#[case::unknown_outcome(NodeBehavior::ServeWithHead("hitt 7 -"))]
+fn malformed_response_fails_its_attempt_at_once(#[case] behavior: NodeBehavior) {
     let nodes = nodes(1);
-    nodes[0].set_behavior(manner);
+    nodes[0].set_behavior(behavior);
     let (broker, _list) = Broker::start_for(&nodes);
     let (mut client, start) = (Client::connect(&broker), Instant::now());
     assert_eq!(client.request(&query_request("fix", "c0", &[2], "2.9")).status, 502);
@@ -80,14 +80,17 @@
     assert_eq!(client.request(&query_request("fix", "c1", &[2], "2.0")).status, 200);
 }
 
-/// Once the last byte of the frame is written it may have run: a retriable rejection would be wrong.
+/// Once the last byte of its frame is written, an attempt may have run: a retriable rejection would be wrong.
 #[rstest]
 #[case(NodeBehavior::CloseMidFrame, 502)]
 #[case(NodeBehavior::ReplyStatus("fault"), 502)]
 #[case(NodeBehavior::ReplyStatus("overload"), 429)]
-fn non_idempotent_query_is_retriable_only_if_it_never_ran(#[case] manner: NodeBehavior, #[case] status: u16) {
+fn non_idempotent_query_is_retriable_only_if_it_never_ran(
+    #[case] behavior: NodeBehavior,
+    #[case] status: u16,
+) {
     let nodes = nodes(1);
-    nodes[0].set_behavior(manner);
+    nodes[0].set_behavior(behavior);
     let (broker, _list) = Broker::start_for(&nodes);
     let answer = Client::connect(&broker).request(&query_request("fix", "c1", &[2], "1.0"));
     assert_eq!(answer.status, status);
@@ -133,7 +136,7 @@
     let mut client = Client::connect(&broker);
     assert_eq!(client.request(&query_request("fix", "c1", &[0], "0.3")).status, 502);
     nodes.iter().for_each(|n| n.set_behavior(NodeBehavior::Serve));
-    // The client's time ends shortly after the response.
+    // Waits until the first query's time budget is over, which is shortly after its response.
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(client.request(&query_request("find", "c2", &[1, 2], "2.0")).status, 200);
     assert!(nodes.iter().all(|n| n.frames('B').is_empty()));
--- a/crates/dunepond-broker/tests/scenarios/connections.rs
+++ b/crates/dunepond-broker/tests/scenarios/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to nodes: batches, idle time, replacement and connect timeouts.
+//! Connections to nodes: batches of attempts, idle timeouts, replaced nodes and connect timeouts.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -44,7 +44,7 @@
     }
 }
 
-/// The host vanished and came back: its old connections would stay open and silent for ever.
+/// After a host failed and came back, connections to its old process would otherwise stay open without responses.
 #[test]
 fn connections_to_a_replaced_process_are_closed() {
     let nodes = nodes(1);
@@ -60,25 +60,25 @@
     assert_eq!(nodes[0].connections(), 2);
 }
 
-/// A listener that does not answer a connect, as after a host failure: its backlog is full.
-fn vanished() -> (TcpListener, SocketAddr) {
+/// Returns a listener that does not answer a connect, as after a host failure, because its backlog is full; and its address.
+fn unreachable_listener() -> (TcpListener, SocketAddr) {
     let full = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     full.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     full.listen(0).unwrap();
     let address = full.local_addr().unwrap().as_socket().unwrap();
     let connect = |_| TcpStream::connect_timeout(&address, Duration::from_millis(50));
-    // Established connections stay in the backlog after their close, too.
+    // Established connections stay in the backlog even after their close.
     (0..3).for_each(|i| drop(connect(i)));
     (full.into(), address)
 }
 
 #[test]
 fn connect_timeout_is_retriable() {
-    let (_full, address) = vanished();
+    let (_full, address) = unreachable_listener();
     let nodes = nodes(2);
-    let mut vanished = nodes[0].endpoint("ready");
-    vanished["dial"] = json!(address.to_string());
-    let lines = vec![vanished, nodes[1].endpoint("ready")];
+    let mut unreachable = nodes[0].endpoint("ready");
+    unreachable["dial"] = json!(address.to_string());
+    let lines = vec![unreachable, nodes[1].endpoint("ready")];
     let list = DiscoveryServer::start(lines.clone());
     let broker = Broker::start(&config(list.address, lines));
     let mut client = Client::connect(&broker);
@@ -87,10 +87,10 @@
     }
 }
 
-/// Guards against new attempts at a draining node; attempts that were never sent may go elsewhere.
+/// Guards against sending attempts to a node that has begun to drain; those that were not sent yet go to another node.
 #[test]
 fn attempts_awaiting_a_connection_leave_a_draining_node() {
-    let (_full, address) = vanished();
+    let (_full, address) = unreachable_listener();
     let nodes = nodes(2);
     let mut late = nodes[0].endpoint("ready");
     late["dial"] = json!(address.to_string());
@@ -108,10 +108,10 @@
     assert!(clients.iter_mut().all(|client| client.read_answer().unwrap().status == 200));
 }
 
-/// With cancellation disabled, nothing else would keep them from being sent after their query's response.
+/// With cancellation disabled, only this prevents waiting attempts from being sent after their query's response.
 #[test]
 fn attempts_awaiting_a_connection_end_with_their_query() {
-    let (full, address) = vanished();
+    let (full, address) = unreachable_listener();
     let nodes = nodes(2);
     let mut late = nodes[0].endpoint("ready");
     late["dial"] = json!(address.to_string());
@@ -127,12 +127,12 @@
         Client::connect(&broker).request(&query_request("find", "c1", &[0, 1, 2, 3], "2.5")).status,
         200
     );
-    // Makes room in the backlog: the connection is established when the connect is retried, after a second.
-    let mut last = (0..9).map_while(|_| full.accept().ok()).find(|(stream, _)| {
+    // Makes room in the backlog: the broker's connection is established when the system retries the connect, after a second.
+    let mut late = (0..9).map_while(|_| full.accept().ok()).find(|(stream, _)| {
         stream.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
-        // Those that filled the queue are at their end.
+        // The connections that filled the backlog are closed and read as ended.
         !matches!(stream.peek(&mut [0]), Ok(0))
     });
-    let came = last.as_mut().map(|(stream, _)| stream.read(&mut [0; 100]).unwrap_or(0));
-    assert_eq!(came, Some(0));
+    let received = late.as_mut().map(|(stream, _)| stream.read(&mut [0; 100]).unwrap_or(0));
+    assert_eq!(received, Some(0));
 }
--- a/crates/dunepond-broker/tests/scenarios/discovery.rs
+++ b/crates/dunepond-broker/tests/scenarios/discovery.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: nodes that come, go, drain and move, and discovery agents that fall silent or restart.
+//! Endpoint lists with nodes that are added, removed, draining or moved, and discovery agents that stop responding or restart.
 
 use dunepond_testkit::stand_ins::{Broker, Client, DiscoveryServer, Node, config, query_request};
 use rstest::rstest;
@@ -6,7 +6,7 @@
 
 use super::nodes;
 
-/// Nodes that keep returning under new names must not grow the tables without bound.
+/// Guards against tables that grow without bound when nodes are replaced by nodes with new names.
 #[test]
 fn removed_nodes_free_their_indices() {
     let nodes = nodes(9);
@@ -20,10 +20,10 @@
             assert_eq!((answer.status, &answer.body["finished"]), (200, &json!(true)));
         }
     }
-    let said = broker.log_text();
-    assert!(said.contains("node 2 is ") && !said.contains("node 3 is "));
-    // Each has only the connections that were opened to it; on a slow machine a late attempt can cost one more.
-    let opened = |node: &Node| said.matches(&format!("node {}: opening", node.name)).count();
+    let log = broker.log_text();
+    assert!(log.contains("node 2 is ") && !log.contains("node 3 is "));
+    // Each node has only connections whose opening was logged; on a slow machine a late attempt can open one more.
+    let opened = |node: &Node| log.matches(&format!("node {}: opening", node.name)).count();
     assert!(nodes.iter().all(|n| n.connections() <= opened(n)));
     (0..7).for_each(|i| nodes[i].wait_for_closed(nodes[i].connections()));
 }
@@ -48,8 +48,8 @@
     let nodes = nodes(2);
     let (broker, list) = Broker::start_for(&nodes);
     list.wait_until_read();
-    let nonsense = json!({"host": "s-9", "dial": "nowhere", "block": 0, "health": "ready"});
-    list.publish(vec![nonsense, nodes[0].endpoint("draining"), nodes[1].endpoint("ready")]);
+    let invalid_row = json!({"host": "s-9", "dial": "nowhere", "block": 0, "health": "ready"});
+    list.publish(vec![invalid_row, nodes[0].endpoint("draining"), nodes[1].endpoint("ready")]);
     list.wait_until_read();
     let mut client = Client::connect(&broker);
     for i in 0..5 {
@@ -81,13 +81,13 @@
     assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (0, 1));
 }
 
-/// Guards against a busy loop of watches that return at once.
+/// Guards against polling in a busy loop when the agent answers each watch at once.
 #[rstest]
-fn hasty_discovery_agent_is_not_polled_in_a_loop(#[values(false, true)] closes: bool) {
+fn immediate_discovery_responses_do_not_cause_a_busy_loop(#[values(false, true)] closes: bool) {
     let nodes = nodes(2);
     let (broker, list) = Broker::start_for(&nodes[..1]);
-    let asked = list.reply_immediately(closes);
-    assert!((1.0..30.0).contains(&asked), "{asked}");
+    let request_rate = list.reply_immediately(closes);
+    assert!((1.0..30.0).contains(&request_rate), "{request_rate}");
     list.publish(vec![nodes[1].endpoint("ready")]);
     list.wait_until_read();
     assert_eq!(Client::connect(&broker).request(&query_request("find", "c1", &[0], "2.0")).status, 200);
--- a/crates/dunepond-broker/tests/scenarios/lifecycle.rs
+++ b/crates/dunepond-broker/tests/scenarios/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Shutdown, reload and restart of the process.
+//! Shutdown, configuration reload and restart of the process.
 
 use std::time::{Duration, Instant};
 
@@ -19,7 +19,7 @@
     let mut other = Client::connect(&broker);
     let until = Instant::now() + Duration::from_secs(5);
     while other.request("GET /ready HTTP/1.1\r\n\r\n").status != 503 {
-        assert!(Instant::now() < until, "still ready");
+        assert!(Instant::now() < until, "the broker is still ready after SIGTERM");
     }
     nodes[0].set_behavior(NodeBehavior::Serve);
     assert_eq!(other.request(&query_request("find", "c2", &[1], "2.0")).status, 200);
@@ -30,7 +30,7 @@
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// The environment keeps naming the old address, and an invalid file must change nothing.
+/// The environment still has the old discovery address, and an invalid configuration file must not change anything.
 #[test]
 fn sighup_reloads_and_switches_discovery() {
     let nodes = nodes(2);
--- a/crates/dunepond-broker/tests/scenarios/limits.rs
+++ b/crates/dunepond-broker/tests/scenarios/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on clients, connections, descriptors and queries in flight.
+//! Limits on clients, connections, file descriptors and queries in flight.
 
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
@@ -17,8 +17,8 @@
     let mut first = Client::connect(&broker);
     first.send(&query_request("find", "c1", &[0, 1, 2], "2.0"));
     nodes[0].wait_for_frames('A', 3);
-    let away = Client::connect(&broker).request(&query_request("find", "c2", &[0], "2.0"));
-    assert!(away.status == 503 && away.head.contains("Retry-After: 2.000"), "{away:?}");
+    let rejected = Client::connect(&broker).request(&query_request("find", "c2", &[0], "2.0"));
+    assert!(rejected.status == 503 && rejected.head.contains("Retry-After: 2.000"), "{rejected:?}");
     drop(first);
     nodes[0].wait_for_frames('B', 3);
     nodes[0].set_behavior(NodeBehavior::Serve);
@@ -37,7 +37,7 @@
     }
 }
 
-/// As many clients as allowed have just connected, and no other waits for room.
+/// The maximum number of clients has just connected, and no further client waits to be accepted.
 #[test]
 fn no_eviction_without_a_waiting_client() {
     let nodes = nodes(1);
@@ -67,13 +67,17 @@
     assert_eq!(first.read_answer().unwrap().status, 200);
 }
 
-/// Guards against hundreds of silent clients that would use up all connections.
+/// Guards against silent clients that use up all connections.
 #[rstest]
 #[case::silent("", "", 64)]
-#[case::half("POST /find HTTP/1.1\r\nX-Call-Id: c0\r\nContent-Length: 9\r\n\r\nhalf", "HTTP/1.1 408 ", 1024)]
+#[case::partial_request(
+    "POST /find HTTP/1.1\r\nX-Call-Id: c0\r\nContent-Length: 9\r\n\r\nhalf",
+    "HTTP/1.1 408 ",
+    1024
+)]
 fn silent_clients_time_out_and_block_no_others(
-    #[case] said: &str,
-    #[case] told: &str,
+    #[case] sent: &str,
+    #[case] expected: &str,
     #[case] sockets: usize,
 ) {
     let nodes = nodes(1);
@@ -83,18 +87,18 @@
     let broker = Broker::start(&config);
     let start = Instant::now();
     let mut idlers: Vec<_> = (0..100).map(|_| Client::connect(&broker)).collect();
-    // Some are evicted at once.
-    idlers.iter_mut().for_each(|idler| drop(idler.stream.write_all(said.as_bytes())));
+    // Writing may fail, as some clients are evicted at once.
+    idlers.iter_mut().for_each(|idler| drop(idler.stream.write_all(sent.as_bytes())));
     let mut client = Client::connect(&broker);
     assert_eq!(client.request(&query_request("find", "c1", &[0], "2.0")).status, 200);
     let mut last = String::new();
     let _ = idlers.pop().unwrap().stream.read_to_string(&mut last);
-    assert!(last.starts_with(told), "{last}");
+    assert!(last.starts_with(expected), "{last}");
     idlers.iter_mut().for_each(|idler| drop(idler.stream.read_to_end(&mut Vec::new())));
     assert!(start.elapsed() < Duration::from_secs(8));
 }
 
-/// Some clients send one request and keep their connection.
+/// A client sends one request and then keeps its connection open without another one.
 #[test]
 fn idle_client_is_closed() {
     let (broker, _list) = Broker::start_for(&nodes(1));
@@ -103,17 +107,17 @@
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
 }
 
-/// Idle connections must not use up those that are allowed.
+/// Guards against idle connections that use up the number that is allowed.
 #[test]
 fn idle_clients_beyond_their_share_are_closed() {
     let (broker, _list) = Broker::start_for_with(&nodes(1), "/limits/sockets", json!(88));
     let start = Instant::now();
-    let ask = |i| {
+    let send_query = |i| {
         let mut client = Client::connect(&broker);
         assert_eq!(client.request(&query_request("find", &format!("c{i}"), &[0], "2.0")).status, 200);
         client
     };
-    let mut clients: Vec<_> = (0..40).map(ask).collect();
+    let mut clients: Vec<_> = (0..40).map(send_query).collect();
     assert_eq!(clients[39].request(&query_request("find", "last", &[0], "2.0")).status, 200);
     assert!(clients[..28].iter_mut().all(|client| client.stream.read(&mut [0]).unwrap() == 0));
     assert!(start.elapsed() < Duration::from_secs(3));
@@ -131,7 +135,7 @@
     assert!(nodes.iter().filter(|n| n.connections() > 0).count() > 12);
 }
 
-/// Accepting fails then: it must pause, without a crash or a busy loop, and go on once descriptors are free.
+/// Without a free descriptor accepting fails: it must pause without a crash or a busy loop, and resume once one is free.
 #[test]
 fn exhausted_descriptors_pause_accepting() {
     let nodes = nodes(1);
@@ -140,22 +144,22 @@
         Broker::start_with_descriptor_limit(16, &config(list.address, vec![nodes[0].endpoint("ready")]));
     let mut first = Client::connect(&broker);
     assert_eq!(first.request(&query_request("find", "c1", &[0], "5.0")).status, 200);
-    let mut many: Vec<_> = (0..30).map(|_| Client::connect(&broker)).collect();
+    let mut excess: Vec<_> = (0..30).map(|_| Client::connect(&broker)).collect();
     assert_eq!(first.request(&query_request("find", "c2", &[0], "5.0")).status, 200);
-    let mut last = many.pop().unwrap();
-    drop(many);
+    let mut last = excess.pop().unwrap();
+    drop(excess);
     assert_eq!(last.request(&query_request("find", "c3", &[0], "5.0")).status, 200);
 }
 
-/// Guards against responses that pile up in memory.
+/// Guards against unread responses that accumulate in memory.
 #[test]
 fn client_that_reads_no_responses_is_not_read_further() {
     let (broker, _list) = Broker::start_for(&nodes(1));
-    let mut greedy = Client::connect(&broker);
-    greedy.stream.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
+    let mut not_reading = Client::connect(&broker);
+    not_reading.stream.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
     let ready = "GET /ready HTTP/1.1\r\n\r\n".repeat(1000);
-    // The sockets' buffers take some MiB; far beyond that the broker must have stopped reading.
-    let sent = (0..5000).take_while(|_| greedy.stream.write_all(ready.as_bytes()).is_ok()).count();
-    assert!(sent < 5000, "all of it was read");
+    // The sockets' buffers hold a few MiB; the broker must have stopped reading long before all requests are sent.
+    let sent = (0..5000).take_while(|_| not_reading.stream.write_all(ready.as_bytes()).is_ok()).count();
+    assert!(sent < 5000, "the broker read all requests");
     assert_eq!(Client::connect(&broker).request(&query_request("find", "c1", &[0], "2.0")).status, 200);
 }
--- a/crates/dunepond-broker/tests/scenarios/main.rs
+++ b/crates/dunepond-broker/tests/scenarios/main.rs
@@ -1,4 +1,4 @@
-//! A broker among stand-ins for its peers, over loopback.
+//! A broker with stand-ins for its clients, nodes and discovery, over loopback.
 
 mod attempts;
 mod command_line;
--- a/crates/dunepond-broker/tests/scenarios/requests.rs
+++ b/crates/dunepond-broker/tests/scenarios/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: their format, their time and their responses.
+//! Requests of clients: their format, their time budget and their responses.
 
 use std::io::Write;
 use std::time::{Duration, Instant};
@@ -49,32 +49,32 @@
 }
 
 #[rstest]
-#[case::path(query_request("lost", "c1", &[0], "2"), 404, "path")]
-#[case::shard(query_request("find", "c1", &[6], "2"), 400, "buckets.bucket")]
-#[case::twice(query_request("find", "c1", &[1, 1], "2"), 400, "named twice")]
+#[case::unknown_path(query_request("lost", "c1", &[0], "2"), 404, "path")]
+#[case::unknown_shard(query_request("find", "c1", &[6], "2"), 400, "buckets.bucket")]
+#[case::duplicate_shard(query_request("find", "c1", &[1, 1], "2"), 400, "named twice")]
 #[case::no_parts(query_request("find", "c1", &[], "2"), 400, "buckets")]
-#[case::budget(query_request("find", "c1", &[1], "soon"), 400, "X-Budget")]
-#[case::spent(query_request("find", "c1", &[1], "0"), 400, "X-Budget: spent")]
-#[case::infinite(query_request("find", "c1", &[1], "inf"), 400, "X-Budget")]
-#[case::exponent(query_request("find", "c1", &[1], "1e9"), 400, "X-Budget")]
-#[case::too_much(query_request("find", "c1", &[1], "2").replace("1.0}", "1.5}"), 400, "buckets.part: not a share")]
-#[case::too_little(query_request("find", "c1", &[1], "2").replace("1.0}", "0.7}"), 400, "add up to 1")]
-#[case::too_many(query_request("find", "c1", &[1, 2, 3], "2").replace("0.33", "0.43"), 400, "add up to 1")]
-#[case::id(query_request("find", "", &[1], "2"), 400, "X-Call-Id")]
-#[case::class(query_request("find", "c1", &[1], "2").replace("Class: find", "Class: fix"), 400, "X-Call-Class")]
-#[case::weight(query_request("find", "c1", &[1], "2").replace("1.0}", "[5]}"), 400, "buckets.part")]
+#[case::invalid_budget(query_request("find", "c1", &[1], "soon"), 400, "X-Budget")]
+#[case::spent_budget(query_request("find", "c1", &[1], "0"), 400, "X-Budget: spent")]
+#[case::infinite_budget(query_request("find", "c1", &[1], "inf"), 400, "X-Budget")]
+#[case::budget_with_exponent(query_request("find", "c1", &[1], "1e9"), 400, "X-Budget")]
+#[case::share_above_1(query_request("find", "c1", &[1], "2").replace("1.0}", "1.5}"), 400, "buckets.part: not a share")]
+#[case::shares_below_1(query_request("find", "c1", &[1], "2").replace("1.0}", "0.7}"), 400, "add up to 1")]
+#[case::shares_above_1(query_request("find", "c1", &[1, 2, 3], "2").replace("0.33", "0.43"), 400, "add up to 1")]
+#[case::empty_id(query_request("find", "", &[1], "2"), 400, "X-Call-Id")]
+#[case::mismatched_class(query_request("find", "c1", &[1], "2").replace("Class: find", "Class: fix"), 400, "X-Call-Class")]
+#[case::invalid_share_type(query_request("find", "c1", &[1], "2").replace("1.0}", "[5]}"), 400, "buckets.part")]
 #[case::not_json(query_request("find", "c1", &[1], "2").replace("{\"b", "<\"b"), 400, "body")]
-#[case::key_twice(query_request("find", "c1", &[1], "2").replace("\"body\":\"q1\"", "\"body\":1,\"body\":2"), 400, "'body' is given twice")]
+#[case::duplicate_key(query_request("find", "c1", &[1], "2").replace("\"body\":\"q1\"", "\"body\":1,\"body\":2"), 400, "'body' is given twice")]
 #[case::method("GET /find HTTP/1.1\r\n\r\n".to_string(), 405, "POST")]
 #[case::no_http("lunch?\r\n\r\n".to_string(), 400, "head")]
 #[case::too_long("POST /find HTTP/1.1\r\nContent-Length: 65537\r\n\r\n".to_string(), 413, "64 KiB")]
-#[case::smuggled("POST /find HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n".to_string(), 400, "Content-Length")]
-fn invalid_request_names_its_fault(#[case] request: String, #[case] status: u16, #[case] named: &str) {
+#[case::length_and_chunked_encoding("POST /find HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n".to_string(), 400, "Content-Length")]
+fn invalid_request_names_its_fault(#[case] request: String, #[case] status: u16, #[case] named_fault: &str) {
     let nodes = nodes(1);
     let (broker, _list) = Broker::start_for(&nodes);
     let answer = Client::connect(&broker).request(&request);
     assert_eq!(answer.status, status);
-    assert!(answer.body["error"].as_str().unwrap().contains(named), "{answer:?}");
+    assert!(answer.body["error"].as_str().unwrap().contains(named_fault), "{answer:?}");
     assert_eq!(Client::connect(&broker).request(&query_request("find", "c9", &[0], "2")).status, 200);
     assert_eq!(nodes[0].frames('A').len(), 1);
 }
@@ -114,10 +114,10 @@
     assert_eq!((answer.status, answer.body), (200, json!({"finished": false, "found": found})));
 }
 
-/// The time budget counts from when the client sent the request: together with the previous one, which took 0.25 s.
+/// The time budget counts from when the request arrived, here together with the previous request, which took 0.25 s.
 #[rstest]
-#[case::that_is_over_by_then(0.24, 429, 0)]
-#[case::that_lasts(0.9, 200, 1)]
+#[case::spent_before_dispatch(0.24, 429, 0)]
+#[case::sufficient(0.9, 200, 1)]
 fn time_budget_of_a_pipelined_request_counts_from_arrival(
     #[case] budget: f64,
     #[case] status: u16,
@@ -131,6 +131,6 @@
         &(query_request("find", "c1", &[1], "2.0") + &query_request("find", "c2", &[0], &budget.to_string())),
     );
     assert_eq!((client.read_answer().unwrap().status, client.read_answer().unwrap().status), (200, status));
-    let of_the_second = nodes[0].frames('A').iter().filter(|frame| frame.starts_with("c2.")).count();
-    assert_eq!(of_the_second, attempts);
+    let attempts_of_second = nodes[0].frames('A').iter().filter(|frame| frame.starts_with("c2.")).count();
+    assert_eq!(attempts_of_second, attempts);
 }
--- a/crates/dunepond-broker/tests/shutdown.rs
+++ b/crates/dunepond-broker/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown, and signals at unfavourable moments.
+//! Graceful shutdown, and signals that arrive during startup, exec, a reload or a stall.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Write};
@@ -15,36 +15,42 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
+/// A readiness request.
 const READY: &str = "GET /ready HTTP/1.1\r\n\r\n";
 
-/// Sends requests on new connections until an answer shows that a stage of the shutdown has been reached.
+/// Sends readiness requests on new connections until a response shows that a stage of the shutdown has been reached; `stage` names
+/// it for a failure.
 fn wait_for_answer(
     broker: &Broker,
-    what: &str,
+    stage: &str,
     wanted: impl Fn(&dunepond_testkit::stand_ins::Answer) -> bool,
 ) {
     let start = Instant::now();
     while !wanted(&Client::connect(broker).request(READY)) {
-        assert!(start.elapsed() < Duration::from_secs(5), "never {what}");
+        assert!(start.elapsed() < Duration::from_secs(5), "the broker did not reach this stage: {stage}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
+/// Sends SIGTERM and waits until the broker reports that it is not ready.
 fn signal_shutdown(broker: &Broker) {
     broker.signal("TERM");
-    wait_for_answer(broker, "told to end", |answer| answer.status == 503);
+    wait_for_answer(broker, "not ready after SIGTERM", |answer| answer.status == 503);
 }
 
+/// Waits until the broker closes connections with their responses.
 fn wait_until_closing(broker: &Broker) {
-    wait_for_answer(broker, "closing with answers", |answer| answer.head.contains("Connection: close"));
+    wait_for_answer(broker, "closing connections with responses", |answer| {
+        answer.head.contains("Connection: close")
+    });
 }
 
-/// Waits for the end of the connection.
+/// Reads until the broker closes the connection; returns the number of bytes.
 fn read_to_end(client: &mut Client) -> std::io::Result<usize> {
     client.stream.read_to_end(&mut Vec::new())
 }
 
-/// A pipe in place of a file: opening it blocks until the other side does.
+/// Replaces a file by a named pipe: opening it blocks until the other side opens it, too.
 fn make_fifo(path: &Path) {
     let _ = std::fs::remove_file(path);
     assert!(Command::new("mkfifo").arg(path).status().unwrap().success());
@@ -54,7 +60,7 @@
     OpenOptions::new().write(true).open(path).unwrap()
 }
 
-/// Signals the program while it waits for its configuration, the first thing that it does.
+/// Starts the program and signals it while it waits for its configuration, which it reads before anything else.
 fn start_signalled(config: &Value, signal: &str) -> Broker {
     let path = scratch_path("json");
     make_fifo(&path);
@@ -64,7 +70,7 @@
     let mut held = open_for_writing(&path);
     let kill = format!("kill -{signal} {}", child.id());
     assert!(Command::new("/bin/sh").args(["-c", &kill]).status().unwrap().success());
-    // A reload finds a regular file.
+    // A reload must find a regular file.
     let file = scratch_path("json");
     std::fs::write(&file, config.to_string()).unwrap();
     std::fs::rename(&file, &path).unwrap();
@@ -91,7 +97,7 @@
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// A signal during exec. The supervisor blocks it, and mask and pending signals are inherited.
+/// A signal that arrives during exec: the supervisor blocks it, and the signal mask and pending signals are inherited.
 #[rstest]
 #[case::hup(libc::SIGHUP, None)]
 #[case::term(libc::SIGTERM, Some(0))]
@@ -109,7 +115,7 @@
         }
         Ok(())
     };
-    // SAFETY: see there.
+    // SAFETY: `pend` makes only calls that are allowed between fork and exec.
     unsafe { command.pre_exec(pend) };
     let mut broker = Broker::from_child(launch_command(command, &config(list.address, vec![])));
     if code.is_some() {
@@ -125,7 +131,7 @@
 fn pipelined_requests_answered_during_shutdown() {
     let nodes = [Node::start("s-0")];
     nodes[0].set_behavior(NodeBehavior::DelayMillis(1500));
-    // With time for the queued requests.
+    // Long enough to serve the queued requests, too.
     let (mut broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 3000.0));
     let mut client = Client::connect(&broker);
     client.send(&["c1", "c2", "c3"].map(|id| query_request("find", id, &[1], "3.0")).concat());
@@ -136,14 +142,14 @@
     let answers: Vec<_> = (0..3).map_while(|_| client.read_answer()).collect();
     let closes: Vec<_> = answers.iter().map(|answer| answer.head.contains("Connection: close")).collect();
     assert_eq!(closes, [false, false, true]);
-    // With little time left a request may be rejected.
+    // A request with little time left may be rejected.
     assert!(answers.iter().all(|answer| matches!(answer.status, 200 | 429)), "{answers:?}");
     assert_eq!(read_to_end(&mut client).unwrap(), 0);
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// Requests and answers exceed the connection's buffers at the signal.
+/// At the signal, requests and responses exceed the connection's buffers.
 #[test]
 fn slow_reader_gets_all_answers_after_shutdown() {
     let nodes = [Node::start("s-0")];
@@ -162,20 +168,20 @@
     nodes[0].wait_for_frames('A', 20);
     signal_shutdown(&broker);
     wait_until_closing(&broker);
-    let mut taken = 0;
+    let mut received = 0;
     while let Some(answer) = client.read_answer() {
         assert_eq!((answer.status, answer.body["finished"].clone()), (200, json!(true)));
-        taken += 1;
+        received += 1;
         if answer.head.contains("Connection: close") {
             break;
         }
     }
-    assert_eq!((sending.join().unwrap(), taken), (true, 120));
+    assert_eq!((sending.join().unwrap(), received), (true, 120));
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// The process stalls through the first stage.
+/// The process stalls from shortly after the signal until after the first stage of the shutdown.
 #[test]
 fn stall_past_first_stage_still_closes_with_answers() {
     let nodes = [Node::start("s-0")];
@@ -195,7 +201,7 @@
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// The kill depends on the longest query timeout.
+/// The time of the kill depends on the longest query timeout.
 #[rstest]
 #[case::connected("", 0.1, 0.85)]
 #[case::idle(READY, 0.1, 0.85)]
@@ -221,12 +227,12 @@
     nodes[0].set_behavior(NodeBehavior::Hang);
     let (mut broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 60_000.0));
     let mut clients: Vec<_> = (0..2).map(|_| Client::connect(&broker)).collect();
-    let ask = |client: &mut Client, id| client.send(&query_request("fix", id, &[1], "59.0"));
-    ask(&mut clients[0], "c1");
+    let send_query = |client: &mut Client, id| client.send(&query_request("fix", id, &[1], "59.0"));
+    send_query(&mut clients[0], "c1");
     nodes[0].wait_for_frames('A', 1);
     signal_shutdown(&broker);
     let start = Instant::now();
-    ask(&mut clients[1], "c2");
+    send_query(&mut clients[1], "c2");
     let answers: Vec<_> =
         clients.iter_mut().map(|client| client.read_answer().expect("an answer").status).collect();
     assert!(answers.iter().all(|status| *status >= 429), "{answers:?}");
@@ -235,7 +241,7 @@
     assert!(start.elapsed() < Duration::from_secs_f64(3.7), "{:?}", start.elapsed());
 }
 
-/// Three brokers with attempts at nodes that answer and at nodes that hang, and requests that arrive at the signal.
+/// Three brokers shut down at once, with attempts at serving and at hung nodes, and with requests that arrive at the signal.
 #[test]
 fn simultaneous_shutdown_with_hung_nodes_answers_all() {
     let nodes: Vec<_> = (0..4).map(|i| Node::start(&format!("s-{i}"))).collect();
@@ -245,19 +251,20 @@
     let mut config = config(list.address, lines);
     set_timeouts(&mut config, 800.0);
     let mut brokers: Vec<_> = (0..3).map(|_| Broker::start(&config)).collect();
-    let ask = |broker: &Broker, i: usize, when: &str| {
+    let send_query = |broker: &Broker, i: usize, when: &str| {
         let mut client = Client::connect(broker);
         client.send(&query_request(["find", "fix"][i % 2], &format!("{when}{i}"), &[i % 6], "0.8"));
         client
     };
-    let each = |when: &str, broker: &Broker| (0..12).map(|i| ask(broker, i, when)).collect::<Vec<_>>();
-    let mut clients: Vec<_> = brokers.iter().flat_map(|broker| each("a", broker)).collect();
+    let send_12 =
+        |when: &str, broker: &Broker| (0..12).map(|i| send_query(broker, i, when)).collect::<Vec<_>>();
+    let mut clients: Vec<_> = brokers.iter().flat_map(|broker| send_12("a", broker)).collect();
     nodes[0].wait_for_frames('A', 1);
     nodes[1].wait_for_frames('A', 1);
     for broker in &brokers {
         broker.signal("STOP");
         broker.signal("TERM");
-        clients.extend(each("b", broker));
+        clients.extend(send_12("b", broker));
     }
     brokers.iter().for_each(|broker| broker.signal("CONT"));
     let answers: Vec<_> =
@@ -267,7 +274,7 @@
     assert_eq!(brokers.iter_mut().map(Broker::exit_code).collect::<Vec<_>>(), [Some(0); 3]);
 }
 
-/// With all requests answered there is nothing to wait for.
+/// A client keeps its connection open after its response: with all requests answered the broker must not wait for it.
 #[test]
 fn lingering_client_does_not_delay_exit() {
     let nodes = [Node::start("s-0")];
@@ -299,7 +306,7 @@
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// Accepting waits for the first list when the signal comes.
+/// At the signal, the broker accepts no connections yet because it waits for its first endpoint list.
 #[test]
 fn request_awaiting_first_list_answered_after_sigterm() {
     let nodes = [Node::start("s-0")];
@@ -310,14 +317,14 @@
     let mut client = Client::connect(&broker);
     client.send(&query_request("find", "c1", &[1], "3.0"));
     broker.signal("TERM");
-    // No list is in force yet: it may be rejected.
+    // No endpoint list is in force yet, so that the query may be rejected.
     let answer = client.read_answer().expect("an answer");
     assert!(matches!(answer.status, 200 | 429) && answer.head.contains("Connection: close"), "{answer:?}");
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// Guards against closing connections with unread requests to make room for a burst after a stall.
+/// Guards against evicting connections with unread requests when a burst exceeds the limit after a stall.
 #[test]
 fn burst_over_limit_is_answered() {
     let nodes = [Node::start("s-0")];
@@ -333,9 +340,9 @@
     assert_eq!(answered, 60);
 }
 
-/// SIGHUP before the writer is done; the pipe blocks the reader.
+/// SIGHUP arrives while the configuration file, a named pipe that blocks the reader, is partly written.
 #[rstest]
-fn partly_written_config_is_ignored(#[values(false, true)] ends: bool) {
+fn partly_written_config_is_ignored(#[values(false, true)] terminates: bool) {
     let nodes = [Node::start("s-0"), Node::start("s-1")];
     nodes[0].set_behavior(NodeBehavior::DelayMillis(300));
     let (mut broker, list) = Broker::start_for_changed(&nodes[..1], |_| {});
@@ -349,12 +356,12 @@
     broker.signal("HUP");
     let mut half = open_for_writing(&broker.config_file);
     half.write_all(&whole.as_bytes()[..whole.len() / 2]).unwrap();
-    if ends {
+    if terminates {
         broker.signal("TERM");
     }
     drop(half);
     assert_eq!(client.read_answer().unwrap().status, 200);
-    if ends {
+    if terminates {
         broker.signal("HUP");
         drop(open_for_writing(&broker.config_file));
         drop(client);
@@ -369,23 +376,23 @@
     assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (1, 1));
 }
 
-/// A request that is partly read, at a node, or being retried.
+/// SIGTERM arrives while a request is partly read, runs at a node, or is being retried.
 #[rstest]
 #[case::partly_read(NodeBehavior::Serve, NodeBehavior::Serve)]
 #[case::at_node(NodeBehavior::DelayMillis(1500), NodeBehavior::DelayMillis(1500))]
 #[case::retrying(NodeBehavior::ReplyStatus("fault"), NodeBehavior::DelayMillis(1500))]
-fn in_flight_query_answered_after_sigterm(#[case] one: NodeBehavior, #[case] other: NodeBehavior) {
+fn in_flight_query_answered_after_sigterm(#[case] first: NodeBehavior, #[case] second: NodeBehavior) {
     let nodes = [Node::start("s-0"), Node::start("s-1")];
-    nodes[0].set_behavior(one);
-    nodes[1].set_behavior(other);
+    nodes[0].set_behavior(first);
+    nodes[1].set_behavior(second);
     let (mut broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 3000.0));
     let requests: Vec<_> = (0..4).map(|i| query_request("find", &format!("c{i}"), &[1], "3.0")).collect();
     let mut clients: Vec<_> = requests.iter().map(|_| Client::connect(&broker)).collect();
-    let sent = |request: &str| if one == NodeBehavior::Serve { request.len() / 2 } else { request.len() };
+    let sent = |request: &str| if first == NodeBehavior::Serve { request.len() / 2 } else { request.len() };
     clients.iter_mut().zip(&requests).for_each(|(c, request)| c.send(&request[..sent(request)]));
-    if one != NodeBehavior::Serve {
+    if first != NodeBehavior::Serve {
         nodes[0].wait_for_frames('A', 1);
-        nodes[1].wait_for_frames('A', if one == other { 1 } else { 4 });
+        nodes[1].wait_for_frames('A', if first == second { 1 } else { 4 });
     }
     signal_shutdown(&broker);
     wait_until_closing(&broker);
--- a/crates/dunepond-broker/tests/ending.rs
+++ b/crates/dunepond-broker/tests/shutdown_requests.rs
@@ -1,4 +1,4 @@
-//! After SIGTERM each request on a connection that is still open gets a complete answer.
+//! After SIGTERM, each request on a connection that is still open gets a complete response.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -7,9 +7,10 @@
 use rstest::rstest;
 use serde_json::json;
 
-/// A broker that has been told to shut down. Steps are tenths of a second, as tolerance for a busy machine.
+/// A broker that has received SIGTERM. The tests' steps are tenths of a second apart, as tolerance for a busy machine.
 struct ShuttingDown {
-    at: Instant,
+    /// When SIGTERM was sent.
+    signalled_at: Instant,
     broker: Broker,
     _list: DiscoveryServer,
     nodes: Vec<Node>,
@@ -21,14 +22,16 @@
         let (broker, list) = Broker::start_for(&nodes);
         before_signal(&broker);
         broker.signal("TERM");
-        Self { at: Instant::now(), broker, _list: list, nodes }
+        Self { signalled_at: Instant::now(), broker, _list: list, nodes }
     }
 
+    /// Sleeps until this many seconds after SIGTERM.
     fn wait_until(&self, seconds: f64) {
-        sleep(Duration::from_secs_f64(seconds).saturating_sub(self.at.elapsed()));
+        sleep(Duration::from_secs_f64(seconds).saturating_sub(self.signalled_at.elapsed()));
     }
 
-    /// Stops the process for a while, as an overloaded machine would.
+    /// Stops the process from and until these times, in seconds after SIGTERM, as an overloaded machine would; runs `meanwhile`
+    /// while it is stopped.
     fn stop_while(&self, from: f64, to: f64, meanwhile: impl FnOnce()) {
         self.wait_until(from);
         self.broker.signal("STOP");
@@ -37,26 +40,32 @@
         self.broker.signal("CONT");
     }
 
+    /// Closes the client and asserts that the broker exits with code 0 before the kill.
     fn assert_exits_in_time(mut self, client: Client) {
         drop(client);
         assert_eq!(self.broker.exit_code(), Some(0));
-        assert!(self.at.elapsed() < Duration::from_secs_f64(3.7), "{:?}", self.at.elapsed());
+        assert!(
+            self.signalled_at.elapsed() < Duration::from_secs_f64(3.7),
+            "{:?}",
+            self.signalled_at.elapsed()
+        );
     }
 }
 
+/// Sends a query; returns whether it was served.
 fn is_served(client: &mut Client, id: &str) -> bool {
     client.try_request(&query_request("find", id, &[1], "2.0")).is_some_and(|answer| answer.status == 200)
 }
 
-/// The listener stays open for a while, and first requests may come later.
+/// The listener stays open for a while after SIGTERM, and a new connection may send its first request later.
 #[rstest]
 #[case::before_first_stage(0.35, 0.55)]
 #[case::before_listener_closes(0.55, 0.8)]
-fn new_connection_may_send_request(#[case] connects: f64, #[case] asks: f64) {
+fn new_connection_may_send_request(#[case] connect_time: f64, #[case] request_time: f64) {
     let broker = ShuttingDown::start(|_| {});
-    broker.wait_until(connects);
+    broker.wait_until(connect_time);
     let mut client = Client::connect(&broker.broker);
-    broker.wait_until(asks);
+    broker.wait_until(request_time);
     assert!(is_served(&mut client, "c1"));
     assert!(client.read_answer().is_none());
     broker.assert_exits_in_time(client);
@@ -67,9 +76,13 @@
     let broker = ShuttingDown::start(|_| {});
     broker.wait_until(0.55);
     let client = Client::connect(&broker.broker);
-    let mut waits = client.stream.try_clone().unwrap();
-    assert_eq!(std::io::Read::read(&mut waits, &mut [0]).unwrap(), 0);
-    assert!(broker.at.elapsed() < Duration::from_secs_f64(1.6), "{:?}", broker.at.elapsed());
+    let mut stream = client.stream.try_clone().unwrap();
+    assert_eq!(std::io::Read::read(&mut stream, &mut [0]).unwrap(), 0);
+    assert!(
+        broker.signalled_at.elapsed() < Duration::from_secs_f64(1.6),
+        "{:?}",
+        broker.signalled_at.elapsed()
+    );
     broker.assert_exits_in_time(client);
 }
 
@@ -77,8 +90,8 @@
 fn idle_connection_served_until_listener_closes() {
     let mut client = None;
     let broker = ShuttingDown::start(|broker| {
-        let resting = client.insert(Client::connect(broker));
-        assert!(is_served(resting, "c1"));
+        let idle = client.insert(Client::connect(broker));
+        assert!(is_served(idle, "c1"));
     });
     let mut client = client.unwrap();
     broker.wait_until(0.55);
@@ -88,7 +101,7 @@
     broker.assert_exits_in_time(client);
 }
 
-/// On a connection from before the stall, and on one that was not accepted yet.
+/// The requests arrive on a connection from before the stall, and on one that is accepted only after it.
 #[rstest]
 fn requests_received_during_stall_are_answered(#[values(false, true)] accepted: bool) {
     let mut client = None;
@@ -133,7 +146,7 @@
         .for_each(|(i, c)| c.send(&query_request("find", &format!("h{i}"), &[1], "1.5")));
     nodes[0].wait_for_frames('A', 1);
     broker.signal("TERM");
-    let broker = ShuttingDown { at: Instant::now(), broker, _list: list, nodes };
+    let broker = ShuttingDown { signalled_at: Instant::now(), broker, _list: list, nodes };
     broker.wait_until(0.3);
     let mut client = Client::connect(&broker.broker);
     client.send(&query_request("find", "c1", &[1], "1.5"));
@@ -145,7 +158,7 @@
     broker.assert_exits_in_time(client);
 }
 
-/// Its deadline is after the exit.
+/// The request's deadline is after the exit.
 #[test]
 fn late_request_answered_before_kill() {
     let broker = ShuttingDown::start(|_| {});
--- a/crates/dunepond-broker/tests/time_left.rs
+++ b/crates/dunepond-broker/tests/time_left.rs
@@ -1,5 +1,5 @@
-//! A request's time budget counts from its arrival. Guards against attempts after the client's time, for requests that waited
-//! behind another request, during a stall of the process or in the backlog.
+//! A request's time budget counts from its arrival. Guards against attempts that may run for longer than the client waits, after the
+//! request waited behind another request, during a stall of the process or in the backlog.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -9,23 +9,23 @@
 };
 use rstest::rstest;
 
-/// The time limit in an attempt's frame may exceed the client's remaining time by so much.
+/// How much the time limit in an attempt's frame may exceed the client's remaining time, in milliseconds.
 const SLACK_MS: f64 = 150.0;
-/// Delays of the stand-ins themselves on a busy machine.
+/// Tolerance for delays of the stand-ins themselves on a busy machine, in milliseconds.
 const STAND_INS_MS: f64 = 50.0;
 
-/// When a node got this part, and the time limit in its frame, in ms.
+/// Returns when a node received the part with this prefix of its id, and the time limit in its frame in milliseconds.
 fn time_limit(nodes: &[Node], id: &str) -> Option<(Instant, f64)> {
-    let of = |node: &Node| {
+    let at_node = |node: &Node| {
         let at = node.part_arrivals().into_iter().find(|(_, part)| part.starts_with(id))?.0;
         let frame = node.frames('A').into_iter().find(|frame| frame.starts_with(id))?;
         let wait = frame.split([' ', '\n']).find_map(|word| word.strip_prefix("d=")?.parse().ok())?;
         Some((at, wait))
     };
-    nodes.iter().find_map(of)
+    nodes.iter().find_map(at_node)
 }
 
-/// Asserts that the time limit in the part's frame is not above the remaining budget of its client.
+/// Asserts that the time limit in the part's frame, if it was sent, does not exceed its client's remaining time budget.
 fn assert_within(nodes: &[Node], id: &str, sent: Instant, budget_ms: f64) {
     if let Some((at, wait)) = time_limit(nodes, id) {
         let left = budget_ms - 1000.0 * at.duration_since(sent).as_secs_f64();
@@ -33,7 +33,7 @@
     }
 }
 
-/// Both requests are sent at once; the first one's node does not answer until its time is up.
+/// Two requests are sent at once; no node answers the first one until its time budget is spent.
 #[test]
 fn pipelined_request_has_its_remaining_time() {
     let nodes = [Node::start("s-0"), Node::start("s-1")];
@@ -51,7 +51,7 @@
     assert_within(&nodes, "c2.", sent, 1000.0);
 }
 
-/// It arrives while the process is stopped, on an accepted connection or on one in the backlog.
+/// A request arrives while the process is stopped, on an accepted connection or on one in the backlog.
 #[rstest]
 fn request_during_a_stall_has_its_remaining_time(#[values(true, false)] accepted: bool) {
     let nodes = [Node::start("s-0")];
@@ -70,7 +70,7 @@
     assert_within(&nodes, "c2.", sent, 1000.0);
 }
 
-/// It waits in the backlog, as no connection is accepted before the first list or the timeout for that.
+/// A request waits in the backlog, as no connection is accepted before the first endpoint list or the timeout for it.
 #[test]
 fn request_before_the_first_list_has_its_remaining_time() {
     let nodes = [Node::start("s-0")];
