--- a/crates/dunepond-rebalance/src/error.rs
+++ b/crates/dunepond-rebalance/src/error.rs
@@ -253,14 +253,15 @@
         /// Number of the proposed version.
         open: u64,
     },
-    /// The entry that starts a step is late or repeated: it is for another turn, or the turn's step has started.
+    /// The entry that starts a step is late or repeated: it names another turn than the plan's current one, or the step
+    /// of this turn has already started. A turn is one started attempt at a step; turns are numbered per plan.
     #[error("the entry is late or repeated: it is for turn {given}, plan `{id}` is at turn {current}")]
     StaleTurn {
         /// Id of the plan.
         id: String,
-        /// Turn that the entry names.
+        /// Number of the turn (one started attempt at a step) that the entry names.
         given: u64,
-        /// Current turn of the plan.
+        /// Number of the plan's current turn; a turn is one started attempt at a step.
         current: u64,
     },
     /// The plan is paused: no step can start, and a further pause that changes nothing is refused.
@@ -298,7 +299,7 @@
     StepPending {
         /// Id of the plan.
         id: String,
-        /// Current turn of the plan.
+        /// Number of the plan's current turn; a turn is one started attempt at a step.
         turn: u64,
         /// Number of the started step's version.
         number: u64,
--- a/crates/dunepond-rebalance/src/layout/mod.rs
+++ b/crates/dunepond-rebalance/src/layout/mod.rs
@@ -41,7 +41,7 @@
 struct Change {
     /// Segments that replace those that the action names.
     added: Vec<Segment>,
-    /// New pending flag, if the action sets one.
+    /// Whether the segment now waits for the switch to a filled replica, if the action sets this.
     pending: Option<PendingFlag>,
 }
 
@@ -50,7 +50,8 @@
         Self { added, pending: None }
     }
 
-    /// A change of one segment that starts a fill (`is_pending`), or ends the wait for the filled replica's switch.
+    /// A change of one segment. `is_pending` is true for a fill, after which the segment waits for the switch to the
+    /// filled replica, and false for an action that ends this wait: the switch or the replica's removal.
     fn with_pending(segment: Segment, is_pending: bool) -> Self {
         let pending = Some(PendingFlag { segment: segment.id, is_pending });
         Self { added: vec![segment], pending }
@@ -61,7 +62,8 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Layout {
     segments: BTreeMap<u64, Arc<Segment>>,
-    /// Ids of segments with a replica that the plan has filled and that has not been switched to yet.
+    /// Ids of segments with a replica that the plan has filled, but that has neither replaced an old replica by a
+    /// switch nor been removed yet.
     pending: BTreeSet<u64>,
 }
 
@@ -172,7 +174,7 @@
         AppliedChange { removed, added, previous_pending }
     }
 
-    /// Sets the segment's pending flag and returns its previous value.
+    /// Sets whether the segment waits for the switch to a filled replica, and returns the previous value.
     fn set_pending(&mut self, flag: PendingFlag) -> PendingFlag {
         let was_pending = if flag.is_pending {
             !self.pending.insert(flag.segment)
--- a/crates/dunepond-rebalance/src/load.rs
+++ b/crates/dunepond-rebalance/src/load.rs
@@ -121,7 +121,8 @@
         Self { node: self.node.clone(), before: self.after, after: self.before }
     }
 
-    /// Load that the action adds to the node, for each unit; 0 where it adds nothing or frees some.
+    /// Load that the action adds to the node, in bytes and in segments; each is 0 if the action adds none or frees
+    /// some.
     pub fn increase(&self) -> Load {
         Load {
             bytes: self.after.bytes.saturating_sub(self.before.bytes),
--- a/crates/dunepond-rebalance/src/progress/apply.rs
+++ b/crates/dunepond-rebalance/src/progress/apply.rs
@@ -65,7 +65,7 @@
     }
 
     /// Records that a version was activated or withdrawn. If the version belongs to the started step, this ends the
-    /// step's turn.
+    /// plan's current turn, which is one started attempt at a step.
     pub fn on_version_ended(&mut self, number: u64, end: VersionEnd<'_>) {
         self.abandoned.retain(|step| step.number > number);
         let Some(running) = &mut self.running else { return };
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Counts a failed attempt, and pauses the plan after [`MAX_STEP_ATTEMPTS`].
+    /// Counts a failed attempt at the step whose version was withdrawn, and pauses the plan after [`MAX_STEP_ATTEMPTS`]
+    /// of them.
     fn on_step_withdrawn(&mut self, reason: &str) {
         // Not a failure of the step if fills were held back by a pause, or if the plan's withdrawal withdrew the
         // version.
--- a/crates/dunepond-rebalance/src/progress/running.rs
+++ b/crates/dunepond-rebalance/src/progress/running.rs
@@ -17,7 +17,7 @@
     pub digest: String,
 }
 
-/// An operator's request to undo a plan. Serialized as a pair.
+/// An operator's request to undo a plan. Serialized as a pair of the operator's name and the reason.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, String)", into = "(String, String)")]
 pub struct Withdrawal {
--- a/crates/dunepond-rebalance/tests/model.rs
+++ b/crates/dunepond-rebalance/tests/model.rs
@@ -243,7 +243,8 @@
         Ok(())
     }
 
-    /// Number of segments that node `a` has in the active map or in the open version's map.
+    /// Number of segments that node `a` has in the active map or in the map of the open version, which is proposed and
+    /// neither active nor withdrawn yet.
     fn segments_at_a(state: &ModelState) -> usize {
         let first_keys_at_a = |map: &VerifiedMap| -> BTreeSet<u64> {
             let segments =
--- a/crates/dunepond-settlement/src/balances.rs
+++ b/crates/dunepond-settlement/src/balances.rs
@@ -15,7 +15,8 @@
 /// Limits on debts and fills that the partners have agreed on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SettlementTerms {
-    /// Tolerated difference between the carrier's count and the debtor's, as a ratio of the count that is used.
+    /// Tolerated difference between the carrier's count and the debtor's, as a ratio of the count that the debt is based
+    /// on: the debtor's, or the smaller of the two if the carrier is in [`BrokerPartners::metered`].
     #[serde(rename = "tolerance")]
     pub tolerance_ratio: f64,
     /// Bytes by which the two counts may differ in addition to `tolerance_ratio`.
@@ -157,7 +158,8 @@
     updated_at: f64,
     /// Decayed sum of the bytes at `updated_at`.
     weight: f64,
-    /// Sum of the bytes without decay.
+    /// Total bytes of the pair at `updated_at`, without decay. The next update adds only the bytes above this total to
+    /// `weight`.
     known_bytes: u64,
 }
 
--- a/crates/dunepond-settlement/src/counts.rs
+++ b/crates/dunepond-settlement/src/counts.rs
@@ -37,7 +37,7 @@
     bytes_by_debtor.apply(crdts::Dot::new(debtor.to_string(), sum));
 }
 
-/// Whether a cell of `carried` is greater than the same cell of `than`.
+/// Whether `carried` has more bytes than `than` for at least one pair of carrier and debtor. A missing pair counts as 0.
 fn has_higher_cell(carried: &CarriedBytes, than: &CarriedBytes) -> bool {
     carried.iter().any(|(carrier, bytes_by_debtor)| {
         let known = |debtor: &String| than.get(carrier).map_or(0, |clock| clock.get(debtor));
--- a/crates/dunepond-settlement/src/ledger.rs
+++ b/crates/dunepond-settlement/src/ledger.rs
@@ -25,8 +25,9 @@
 /// Allots shares of a debt to brokers in advance, in addition to the shares that they already have.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Allotment {
-    /// Next number of the pair, from [`SettlementLedger::next_number`]. An entry whose number was already used has no effect,
-    /// so duplicates are harmless.
+    /// Number of this entry in the sequence of allotments and releases for this debtor and creditor. Must be the next one,
+    /// from [`SettlementLedger::next_number`]. An entry whose number was already used has no effect, so duplicates are
+    /// harmless.
     pub number: u64,
     /// Partner that owes the debt.
     pub debtor: String,
@@ -65,7 +66,8 @@
 /// because no other broker knows what it promised while it was partitioned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShareRelease {
-    /// Next number of the pair, as in [`Allotment::number`].
+    /// Number of this entry in the sequence of allotments and releases for this debtor and creditor, as in
+    /// [`Allotment::number`].
     pub number: u64,
     /// Partner that owes the debt.
     pub debtor: String,
@@ -83,7 +85,8 @@
 pub enum ApplyOutcome {
     /// The entry was applied for the first time.
     New,
-    /// The entry changed nothing: it was applied before, or the pair's number that it has was already used.
+    /// The entry changed nothing: it was applied before, or it is an allotment or release whose number was already used for
+    /// this debtor and creditor.
     Duplicate,
 }
 
@@ -111,7 +114,7 @@
     next_number: u64,
     /// Largest debt that an [`Allotment`] has stated.
     debt: u64,
-    /// Bytes that were settled, whether before or after the debt was split.
+    /// Bytes that were settled, whether before or after the debt was split into shares of brokers.
     settled: u64,
     /// Shares of the debt, by name of the broker.
     shares: BTreeMap<String, DebtShare>,
@@ -138,7 +141,8 @@
 }
 
 impl PairAccount {
-    /// All shares, plus the bytes settled before the debt was split. Once the debt is split, the sum stays within `debt`.
+    /// All shares, plus the bytes settled before the debt was split into shares of brokers. Once it is split, the sum stays
+    /// within `debt`.
     fn allotted(&self) -> u64 {
         let spent: u64 = self.shares.values().map(|share| share.spent).sum();
         let allotted: u64 = self.shares.values().map(|share| share.allotted).sum();
--- a/crates/dunepond-settlement/src/planner/mod.rs
+++ b/crates/dunepond-settlement/src/planner/mod.rs
@@ -89,7 +89,8 @@
         self.running.values()
     }
 
-    /// Returns the bytes of fills from `partner` to other partners that were planned in the window that ends at `now`.
+    /// Returns the total bytes of the fills from `partner` to other partners that were planned in the `window_seconds`
+    /// before `now`. A fill counts in full from when it is planned, even if it is still running or has failed.
     pub fn carried_bytes(&self, partner: &str, window_seconds: f64, now: f64) -> u64 {
         let is_carried = |fill: &&RecentFill| {
             fill.planned_at > now - window_seconds && fill.from == partner && fill.from != fill.to
--- a/crates/dunepond-settlement/src/planner/service_order.rs
+++ b/crates/dunepond-settlement/src/planner/service_order.rs
@@ -72,7 +72,9 @@
         }
     }
 
-    /// Reserves all sources of a demand if its partner has waited too long and other fills could delay it forever.
+    /// Reserves all sources of a demand if its partner has waited too long and other fills could delay it forever. For the
+    /// rest of the round, the partner of a reserved source starts no fill to another partner, and gets none from the waiting
+    /// partner.
     pub(super) fn reserve(&self, demand: &FillDemand, reason: WaitReason, round: &mut Round) {
         let may_wait_forever = matches!(reason, WaitReason::CarryLimit | WaitReason::DebtSpeed);
         if may_wait_forever && self.is_starved(&demand.partner, round) {
--- a/crates/dunepond-settlement/src/planner/source.rs
+++ b/crates/dunepond-settlement/src/planner/source.rs
@@ -92,7 +92,7 @@
         fill
     }
 
-    /// Bytes of a debt that this broker may still settle; unlimited if the debt is not split.
+    /// Bytes of a debt that this broker may still settle; unlimited if the debt is not split into shares of brokers.
     fn available_share(&self, debtor: &str, creditor: &str, round: &Round) -> u64 {
         let ledger = round.balances.ledger();
         if !ledger.is_split(debtor, creditor) {
@@ -106,7 +106,8 @@
         let chosen = round.chosen.iter().filter_map(|fill| fill.settles.as_ref());
         let chosen_bytes: u64 = chosen.filter(is_open_payment).map(|settlement| settlement.bytes).sum();
         match round.shares {
-            // The promises already include running and unsettled fills.
+            // The settlements of running and unsettled fills are among the promises, which `remaining` has already
+            // subtracted.
             Some(shares) => shares.remaining(ledger, debtor, creditor).saturating_sub(chosen_bytes),
             None => {
                 let running = self.running.values().filter_map(|fill| fill.settles.as_ref());
--- a/crates/dunepond-settlement/src/replication.rs
+++ b/crates/dunepond-settlement/src/replication.rs
@@ -11,11 +11,12 @@
 
 use crate::counts::{CarriedCounts, RowProgress};
 
-/// Number of messages after which one contains all rows, whatever the peer has acknowledged. This repairs any error in the
-/// positions.
+/// The process counts its messages to all peers together. Every message whose number is a multiple of this contains all
+/// rows, whatever its receiver has acknowledged. This repairs any error in the remembered positions, which say how far each
+/// peer has received the rows.
 const MESSAGES_PER_FULL_SYNC: u64 = 600;
-/// Maximum number of peers whose positions are remembered. If it is exceeded, all positions are dropped, and all rows are sent
-/// again.
+/// Maximum number of peers for which it is remembered how far they have received the rows. If it is exceeded, this is
+/// forgotten for all peers, and all rows are sent again.
 const MAX_PEERS: usize = 10_000;
 
 /// A revision of the rows of one process. Each process has its own id.
--- a/crates/dunepond-settlement/tests/counts.rs
+++ b/crates/dunepond-settlement/tests/counts.rs
@@ -107,7 +107,8 @@
     let bytes = postcard::to_stdvec(&local).unwrap();
     assert!(bytes.len() < 100, "{} bytes are stored", bytes.len());
     assert_eq!(postcard::from_bytes::<LocalCounts>(&bytes).unwrap(), local);
-    // Bytes recorded under a folded incarnation would be lost in the next merge, so they are ignored from the start.
+    // Incarnation 999 is already folded into the sum. A merge drops separate counts of folded incarnations, so bytes
+    // recorded under one would be lost in the next merge and are ignored from the start.
     let mut late = local.counts().clone();
     late.record("n1", 999, "north", "south", 5);
     assert_eq!(&late, local.counts());
@@ -168,7 +169,7 @@
     let mut counts = CarriedCounts::new();
     assert_eq!(counts.merge_from("e1", &forged, &broker_partners(&["east"])), Ok(1));
     assert_eq!(counts.total("east", "north"), 1005);
-    // A broker of the same partner may send the row of n1, but not the row of e1.
+    // Brokers n1 and n2 belong to partner north, e1 to east: n2 may send the row of n1, but not the row of e1.
     assert_eq!(counts.merge_from("n2", &forged, &broker_partners(&[])), Ok(1));
     assert_eq!(counts.total("east", "north"), 2005);
 }
