--- a/crates/dunepond-quota/src/demand.rs
+++ b/crates/dunepond-quota/src/demand.rs
@@ -1,5 +1,5 @@
-//! Estimates a broker's demand for a quota from its use and its rejections, and the report that sends the estimate to
-//! the leader.
+//! Estimates a broker's demand for a quota from its use and its rejections. Also defines the report that sends the
+//! estimate to the leader.
 
 use std::collections::BTreeMap;
 
@@ -16,14 +16,14 @@
 /// One broker's smoothed demand for one quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Demand as a ratio of the quota's total; `None` before the first sample.
+    /// Demand as a fraction of the quota's total; `None` before the first sample.
     smoothed_ratio: Option<f64>,
 }
 
 impl Demand {
     /// Adds a sample. `used` is the use since the last sample, `rejected` the demand that was rejected beyond it, and
-    /// `available` the share that this broker holds, all as ratios of the quota's total. `available` limits what the broker
-    /// can use, whatever its demand.
+    /// `available` the share that this broker holds, all as fractions of the quota's total. `available` limits what the
+    /// broker can use, whatever its demand.
     pub fn record_sample(&mut self, used: f64, rejected: f64, available: f64) {
         let (used, available) = (non_negative(used), non_negative(available));
         let sample = used + non_negative(rejected).min(MAX_REJECTED_RATIO * used.max(available));
--- a/crates/dunepond-quota/src/entry.rs
+++ b/crates/dunepond-quota/src/entry.rs
@@ -29,8 +29,9 @@
         #[serde(rename = "parts")]
         shares: Vec<QuotaShare>,
     },
-    /// Releases the units that are reserved for a broker beyond its granted units. The leader proposes this when, by its
-    /// clock, the broker has certainly stopped using what it held before the shrink.
+    /// Releases the units that are reserved for a broker beyond its granted units: when a share shrinks, its old size stays
+    /// reserved until this entry. The leader proposes the entry when, by its clock, the broker has certainly stopped using
+    /// what it held before the shrink.
     #[serde(rename = "Settled")]
     Release {
         /// Name of the broker whose share shrank.
--- a/crates/dunepond-quota/src/planner.rs
+++ b/crates/dunepond-quota/src/planner.rs
@@ -23,7 +23,7 @@
     pub rule: SplitRule,
     /// Multiple of the reported demand that the planner plans for, since demand may grow until the next plan.
     pub headroom_ratio: f64,
-    /// Smallest shortage or surplus that the planner acts on, as a ratio of an even share of the spare units.
+    /// Smallest shortage or surplus that the planner acts on, as a fraction of an even share of the spare units.
     pub min_step_ratio: f64,
     /// Time in seconds without a report after which a broker counts as having no demand. A leader that has led for less than
     /// this time does not yet know which brokers exist, and plans nothing.
@@ -240,8 +240,8 @@
         (f64::from(even) * self.config.min_step_ratio) as u32
     }
 
-    /// Whether the broker's reported demand exceeds what it holds and its target allows more. Lack of headroom alone is no
-    /// shortage.
+    /// Whether the broker's reported demand exceeds what it holds and its target allows more. A broker whose
+    /// share covers its demand, but not the headroom planned on top of it, is not short.
     fn is_short(&self, candidate: &Candidate, quota: &str, min_step: u32) -> bool {
         let granted = candidate.shares.granted_units(quota);
         candidate.demand > self.shared.floor_units + granted && candidate.target > granted + min_step
--- a/crates/dunepond-quota/tests/ledger.rs
+++ b/crates/dunepond-quota/tests/ledger.rs
@@ -163,7 +163,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Sets a broker's share of `cold` (true) or of `further` (false) to a number of units.
+    /// Sets a broker's share of a quota to a number of units. If the flag is true, the quota is `cold`, otherwise `further`.
     SetShare(usize, bool, u32),
     /// Releases the generation that is this many before the broker's last shrink; only 0 may be accepted.
     Release(usize, u64),
--- a/crates/dunepond-quota/tests/model.rs
+++ b/crates/dunepond-quota/tests/model.rs
@@ -22,24 +22,26 @@
 /// Units in a tenth of the total.
 const TENTH: u32 = TOTAL_UNITS / 10;
 
-/// The rules that are weakened, each of which the checker must detect, and the bounds of the search.
+/// The model's settings: flags that each add a deliberate bug, which the checker must detect, and the bounds of the search.
 #[derive(Clone, Copy, Debug)]
 struct Rules {
-    /// The old size of a share that shrank is released at once.
+    /// If set (a deliberate bug): when a share shrinks, its old size is released at once.
     grow_before_release: bool,
-    /// A lease starts when the reply arrives, instead of when the request was sent.
+    /// If set (a deliberate bug): a lease starts when the reply arrives, instead of when the request was sent.
     lease_from_receipt: bool,
-    /// A run uses its share right after its start, while the previous run's use still counts in the window.
+    /// If set (a deliberate bug): a run (one lifetime of a broker's process) uses its share right after its start, while the
+    /// previous run's use still counts in the window.
     no_wait_after_start: bool,
-    /// A broker acts on a lease that it checked before a pause, without checking the clock again.
+    /// If set (a deliberate bug): a broker acts on a lease that it checked before a pause, without checking the clock again.
     no_clock_check: bool,
-    /// A new leader assumes at once that it knows of all leases.
+    /// If set (a deliberate bug): a new leader assumes at once that it knows of all leases.
     early_release: bool,
-    /// The release does not wait until use from before the shrink has left the window.
+    /// If set (a deliberate bug): the release does not wait until use from before the shrink has left the window.
     no_window: bool,
-    /// The leader ignores that its clock runs faster.
+    /// If set (a deliberate bug): the leader ignores that its clock runs faster than the brokers' clocks.
     no_drift: bool,
-    /// A broker without a valid lease goes on using its last share, which may no longer be reserved.
+    /// If set (a deliberate bug): a broker without a valid lease goes on using its last share, which may no longer be
+    /// reserved.
     keeps_share: bool,
     /// Time on the brokers' clocks up to which states are visited.
     max_time: u8,
@@ -65,25 +67,28 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Broker {
-    /// Number of this run; 0 before the first crash.
+    /// Number of the broker's current run (lifetime of its process); 0 before the first crash.
     run: u8,
     started_at: u8,
-    /// End of its last lease; 0 without a lease in this run.
+    /// End of the broker's last lease; 0 without a lease in its current run.
     lease_until: u8,
-    /// The last allocation received in this run.
+    /// The last allocation that the broker received in its current run.
     allocation: Option<AllocationReply>,
-    /// Tenths used by this run at each moment of the last window, oldest first.
+    /// Amounts used by the broker's current run at each moment of the last window, oldest first, in tenths of the quota's
+    /// total.
     used: [u8; WINDOW as usize],
-    /// Tenths used by all runs at each moment of the last window, oldest first.
+    /// Amounts used by all the broker's runs at each moment of the last window, oldest first, in tenths of the quota's
+    /// total.
     used_by_all: [u8; WINDOW as usize],
-    /// The lease request in flight, which a later one replaces: the run, the time when it was sent, and the acknowledged
-    /// shrink generation.
+    /// The lease request in flight, which a later one replaces: the number of the run that sent it, the time when it was
+    /// sent, and the acknowledged shrink generation.
     request: Option<(u8, u8, u8)>,
-    /// The reply in flight, which a later one replaces: the run, the time of the request, and the allocation.
+    /// The reply in flight, which a later one replaces: the number of the run that sent the request, the time when the
+    /// request was sent, and the allocation.
     reply: Option<(u8, u8, AllocationReply)>,
-    /// Tenths that the ledger grants the broker beyond its floor.
+    /// Amount that the ledger grants the broker beyond its floor, in tenths of the quota's total.
     granted: u8,
-    /// Tenths that the ledger reserves for the broker beyond its floor.
+    /// Amount that the ledger reserves for the broker beyond its floor, in tenths of the quota's total.
     reserved: u8,
     /// Generation of the broker's last shrink in the ledger.
     shrunk_generation: u8,
@@ -99,7 +104,7 @@
 struct AllocationReply {
     generation: u8,
     shrunk_generation: u8,
-    /// Tenths beyond the floor.
+    /// Granted amount beyond the floor, in tenths of the quota's total.
     tenths: u8,
 }
 
@@ -200,12 +205,12 @@
         Some(())
     }
 
-    /// Tenths that may be granted now.
+    /// Amount that may be granted now, in tenths of the quota's total.
     fn free(&self) -> u8 {
         SPARE.saturating_sub(self.brokers.iter().map(|broker| broker.reserved).sum())
     }
 
-    /// Tenths that a broker may use now, as computed by the crate.
+    /// Amount that a broker may use now, as computed by the crate, in tenths of the quota's total.
     fn available(&self, rules: &Rules, broker: usize) -> u8 {
         let b = &self.brokers[broker];
         let mut own = LocalQuota::new(&shared_quotas(), f64::from(b.started_at));
@@ -245,7 +250,7 @@
         reusable_from(f64::from(b.shrink_seen_at), term_began, runs, Self::delays(rules))
     }
 
-    /// Tenths used by all runs of all brokers over the last window.
+    /// Amount used by all runs of all brokers over the last window, in tenths of the quota's total.
     fn used(&self) -> u8 {
         self.brokers.iter().flat_map(|broker| broker.used_by_all).sum()
     }
--- a/crates/dunepond-quota/tests/plan.rs
+++ b/crates/dunepond-quota/tests/plan.rs
@@ -55,7 +55,7 @@
     panic!("the planner still proposes entries after 200 plans: {ledger:?}");
 }
 
-/// Units of `cold` that a broker of four may use: its floor and its granted units.
+/// Units of `cold` that a broker may use if four brokers share the quota: its floor and its granted units.
 fn held_units(ledger: &QuotaLedger, broker: usize) -> u32 {
     62_500 + ledger.brokers[&format!("n{broker}")].granted_units("cold")
 }
@@ -121,7 +121,7 @@
     received.get_mut("n2").unwrap().report.shared = shared_quotas(5);
     plan_until_stable(&mut ledger, &received, 4, &CONFIG);
     assert_eq!(ledger.reserved_units("cold"), 0);
-    // Once the leader's own file has the new quotas and all reports agree, they are configured.
+    // The ledger gets the new quotas once they are in the leader's own configuration file and in all brokers' reports.
     received.values_mut().for_each(|report| report.report.shared = shared_quotas(5));
     plan_until_stable(&mut ledger, &received, 5, &CONFIG);
     assert_eq!(ledger.shared, Some(shared_quotas(5)));
@@ -143,7 +143,8 @@
     demand.record_sample(0.1, 0.0, 0.25);
     demand.record_sample(0.9, 0.0, 0.25);
     assert!((0.3..0.5).contains(&(f64::from(demand.units()) / 1e6)));
-    // Rejected demand counts only up to the available share, since rejected requests are retried and rejected again.
+    // Rejected demand counts only up to the available share. Without this limit, a request that is retried and rejected
+    // again would count many times.
     let mut overloaded = Demand::default();
     overloaded.record_sample(0.25, 40.0, 0.25);
     assert_eq!(overloaded.units(), 500_000);
--- a/crates/dunepond-quota/tests/service.rs
+++ b/crates/dunepond-quota/tests/service.rs
@@ -22,7 +22,8 @@
 const QUOTA: &str = "cold";
 const FLOOR_RATIO: f64 = 0.25;
 
-/// A simulated broker. Amounts of work are in totals of the quota, times in simulated seconds.
+/// A simulated broker. An amount of 1.0 is the work that the whole quota allows in one second; times are in simulated
+/// seconds.
 #[derive(Clone, Default)]
 struct Broker {
     allocation: Option<Allocation>,
@@ -39,7 +40,8 @@
     sampled_at: f64,
 }
 
-/// Simulated brokers and their leader, which share one clock. Amounts of work are in totals of the quota.
+/// Simulated brokers and their leader, which share one clock. An amount of 1.0 is the work that the whole quota allows in
+/// one second.
 struct SimulatedFleet {
     now: f64,
     /// Configuration of the planner; `None` for fixed even shares.
@@ -58,7 +60,7 @@
     set_count: usize,
     offered: f64,
     served: f64,
-    /// Largest use by all brokers over one window, as a ratio of the quota.
+    /// Largest use by all brokers over one window, as a fraction of the quota.
     max_used: f64,
     rng: Pcg64Mcg,
 }
@@ -96,7 +98,7 @@
         }
     }
 
-    /// The ratio of the quota that a broker may use now.
+    /// The fraction of the quota that a broker may use now.
     fn share(&self, broker: usize) -> f64 {
         if self.planner.is_none() {
             return 1.0 / self.brokers.len() as f64;
@@ -106,7 +108,8 @@
         f64::from(units) / f64::from(TOTAL_UNITS)
     }
 
-    /// Advances by one step. `rates` lists the work offered to each broker, in totals of the quota per second.
+    /// Advances by one step. `rates` lists the rate of work offered to each broker, where 1.0 is the whole
+    /// quota.
     fn step(&mut self, rates: &[f64]) {
         self.now += STEP_SECONDS;
         let now = self.now;
--- a/crates/dunepond-shard-map/src/digest.rs
+++ b/crates/dunepond-shard-map/src/digest.rs
@@ -4,8 +4,10 @@
 //! order of the segments, and a change of k segments costs k subtractions and k additions of hashes.
 //!
 //! The digest detects accidental differences: two different maps have the same digest only if two sums of independent,
-//! uniform 256-bit numbers collide, and no two segments of a map can cancel out, since their ids and so their hashed forms
-//! differ. It is not collision-resistant against an attacker who constructs two maps with the same digest, since sums are
+//! uniform 256-bit numbers collide. The hashes of two segments of a map cannot cancel each other out in the sum, since the
+//! segments' ids and so their hashed forms differ.
+//!
+//! The digest is not collision-resistant against an attacker who constructs two maps with the same digest, since sums are
 //! open to a generalized birthday attack with many segments. An attacker would gain nothing, because every broker verifies
 //! a map for itself.
 
--- a/crates/dunepond-shard-map/src/fault.rs
+++ b/crates/dunepond-shard-map/src/fault.rs
@@ -72,7 +72,7 @@
     /// The map names an unknown hash function.
     #[error("the map's hash function `{hash}` is unknown; expected `{expected}`")]
     UnknownHash { hash: String, expected: String },
-    /// The digest that the map states is not that of its content.
+    /// The digest stored in the map is not the digest of the map's content.
     #[error("the map states the digest `{stated}`, but the digest of its content is `{actual}`")]
     #[serde(rename = "Digest")]
     DigestMismatch {
@@ -141,7 +141,7 @@
         #[serde(rename = "spot")]
         context: Box<SegmentContext>,
     },
-    /// A replica states a partner other than that of its node.
+    /// The map names a replica's partner (the organisation that owns its node) differently from the list of nodes.
     #[error("replica `{node}` states partner `{stated}`, but its node has partner `{actual}`: {context}")]
     WrongPartner {
         node: String,
@@ -222,7 +222,8 @@
         #[serde(rename = "from")]
         in_force: String,
     },
-    /// No node that has data for the keys under the map in force is a filled replica under the new map.
+    /// None of the nodes that have the data of the keys under the old map, the one in force, is a filled replica of the keys
+    /// under the new map.
     #[error(
         "the keys {keys} lose their last filled replica: no filled replica of the old {old} is a filled replica of the new {new}"
     )]
@@ -249,7 +250,8 @@
         epoch: u64,
         expected: u64,
     },
-    /// A part states a segment that the map does not have, or keys that the segment does not have.
+    /// A part (the share of a query for one segment) names a segment that the map does not have, or keys that the segment
+    /// does not have.
     #[error("the part states {part}, but the map has {} for this id", display_or(keys, "no segment"))]
     PartOutside {
         #[serde(rename = "at")]
--- a/crates/dunepond-shard-map/src/model.rs
+++ b/crates/dunepond-shard-map/src/model.rs
@@ -14,14 +14,14 @@
     pub partner: String,
     /// Whether the replica's data is complete; false if it has to be filled first.
     pub filled: bool,
-    /// Ratio of the segment's reads that the replica serves; the shares of a segment's replicas add up to 1.
+    /// Fraction of the segment's reads that the replica serves; the shares of a segment's replicas add up to 1.
     pub share: f64,
 }
 
-/// A shard: a range of keys with its replicas.
+/// A segment, also called a shard: a range of keys with its replicas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
-    /// The shard's number in queries; client interfaces call it `bucket`.
+    /// Number of the segment, by which queries name it; client interfaces call this number `bucket`.
     pub id: u64,
     /// Keys of the segment.
     pub keys: KeyRange,
--- a/crates/dunepond-shard-map/src/transition.rs
+++ b/crates/dunepond-shard-map/src/transition.rs
@@ -52,7 +52,8 @@
             _ => diff.differing.push(*key),
         }
     }
-    // Recorded fills of a segment still count if the segment did not change.
+    // A fill (copy of a segment's data to a new replica) that is recorded in the old map counts in the new map too if the
+    // segment is identical in both.
     let filled = from.filled_since.iter().map(|(id, node)| (*id, node.as_str()));
     let still_filled = filled.filter(|(id, _)| from.segment(*id) == to.segment(*id));
     let to = to.with_filled(still_filled);
@@ -69,7 +70,8 @@
     if to.epoch <= from.epoch {
         faults.push(MapFault::EpochNotAbove { from: from.epoch, to: to.epoch });
     }
-    // Unchanged segments need a check only if they have unfilled replicas.
+    // The segments to check, by first key, and whether each is unchanged. An unchanged segment needs a check only if it has
+    // an unfilled replica, so these are entered first, with `true`; the differing segments then get `false`.
     let mut unchanged_by_key: BTreeMap<u64, bool> = to.unfilled.iter().map(|key| (*key, true)).collect();
     unchanged_by_key.extend(diff.differing.iter().map(|key| (*key, false)));
     let mut required_fills = Vec::new();
@@ -119,7 +121,7 @@
     let mut replicas: Vec<_> = new.replicas.iter().collect();
     replicas.sort_by_key(|replica| &replica.node);
     for replica in replicas {
-        // A replica that a changed segment states as unfilled is filled again, even if its node has some of the data.
+        // A replica that is marked unfilled in a changed segment is filled again, even if its node has some of the data.
         let refill = !replica.filled && !unchanged;
         let is_missing = |old: &&Segment| refill || !from.is_filled(old, &replica.node);
         let missing: Vec<&Segment> = old_segments.iter().copied().filter(is_missing).collect();
@@ -153,7 +155,7 @@
         &self.from
     }
 
-    /// Returns the new map, in which recorded fills of unchanged segments still count.
+    /// Returns the new map. Fills that are recorded in the old map count in it too if their segment is identical in both.
     pub fn to(&self) -> &VerifiedMap {
         &self.to
     }
--- a/crates/dunepond-shard-map/src/verify.rs
+++ b/crates/dunepond-shard-map/src/verify.rs
@@ -8,8 +8,8 @@
 use crate::segment_rules::{SegmentRules, context};
 use crate::{KEY_SPACE_END, KeyRange, MapConstraints, Node, Segment, ShardMap, VerifiedMap};
 
-/// Verifies `map`, or returns all its faults. With an empty list of `nodes`, the replicas' names, zones, partners and drains are
-/// not checked.
+/// Verifies `map`, or returns all its faults. With an empty list of `nodes`, it is not checked
+/// whether the replicas' nodes exist, are in enough zones, have the named partners and are not draining (shutting down).
 pub fn verify(
     map: &ShardMap,
     nodes: &[Node],
--- a/crates/dunepond-shard-map/tests/maps.rs
+++ b/crates/dunepond-shard-map/tests/maps.rs
@@ -6,7 +6,8 @@
 use dunepond_shard_map::*;
 use rstest::rstest;
 
-/// A reference to a segment with the keys of these slots.
+/// A reference to segment `id` with the keys from slot `from` to just before slot `to`; the slots are 32 equal parts of
+/// the key space.
 fn at(id: u64, from: u32, to: u32) -> SegmentRef {
     SegmentRef { id, keys: keys(from, to) }
 }
--- a/crates/dunepond-shard-map/tests/properties.rs
+++ b/crates/dunepond-shard-map/tests/properties.rs
@@ -31,7 +31,7 @@
                 segment
             });
         let mut segments: Vec<_> = segments.collect();
-        // Moves boundaries between segments by up to one key from the slot's first key.
+        // Each boundary between two segments is the first key of a slot; it stays there or moves by one key up or down.
         for i in 1..segments.len() {
             let boundary = segments[i].keys.from.wrapping_add_signed(replica_choices[i].2);
             segments[i].keys.from = boundary;
@@ -379,7 +379,8 @@
         let verified_map = verified(&map);
         let queried: Vec<_> = queried.into_iter().map(|(from, to)| keys(from.min(to - 1), to)).collect();
         let mut parts = Vec::new();
-        // The parts of a correct answer, made for each range by itself; where ranges overlap, keys are covered twice.
+        // The parts of a correct answer: one for each queried range and each segment that overlaps it. Where queried ranges
+        // overlap, their common keys are covered twice.
         for range in &queried {
             for segment in verified_map.overlapping(*range) {
                 parts.push(AnsweredPart { segment: segment.id, keys: segment.keys.intersection(range).unwrap(), epoch: 1 });
--- a/crates/dunepond-shard-map/tests/transitions.rs
+++ b/crates/dunepond-shard-map/tests/transitions.rs
@@ -197,7 +197,8 @@
     assert!(matches!(&verify_delta(&from, &altered).unwrap_err()[..], [MapFault::DigestMismatch { .. }]));
 }
 
-/// Guards against comparing only the outer ends of the old and new ranges, which would accept each of these deltas.
+/// Guards against a check that compares only where the replaced keys and the new segments' keys begin and end as a whole.
+/// Such a check would accept each of these deltas.
 #[rstest]
 #[case::empty_range(vec![segment(9, 8, 8, &[0, 1])], |faults: &[MapFault]| matches!(faults, [MapFault::EmptyRange { .. }]))]
 #[case::empty_range_beside_another(vec![segment(0, 0, 8, &[1, 0]), segment(9, 8, 8, &[0, 1])],
