--- a/crates/dunepond-background/src/budget.rs
+++ b/crates/dunepond-background/src/budget.rs
@@ -4,7 +4,8 @@
 const MAX_ACCUMULATED_SECONDS: f64 = 0.5;
 /// Lower limit of a bucket's rate in [`TokenBucket::opens_at`], which avoids a division by 0 for a budget of 0.
 const MIN_RATE: f64 = 1e-9;
-/// Added to the time at which a bucket opens again: with rounding, its level could still be 0 at the exact time.
+/// Added to the computed time at which a bucket's level rises above 0, so that tokens may be taken again: with
+/// rounding, the level could still be 0 at the exact time.
 const OPENING_MARGIN_SECONDS: f64 = 1e-6;
 
 /// Resources that all background jobs together may use.
--- a/crates/dunepond-background/src/job.rs
+++ b/crates/dunepond-background/src/job.rs
@@ -7,11 +7,11 @@
 /// longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// For jobs that may run at any time.
+    /// Lowest priority, for jobs that need not run soon.
     Idle,
     /// For jobs that should run soon.
     Normal,
-    /// For jobs on which a guarantee depends.
+    /// Highest priority, for jobs without which a guarantee could not be kept.
     Urgent,
 }
 
--- a/crates/dunepond-background/src/lib.rs
+++ b/crates/dunepond-background/src/lib.rs
@@ -1,7 +1,7 @@
 //! Background jobs that run within a budget, so that they do not delay queries.
 //!
-//! [`Scheduler`] decides which job runs next; it has no threads and reads no clock. [`Pool`] runs jobs that may block
-//! on a few threads. Times are in seconds on the caller's clock; sizes are in bytes.
+//! [`Scheduler`] decides which job runs next; it has no threads and reads no clock. [`Pool`] has a few threads of
+//! its own, on which it runs jobs that may block. Times are in seconds on the caller's clock; sizes are in bytes.
 
 #![warn(missing_docs)]
 
--- a/crates/dunepond-background/src/scheduler.rs
+++ b/crates/dunepond-background/src/scheduler.rs
@@ -39,9 +39,9 @@
     rng: Pcg64Mcg,
     jobs: BTreeMap<JobId, Job>,
     last_id: JobId,
-    /// Seconds of the caller's thread time.
+    /// Budget for steps on the caller's thread; one token is one second of that thread's time.
     time: TokenBucket,
-    /// Bytes written to the disk.
+    /// Budget for writes to the disk; one token is one byte.
     bytes: TokenBucket,
     /// Number of blocking jobs that are running.
     blocking_jobs: usize,
@@ -125,7 +125,8 @@
         best.map(|(_, id)| id)
     }
 
-    /// Whether a job is due, not running, and within the budget.
+    /// Whether a job may start now: it is due, not running and within the budget. A [`JobKind::Step`] job may start
+    /// only if `caller_idle` is true, that is, if nothing else waits on the caller's thread.
     fn may_run(&self, job: &Job, now: f64, caller_idle: bool) -> bool {
         if job.running || job.due_at > now {
             return false;
--- a/crates/dunepond-background/tests/scheduler.rs
+++ b/crates/dunepond-background/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Tests of the scheduler and the pool: single cases, and properties over random steps.
+//! Tests of the scheduler and the pool: single cases, and properties over random sequences of calls.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -237,9 +237,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// In any order of steps: no more blocking jobs at once than allowed, no start too early or after the deadline, no
-    /// step job while the caller is busy, time and bytes within their budgets, no start of a job that has ended, and no
-    /// wakeup in the past while no job runs.
+    /// Whatever the order of calls to the scheduler: no more blocking jobs run at once than allowed. No job starts too
+    /// early, after its deadline or after it has ended, and no `JobKind::Step` job starts while the caller is busy.
+    /// Time and bytes stay within their budgets. If no job runs and an idle caller can start none, the next wakeup, if
+    /// any, lies in the future.
     #[test]
     fn limits_hold_for_any_steps(all in prop::collection::vec(steps(), 1..300)) {
         let mut scheduler = Scheduler::new(budget(), 3);
--- a/crates/dunepond-recovery/src/learned_state.rs
+++ b/crates/dunepond-recovery/src/learned_state.rs
@@ -53,9 +53,9 @@
 pub struct Confidence {
     /// Seconds since the snapshot was captured; `None` if they cannot be told from the clocks.
     pub elapsed_seconds: Option<f64>,
-    /// Ratio of the snapshot's nodes that the endpoint list names with the same process and address.
+    /// Share (0 to 1) of the snapshot's nodes that the endpoint list still names with the same process and address.
     pub unchanged_ratio: f64,
-    /// Ratio of the snapshot's samples that is used, from 0 to 1.
+    /// Share (0 to 1) of the snapshot's samples that is restored, taking the newest; at 0, nothing is restored.
     pub weight: f64,
 }
 
@@ -66,7 +66,8 @@
     Trusted {
         /// Number of the node's samples that are restored.
         sample_count: usize,
-        /// Whether the node starts out ejected, with its probation attempt due at once.
+        /// Whether the node starts out ejected. If so, its probation attempt, a trial request that tests whether the node
+        /// has recovered, may be sent at once.
         ejected: bool,
     },
     /// The weight of the snapshot is 0: it is too old or of unknown age, or too many of its nodes have changed.
@@ -90,7 +91,8 @@
     pub nodes: Vec<(String, TrustDecision)>,
 }
 
-/// Returns the newest elements of `all`, which is ordered oldest first: the ratio `weight` of them, rounded up.
+/// Returns the newest elements of `all`, which is ordered oldest first. `weight` is the share (0 to 1) of the elements to
+/// return; their number is rounded up.
 fn newest<T>(all: &[T], weight: f64) -> &[T] {
     let count = (weight * all.len() as f64).ceil() as usize;
     &all[all.len() - count.min(all.len())..]
@@ -169,7 +171,8 @@
         &self.query_classes
     }
 
-    /// Returns the snapshot's nodes as an endpoint list would describe them, with consecutive ids.
+    /// Returns the snapshot's nodes as an endpoint list would describe them. A snapshot stores names and no ids, so the
+    /// nodes are numbered from 0.
     pub fn identities(&self) -> Vec<NodeIdentity> {
         let identity = |(node, stored): (NodeId, &StoredNode)| NodeIdentity {
             node,
@@ -248,8 +251,8 @@
         TrustedState { confidence, learned, nodes }
     }
 
-    /// Returns the newest samples of the node, the ratio `weight` of them, with ages increased by `elapsed` seconds. Samples
-    /// of query classes that no longer exist are left out.
+    /// Returns the node's newest samples, with ages increased by `elapsed` seconds. `weight` is the share (0 to 1) of the
+    /// samples to take; of these, samples of query classes that no longer exist are left out.
     fn aged_samples(
         &self,
         stored: &StoredNode,
--- a/crates/dunepond-recovery/src/lib.rs
+++ b/crates/dunepond-recovery/src/lib.rs
@@ -18,11 +18,11 @@
 /// Format version of the snapshots and journal records of this crate.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// Largest step back of Unix time between two timestamps that counts as no time passed; after a larger one, the time
-/// between them is unknown.
+/// If the later of two timestamps has a Unix time up to this many seconds before the earlier one's, the time between them
+/// counts as 0; if it is further back, the time between them is unknown.
 const MAX_UNIX_SETBACK_SECONDS: f64 = 1.0;
-/// Largest step back of the uptime clock between two timestamps that counts as no time passed. The clock is never set
-/// back, only rounded.
+/// If the later of two timestamps of one boot has an uptime up to this many seconds below the earlier one's, the time
+/// between them counts as 0; if it is further below, the time is unknown. The clock is never set back, only rounded.
 const MAX_UPTIME_SETBACK_SECONDS: f64 = 0.1;
 
 /// A point in time by two clocks: Unix time, which may be set, and uptime, which restarts with each boot.
--- a/crates/dunepond-recovery/src/spent_budgets.rs
+++ b/crates/dunepond-recovery/src/spent_budgets.rs
@@ -57,12 +57,13 @@
         }
     }
 
-    /// Encodes the record as the payload of a journal record.
+    /// Encodes this budget record as bytes, which the budget journal stores as the payload of one of its records.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Decodes the payload of a journal record. Rejects times and counts that are negative or not finite.
+    /// Decodes a budget record from the payload of a record in the budget journal. Rejects times and counts that are
+    /// negative or not finite.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let record: Self = decode(bytes)?;
         if record.is_valid() {
--- a/crates/dunepond-recovery/tests/golden.rs
+++ b/crates/dunepond-recovery/tests/golden.rs
@@ -43,7 +43,7 @@
             samples: vec![sample(0, 3.0, true, false), sample(1, 2.0, false, true)],
         },
         LearnedNode { node: 3, ejected: false, samples: vec![sample(1, 1.0, false, false)] },
-        // The endpoint list does not name this node, so it is not stored.
+        // `identities()`, the endpoint list, does not name node 9, so the snapshot leaves this node out.
         LearnedNode { node: 9, ejected: false, samples: vec![sample(0, 1.0, true, false)] },
     ];
     let learned = LearnedState {
@@ -84,7 +84,7 @@
     let spent = SpentBudgets {
         retries: vec![0.5, 2.25],
         admissions: vec![AdmissionRecord { ago: 0.5, count: 1.0 }, AdmissionRecord { ago: 1.5, count: 40.0 }],
-        // The endpoint list does not name node 9, so it is not stored.
+        // `identities()`, the endpoint list, does not name node 9, so the record leaves its requests out.
         slow_start_sends: vec![
             SlowStartRecord { node: 3, sent_ago: vec![0.25, 0.75] },
             SlowStartRecord { node: 9, sent_ago: vec![1.0] },
--- a/crates/dunepond-recovery/tests/restart.rs
+++ b/crates/dunepond-recovery/tests/restart.rs
@@ -1,4 +1,5 @@
-//! Tests of a restart: which learned state is restored, with what confidence, and which spending is still charged.
+//! Tests of a restart: how far a snapshot is trusted, what is restored from it, and which spent budgets are still charged
+//! to the restarted broker.
 
 use dunepond_recovery::spent_budgets::outstanding_charges;
 use dunepond_recovery::*;
--- a/crates/dunepond-storage/src/files.rs
+++ b/crates/dunepond-storage/src/files.rs
@@ -41,7 +41,8 @@
 /// A [`FileStore`] on a directory of the file system.
 pub struct DiskStore {
     path: PathBuf,
-    /// The locked file, `None` if opened read-only. The kernel releases the lock however the process ends.
+    /// The open lock file, whose lock keeps other processes from opening the directory for exclusive use; `None` if opened
+    /// read-only. The kernel releases the lock however the process ends.
     _lock: Option<File>,
 }
 
--- a/crates/dunepond-storage/src/journal.rs
+++ b/crates/dunepond-storage/src/journal.rs
@@ -137,8 +137,9 @@
         scan(files, name, version).recovered
     }
 
-    /// Opens a journal in the given format version, or creates it, and returns it with what it held. Fails if the file has a
-    /// newer format version, is no journal or cannot be read; the file is then left unchanged.
+    /// Opens the journal `name`, or creates it, and returns it with what it held. A file of an earlier format version is
+    /// rewritten in format `version`. Fails if the file has a newer format version, is no journal or cannot be read; the
+    /// file is then left unchanged.
     pub fn open(files: Arc<dyn FileStore>, name: &str, version: u32) -> io::Result<(Self, RecoveredJournal)> {
         let Scan { recovered, valid_bytes, header } = scan(&*files, name, version);
         if let Some(
--- a/crates/dunepond-storage/tests/golden.rs
+++ b/crates/dunepond-storage/tests/golden.rs
@@ -144,7 +144,8 @@
     }
 }
 
-/// Guards against a new temporary name, since only a file of the same name overwrites what an earlier build left in a crash.
+/// Guards against changed names of temporary files: one that an earlier build left after a crash is overwritten only if
+/// this build uses the same name.
 #[test]
 fn temporary_files_keep_their_names() {
     let files = Arc::new(CreationRecorder::default());
