--- a/crates/dunepond-config/src/deployment.rs
+++ b/crates/dunepond-config/src/deployment.rs
@@ -1,13 +1,15 @@
-//! Reads the router's deployment from the settings.
+//! Reads the router's deployment from the settings: query classes, quotas, the layout of replicas, and the parameters of
+//! retries, hedging, slow start and polling.
 
 use dunepond_routing::{Deployment, Idempotency, QueryClass, RetryBudget, SlowStart};
 use serde_json::Value;
 
 use crate::{ConfigError, Fields};
 
-/// Default poll deadline of a polled endpoint list, in milliseconds.
+/// Default of the poll deadline, the longest interval between two polls of the endpoint list, in milliseconds.
 const DEFAULT_LIST_POLL_DEADLINE_MS: f64 = 10_000.0;
-/// Lower bound of the poll deadline, in milliseconds; a smaller value in the settings is raised to it.
+/// Lower bound of the poll deadline, the longest interval between two polls of the endpoint list, in milliseconds. A smaller
+/// value in the settings is raised to it.
 const MIN_LIST_POLL_DEADLINE_MS: f64 = 100.0;
 
 /// Reads the deployment that the router works with. `seed` is the seed of its random numbers.
@@ -137,7 +139,7 @@
     })
 }
 
-/// Reads the poll deadline of the endpoint list, in seconds; `None` if the list is not polled.
+/// Reads the longest interval between two polls of the endpoint list, in seconds; `None` if the list is not polled.
 fn list_poll_deadline_seconds(settings: &Fields) -> Result<Option<f64>, ConfigError> {
     match settings.optional_text("discovery")? {
         Some("on_request") => {
--- a/crates/dunepond-config/src/migrate/mod.rs
+++ b/crates/dunepond-config/src/migrate/mod.rs
@@ -71,7 +71,8 @@
 struct OldLayout {
     /// Number of replica groups.
     groups: usize,
-    /// Number of neighbouring replica groups that hold the same segment.
+    /// Number of replica groups, neighbours of each other, that hold the same segment. By default, this many old groups are
+    /// joined into one new group.
     span: usize,
 }
 
--- a/crates/dunepond-config/src/operator/fleet/mod.rs
+++ b/crates/dunepond-config/src/operator/fleet/mod.rs
@@ -26,14 +26,15 @@
     pub clock_drift_ratio: f64,
     /// Time, in seconds, after which no two brokers act on contradicting rules any more.
     pub switch_bound_seconds: f64,
-    /// Longest timeout of a query at any broker, in seconds; the longest timeout in the deployment's settings is used if it
-    /// is longer.
+    /// Longest timeout of a query at any broker, in seconds. If the deployment's settings contain a longer query timeout,
+    /// that one is used instead; `None` also means the one in the settings.
     pub longest_query_seconds: Option<f64>,
     /// Brokers that vote.
     pub voters: Vec<BrokerAddress>,
     /// Addresses of brokers that are not voters but known at startup.
     pub peers: Vec<BrokerAddress>,
-    /// File with the secret that all brokers share; needed if there are relays between brokers.
+    /// File with the secret that all brokers share. Without it, brokers are identified by the addresses they send from, so
+    /// it is needed if network relays forward the messages between brokers.
     pub key_file: Option<PathBuf>,
     /// The version file, which contains a configuration to propose. It is read at startup and on SIGHUP.
     pub version_file: Option<PathBuf>,
@@ -41,9 +42,9 @@
     pub audit_log_file: Option<PathBuf>,
     /// Partners, which own zones, tenants and brokers.
     pub partners: Vec<PartnerConfig>,
-    /// Limits on the bandwidth of fills between partners.
+    /// Limits on the bandwidth of fills between partners. A fill copies a segment's data to a new replica.
     pub links: Vec<LinkConfig>,
-    /// The service that fills replicas; `None` if there is none.
+    /// The service that fills replicas, that is, copies a segment's data to each new replica; `None` if there is none.
     pub fills: Option<FillConfig>,
     /// How splits, merges and migrations of segments are carried out; `None` if they are disabled.
     pub rebalancing: Option<RebalanceConfig>,
@@ -78,27 +79,27 @@
     pub metered: bool,
 }
 
-/// Limit on the bandwidth of fills from one partner to another.
+/// Limit on the bandwidth of fills, which copy segments' data to new replicas, from one partner to another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkConfig {
-    /// Name of the partner that sends.
+    /// Name of the partner that sends the segments' data.
     pub from: String,
-    /// Name of the partner that receives.
+    /// Name of the partner that receives the segments' data.
     pub to: String,
     /// Maximum rate of all fills from `from` to `to` together, in bytes per second.
     pub bytes_per_second: u64,
 }
 
-/// The operator's service that fills replicas, with limits on its use.
+/// The operator's service that fills replicas (copies a segment's data to a new replica), with limits on its use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FillConfig {
     /// TCP address of the service.
     pub address: SocketAddr,
-    /// Deadline for the fills of a configuration, in seconds; if they take longer, the configuration is withdrawn.
+    /// Deadline for all fills that a proposed configuration needs, in seconds; if they take longer, it is withdrawn.
     pub deadline_seconds: f64,
     /// Size of one segment's data, in bytes.
     pub segment_bytes: u64,
-    /// Maximum rate of one fill, in bytes per second.
+    /// Maximum rate of one fill, which copies one segment's data to one new replica, in bytes per second.
     pub bytes_per_second: u64,
     /// Maximum number of fills that run at the same time.
     pub max_concurrent_fills: usize,
@@ -112,9 +113,9 @@
 pub struct RebalanceConfig {
     /// File with the plan, read at startup and on SIGHUP.
     pub plan_file: PathBuf,
-    /// Maximum number of actions in one step.
+    /// Maximum number of actions (such as one split or one merge of segments) in one step of the plan.
     pub max_concurrent_actions: usize,
-    /// Pause between two steps, in seconds.
+    /// Pause between two steps of the plan, in seconds.
     pub settle_seconds: f64,
     /// Maximum rate of fills between two partners without a `link`, in bytes per second.
     pub default_link_bytes_per_second: Option<u64>,
--- a/crates/dunepond-config/src/operator/quotas.rs
+++ b/crates/dunepond-config/src/operator/quotas.rs
@@ -7,7 +7,8 @@
 /// Which quotas the brokers of a fleet share; a quota that the file doesn't name is not shared.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaConfig {
-    /// Ratio of each quota that brokers may use without a lease, split evenly among them; the rest is allocated by demand.
+    /// Share of each quota, as a ratio, that brokers may use without a lease. It is split evenly among them; the rest of
+    /// the quota is allocated by demand.
     pub reserved_ratio: f64,
     /// Interval between two allocations, in seconds.
     pub interval_seconds: f64,
@@ -51,7 +52,8 @@
         Some(quotas)
     }
 
-    /// Reads the `cold` node: the rate of parts that one warm node accepts.
+    /// Reads the KDL node `cold`, and returns its `rate`: the parts per second that one warm server (one that is past its
+    /// slow start) accepts. A part is the share of a query for one segment.
     fn slow_start_rate(&mut self, node: &KdlNode) -> Option<f64> {
         let [rate] = self.properties(node, ["rate"]);
         if rate.is_none() {
--- a/crates/dunepond-config/src/operator/recovery.rs
+++ b/crates/dunepond-config/src/operator/recovery.rs
@@ -16,7 +16,8 @@
 }
 
 impl Reader<'_> {
-    /// Reads the `state` node; `None` if its folder is missing or invalid.
+    /// Reads the `state` node; `None` if its `folder` property is absent or not an absolute path. Whether the folder exists
+    /// is not checked here.
     pub(super) fn recovery(&mut self, node: &KdlNode) -> Option<RecoveryConfig> {
         let [folder, every] = self.properties(node, ["folder", "every"]);
         let folder = self.absolute_folder(node, folder);
--- a/crates/dunepond-search-api/src/hits/merger.rs
+++ b/crates/dunepond-search-api/src/hits/merger.rs
@@ -1,4 +1,4 @@
-//! Merges the results of all parts of a search.
+//! Merges the results of all parts of a search. A part is the share of the search for one segment, sent to one replica.
 
 use std::cmp::Ordering;
 
@@ -12,7 +12,7 @@
     sort: Vec<SortKey>,
     max_hits: usize,
     first_hits: Vec<MergedHit>,
-    /// Number of matching documents, summed over all parts.
+    /// Number of matching documents, summed over the part results that were added.
     pub total: u64,
     /// Whether `total` is exact; otherwise it is a lower bound.
     pub total_is_exact: bool,
--- a/crates/dunepond-search-api/src/node.rs
+++ b/crates/dunepond-search-api/src/node.rs
@@ -67,7 +67,8 @@
             Ok(count) => NodeOutcome::Updated(count),
             Err(why) => NodeOutcome::Failed(why),
         },
-        // Only this error type proves that the part did not run; any other rejection may come from a different server.
+        // Only the error type `rejected_execution_exception` proves that the node did not run the part. A 429 or 503 without
+        // it may come from a server between the broker and the node.
         (429 | 503, _) if is_rejected_execution(body) => NodeOutcome::Rejected,
         _ => NodeOutcome::Failed(format!("{status}: {}", excerpt(body))),
     }
--- a/crates/dunepond-search-api/src/query/parser.rs
+++ b/crates/dunepond-search-api/src/query/parser.rs
@@ -14,7 +14,8 @@
 const BOOL_KEYS: [&str; 5] = ["must", "filter", "should", "must_not", "minimum_should_match"];
 const QUERY_STRING_KEYS: [&str; 3] = ["query", "default_field", "default_operator"];
 
-/// Parses the query of one search. The limit on clauses applies to all queries that one parser parses.
+/// Parses queries. It counts the clauses of all queries that it parses together against the limit, so each query that is to
+/// have the whole limit needs its own parser.
 pub struct QueryParser {
     pub(super) limits: QueryLimits,
     clauses: usize,
@@ -112,7 +113,8 @@
         Ok(Query::Phrase { field: parsed.field, text: parsed.text, slop })
     }
 
-    /// Parses a field with its text, which is the value of `key` if options from `known` are given.
+    /// Parses a field and its text from `{FIELD: TEXT}` or `{FIELD: {KEY: TEXT, ...}}`, where `key` is the name of KEY. The
+    /// inner object of the second form may only have keys in `known`, which includes `key`.
     fn field_text<'v>(
         &self,
         place: &str,
--- a/crates/dunepond-search-api/src/request/search.rs
+++ b/crates/dunepond-search-api/src/request/search.rs
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Number of hits that each part must return, `from + size`, because each of them may be among the first hits overall.
+    /// Number of hits that each part must return: `from + size`, because the first `from + size` hits of the whole search
+    /// may all come from the same part. A part is the share of the search for one segment.
     pub fn result_window(&self) -> usize {
         (self.from + self.size) as usize
     }
--- a/crates/dunepond-search-api/tests/responses.rs
+++ b/crates/dunepond-search-api/tests/responses.rs
@@ -36,7 +36,8 @@
 #[case::duplicate_field(|d: Value| d.to_string().replacen("\"timed_out\"", "\"timed_out\":false,\"timed_out\"", 1), "duplicate field")]
 #[case::timed_out(|mut d: Value| { d["timed_out"] = json!(true); d.to_string() }, "timed_out")]
 #[case::failed_shard(|mut d: Value| { d["_shards"]["failed"] = json!(1); d.to_string() }, "_shards.failed")]
-// Type names appear in logged errors, so renaming a type must not change these texts.
+// The expected texts below contain names of Rust types, such as `OneHit`. Errors with these texts are logged, so the texts
+// must stay the same even if a type is renamed.
 #[case::shards_of_wrong_type(|mut d: Value| { d["_shards"] = json!(false); d.to_string() }, "expected struct Shards")]
 #[case::hit_of_wrong_type(|mut d: Value| { d["hits"]["hits"][0] = json!([]); d.to_string() }, "struct OneHit with 5 elements")]
 #[case::hits_of_wrong_type(|mut d: Value| { d["hits"] = json!([]); d.to_string() }, "hits: an object")]
