--- a/crates/dunepond-body-buffer/src/manager/admission.rs
+++ b/crates/dunepond-body-buffer/src/manager/admission.rs
@@ -162,7 +162,7 @@
             self.reserve(id, received_bytes, file_bytes);
         }
         if tier == Tier::File {
-            // An attempt that reads the body back still needs a window.
+            // At most one window of memory stays reserved: an attempt that reads the body back from the file needs it.
             self.reserve(id, self.limits.window_bytes.min(file_bytes), file_bytes);
             self.spill_state.on_written(id);
         }
--- a/crates/dunepond-body-buffer/src/manager/mod.rs
+++ b/crates/dunepond-body-buffer/src/manager/mod.rs
@@ -192,7 +192,8 @@
         self.check_memory(1.0, owner, additional_bytes)
     }
 
-    /// Checks whether `additional_bytes` fit into `ratio` of the memory limit, and of the shares of the owner.
+    /// Checks whether `additional_bytes` fit into `ratio` of the memory limit, and into the shares of that memory that
+    /// the body's tenant and query class may use.
     fn check_memory(&self, ratio: f64, owner: Owner, additional_bytes: u64) -> Result<(), FallbackReason> {
         let load = TierLoad {
             usage: &self.memory,
--- a/crates/dunepond-body-buffer/src/placement.rs
+++ b/crates/dunepond-body-buffer/src/placement.rs
@@ -104,8 +104,8 @@
     }
 }
 
-/// How often bodies of one query class were not held in a tier for one reason. [`Tier::PassThrough`] counts bodies that
-/// were not accepted.
+/// How often bodies of one query class were not held in a tier for one reason. A count for [`Tier::PassThrough`]
+/// is of bodies that were not accepted at all.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FallbackCount {
     /// Tier that did not hold the bodies.
--- a/crates/dunepond-body-buffer/src/spill_state.rs
+++ b/crates/dunepond-body-buffer/src/spill_state.rs
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Records that a permitted body is being written. The first one after a back-off becomes the probe.
+    /// Records that a body that may be spilled is now being written. The first one after a back-off becomes the probe,
+    /// whose result shows whether the disk works again.
     pub(crate) fn on_started(&mut self, body: BodyId) {
         if let Self::BackingOff { backoff_seconds, .. } = *self {
             *self = Self::Probing { body, backoff_seconds };
--- a/crates/dunepond-body-buffer/tests/manager.rs
+++ b/crates/dunepond-body-buffer/tests/manager.rs
@@ -89,7 +89,7 @@
     assert_eq!(at(0.9).1, Tier::PassThrough);
     let (probe, tier) = at(1.1);
     assert_eq!(tier, Tier::File);
-    // One body probes the disk; the others do not wait for the result.
+    // Only one body is written to probe the disk; the others are passed through and do not wait for the result.
     assert_eq!(at(1.2).1, Tier::PassThrough);
     assert_eq!(manager.on_disk_fault(1.3, probe, DiskFault::Full), Ok(Tier::PassThrough));
     let mut at = |now: f64| {
--- a/crates/dunepond-prefilter/src/audit_budget.rs
+++ b/crates/dunepond-prefilter/src/audit_budget.rs
@@ -7,7 +7,8 @@
 pub struct AuditBudget {
     /// Audits added for each pruned segment.
     ratio: f64,
-    /// Most audits that accumulate: a burst of them after an hour without any would load the nodes noticeably.
+    /// Maximum number of audits that the budget saves up. A burst of saved audits after an hour without any would load
+    /// the nodes noticeably.
     max: f64,
     /// Audits that may be taken now; whole ones count.
     available: f64,
--- a/crates/dunepond-prefilter/src/benefit.rs
+++ b/crates/dunepond-prefilter/src/benefit.rs
@@ -8,7 +8,7 @@
 
 /// Number of the latest samples that are kept of prefiltered queries, and of direct searches.
 const MAX_SAMPLES: usize = 32;
-/// Samples of each kind that are needed before one is preferred.
+/// Samples of prefiltered queries, and as many of direct searches, that are needed before either way is preferred.
 const MIN_SAMPLES: usize = 4;
 /// Initial number of queries per trial while prefiltering is not beneficial: one query in this many is prefiltered as a
 /// trial. Each unsuccessful trial doubles the number up to [`MAX_TRIAL_INTERVAL`], and a successful one resets it.
--- a/crates/dunepond-prefilter/src/evidence.rs
+++ b/crates/dunepond-prefilter/src/evidence.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, Default)]
 struct Entry {
     version: Version,
-    /// Denials of different nodes; the latest two are kept, as two are enough for pruning.
+    /// The latest denials, each by a different node. At most two are kept, as two are enough for pruning.
     denials: [Option<Denial>; 2],
     /// When the last search of this process began, if it found nothing in this version.
     own_search: Option<SentAt>,
--- a/crates/dunepond-prefilter/src/model.rs
+++ b/crates/dunepond-prefilter/src/model.rs
@@ -8,7 +8,7 @@
 pub type SegmentIndex = usize;
 /// Version of a segment's content, as numbered by its replicas.
 pub type Version = u64;
-/// Hash of a query's text and class, which identifies the text.
+/// Hash of a query's text and class. It stands for the text in requests and in evidence.
 pub type QueryKey = u64;
 /// Number of a query, assigned by the host.
 pub type QueryId = u64;
@@ -42,9 +42,9 @@
     pub min_segments: usize,
     /// Maximum ratio of the query's remaining time that may be spent waiting for answers.
     pub time_ratio: f64,
-    /// Maximum time from a request to the arrival of a query that uses its answer. At 0, each query needs answers to
-    /// requests that were sent after the query arrived, so a complete answer is current as of its arrival. Otherwise a
-    /// complete answer may be out of date by this time.
+    /// Maximum age of an answer when a query that uses it arrives, counted from when its request was sent. At 0,
+    /// each query needs answers to requests that were sent after the query arrived, so a complete answer is current as
+    /// of its arrival. Otherwise a complete answer may be out of date by this time.
     pub max_age_seconds: f64,
     /// Maximum number of pairs of a text and a segment for which evidence is kept.
     pub max_entries: usize,
@@ -63,8 +63,8 @@
     pub key: QueryKey,
     /// Whether the query may be run twice; others are searched directly.
     pub idempotent: bool,
-    /// Ratio of its segments that makes the query's answer complete. Below 1 the query is searched directly, because
-    /// only segments that were searched count towards such an answer.
+    /// Ratio of the query's segments that suffices for a complete answer. Below 1 the query is searched directly,
+    /// because only segments that were searched count towards such an answer.
     pub complete_at: f64,
     /// Time left until the query's deadline.
     pub time_left_seconds: f64,
@@ -72,11 +72,11 @@
     pub segments: Vec<SegmentIndex>,
 }
 
-/// The host's current knowledge of the nodes.
+/// What the host, the program that calls the prefilter, currently knows about the nodes.
 pub trait NodeView {
     /// Nodes with a replica of the segment that may receive new work.
     fn replicas(&self, segment: SegmentIndex) -> Vec<NodeId>;
-    /// Number of the host's requests in flight at a node.
+    /// Number of requests that the host has sent to a node and that are not answered yet.
     fn outstanding(&self, node: NodeId) -> usize;
     /// Whether the nodes are near their limits, so that nothing may be sent that is not necessary.
     fn is_congested(&self) -> bool;
--- a/crates/dunepond-prefilter/src/prefilter/mod.rs
+++ b/crates/dunepond-prefilter/src/prefilter/mod.rs
@@ -1,4 +1,5 @@
-//! The prefilter: handles queries from their opening to their end, and hands out audits.
+//! The prefilter: handles queries from their opening to their end, and tells the host which audits to carry out. An
+//! audit searches a pruned segment after all, to check the denials.
 
 mod outcome;
 mod planning;
--- a/crates/dunepond-prefilter/tests/prefilter/properties.rs
+++ b/crates/dunepond-prefilter/tests/prefilter/properties.rs
@@ -48,8 +48,8 @@
     ]
 }
 
-/// A node's answers according to the current content. Each third node is faulty, so at most one of the three replicas
-/// of a segment is: it denies all matches, and states a version that may be `version_lag` too low.
+/// A node's answers according to the current content. Each third node is faulty: it denies all matches, and states a
+/// version that may be `version_lag` too low. So at most one of the three replicas of a segment is on a faulty node.
 fn answers(cluster: &ClusterModel, request: &CanMatchRequest, version_lag: u64) -> Vec<SegmentAnswer> {
     let answer = |segment: SegmentIndex| {
         let version = cluster.version(segment);
--- a/crates/dunepond-simulation/src/fleet/broker.rs
+++ b/crates/dunepond-simulation/src/fleet/broker.rs
@@ -50,9 +50,9 @@
     pub clock_offset: f64,
     /// True time until which the broker is paused.
     pub paused_until: f64,
-    /// Reading of the broker's clock in its last turn.
+    /// Reading of the broker's clock in its last turn, that is, when its voter and lease client last ran.
     pub(super) last_clock: f64,
-    /// Whether the broker's clock was set back since its last turn.
+    /// Whether the broker's clock was set back since its last turn, that is, since its voter and lease client last ran.
     pub(super) clock_went_back: bool,
     /// Set if the broker's clock was set back during a pause by less than the length of the pause, which the broker
     /// cannot detect. Leases that were requested before this reading of its clock last longer than the configuration
--- a/crates/dunepond-simulation/src/fleet/step.rs
+++ b/crates/dunepond-simulation/src/fleet/step.rs
@@ -182,8 +182,8 @@
         }
     }
 
-    /// Checks all invariants, under the assumption that each active broker sends a non-idempotent part of each watched
-    /// segment to any owner that it may.
+    /// Checks all invariants as if each active broker sent a part of a non-idempotent query (the share of the query for
+    /// one segment) for each watched segment to the segment's owner, if it may.
     fn check_invariants(&mut self) {
         self.invariants.begin_step(self.now);
         for (n, broker) in self.brokers.iter().enumerate() {
--- a/crates/dunepond-simulation/src/invariants.rs
+++ b/crates/dunepond-simulation/src/invariants.rs
@@ -7,7 +7,8 @@
 
 use crate::settlements;
 
-/// Non-idempotent parts of one segment that may be running at one owner.
+/// Parts of non-idempotent queries that may be running at one owner of a segment. A part is the share of a query for
+/// one segment.
 struct RunningParts {
     /// True time until which the parts may run.
     until: f64,
@@ -60,11 +61,12 @@
     pub config: &'a ActiveConfig,
     /// Reading of the broker's clock.
     pub clock: f64,
-    /// Segments of which the broker sends a non-idempotent part, if it may.
+    /// Segments for which the broker sends a part of a non-idempotent query, if it may.
     pub segments: &'a [u64],
-    /// Longest time in true seconds for which such a part may run.
+    /// Longest time in true seconds for which a part of a non-idempotent query may run.
     pub part_seconds: f64,
-    /// Longest time in seconds for which a broker may act on a version alone after the next version was committed.
+    /// Longest time in seconds for which a broker may still act only on a configuration version after the proposal of
+    /// the next one was committed.
     pub switch_bound_seconds: f64,
 }
 
@@ -75,21 +77,22 @@
     outcomes: BTreeMap<u64, String>,
     /// Index in the log of the first entry for each settlement, by the settlement's id.
     settled_index: BTreeMap<String, u64>,
-    /// Non-idempotent parts that may be running, by segment and owner.
+    /// Parts of non-idempotent queries that may be running, by segment and owner.
     running_parts: BTreeMap<u64, BTreeMap<String, RunningParts>>,
-    /// When the proposal of each version was first applied by a voter.
+    /// When the first voter applied the log entry that proposes each configuration version, by version number.
     pub proposed_at: BTreeMap<u64, f64>,
-    /// When the activation of each version was first applied by a voter.
+    /// When the first voter applied the log entry that activates each configuration version, by version number.
     pub activated_at: BTreeMap<u64, f64>,
-    /// When each settlement was first applied by a voter, by the settlement's id.
+    /// When the first voter applied the log entry of each settlement, by the settlement's id.
     pub settled_at: BTreeMap<String, f64>,
     /// Numbers of withdrawn versions.
     pub withdrawn: BTreeSet<u64>,
-    /// When any broker last acted on each version alone.
+    /// When any broker last acted only on each configuration version, by version number.
     pub last_alone_at: BTreeMap<u64, f64>,
     /// The versions that brokers act on in the current step, each with the first broker that acts on them.
     acting: BTreeMap<ActingVersions, usize>,
-    /// Longest time in seconds for which a broker acted on a version alone after the next version was committed.
+    /// Longest time in seconds for which a broker still acted only on a configuration version after the proposal of
+    /// the next one was committed.
     pub longest_alone_seconds: f64,
 }
 
@@ -166,8 +169,8 @@
         }
     }
 
-    /// Checks that the broker does not act on a version alone for longer than the switch bound after the next version
-    /// was committed. Withdrawn versions do not count as next ones.
+    /// Checks that the broker does not act only on this version for longer than the switch bound after the proposal of
+    /// the next one was committed. Withdrawn versions do not count as next ones.
     fn check_alone(&mut self, number: u64, activity: &BrokerActivity<'_>) {
         let (now, broker) = (activity.now, activity.broker + 1);
         self.last_alone_at.insert(number, now);
--- a/crates/dunepond-simulation/src/scenario/faults.rs
+++ b/crates/dunepond-simulation/src/scenario/faults.rs
@@ -44,7 +44,7 @@
     Start(usize),
     /// Restarts brokers at once.
     Restart(Vec<usize>),
-    /// Opens all links and removes partitions.
+    /// Unblocks all links between brokers and removes all partitions.
     Heal,
     /// Resets the conditions of the links to the default.
     ResetLinks,
@@ -284,8 +284,8 @@
         self.schedule(seconds, ScheduledEvent::ResetLinks);
     }
 
-    /// Empties the folder of a voter and restarts it, but only if all other voters have their state and all links are
-    /// open, so that one folder at a time is lost.
+    /// Empties the folder of a voter and restarts it, but only if all other voters have their state and no link is
+    /// blocked, so that one folder at a time is lost.
     fn lose_voter_folder(&mut self, n: usize) {
         let have_all_state = (0..self.config.voter_count).all(|n| {
             let broker = &self.fleet.brokers[n];
--- a/crates/dunepond-simulation/src/scenario/fill_simulation.rs
+++ b/crates/dunepond-simulation/src/scenario/fill_simulation.rs
@@ -19,9 +19,11 @@
 
 /// Seconds between two calls of the planner.
 const PLAN_INTERVAL_SECONDS: f64 = 0.1;
-/// Seconds after which the completion of a fill is proposed again.
+/// Seconds after which the log entry that records a fill (a copy of a segment to a new replica) as complete is
+/// proposed again.
 const PROPOSE_INTERVAL_SECONDS: f64 = 1.0;
-/// Name under which each leader plans settlements.
+/// Name that each leader gives to its planner, which plans fills and the settlements (payments of transfer debts
+/// between partners) that they make.
 const PLANNER_NAME: &str = "fleet";
 /// Size of each segment.
 const SEGMENT_BYTES: u64 = 1 << 20;
@@ -81,9 +83,9 @@
     next_carry_at: f64,
     /// Committed settlements in the order of the log.
     settled: Vec<Settlement>,
-    /// Number of the log's entries about settlement that were read.
+    /// Number of settlement entries in the log that were read.
     known_entry_count: u64,
-    /// Total of the settled bytes, by debtor and creditor.
+    /// Total bytes of transfer debt that committed settlements have paid off, by debtor and creditor.
     settled_bytes: BTreeMap<(String, String), u64>,
     /// When each fill with a settlement was complete, by the settlement's id.
     pub filled_at: BTreeMap<String, f64>,
@@ -188,8 +190,8 @@
         }
     }
 
-    /// Ends the fills that are due. The settlement of a complete fill is proposed before its completion: a crash
-    /// between the two leaves the fill open.
+    /// Ends the fills that are due. For a complete fill, the settlement is proposed before the entry that records the
+    /// fill as complete: a crash between the two leaves the fill open.
     fn end_fills(&mut self, fleet: &mut Fleet) {
         let Some(state) = &mut self.leader_state else { return };
         let now = fleet.now;
--- a/crates/dunepond-simulation/src/scenario/mod.rs
+++ b/crates/dunepond-simulation/src/scenario/mod.rs
@@ -29,11 +29,11 @@
 /// Longest time in seconds that a fleet without faults may take until all brokers have leases, and to activate a
 /// version.
 const MAX_RECOVERY_SECONDS: f64 = 30.0;
-/// Turns that each broker takes during a lease, as on a real host.
+/// Number of turns (runs of its voter and lease client) that each broker takes during a lease, as on a real host.
 const TURNS_PER_LEASE: f64 = 100.0;
-/// Length of the warm-up before the steady part is measured, in leases.
+/// Length of the warm-up before the steady part is measured, as a multiple of the length of a lease.
 const WARM_UP_LEASES: f64 = 2.0;
-/// Time between two versions in the steady part, in leases.
+/// Time between two configuration versions in the steady part, as a multiple of the length of a lease.
 const VERSION_INTERVAL_LEASES: f64 = 3.0;
 /// Ratio of the versions in the steady part that have fills.
 const STEADY_FILL_RATIO: f64 = 0.3;
@@ -204,12 +204,12 @@
         self.report
     }
 
-    /// Reports how long each broker took to learn of each settlement.
+    /// Adds to the report how long after its commit each settlement became known to each broker.
     fn report_notices(&mut self) {
         let notices = self.fleet.settlement_notices.replace(Vec::new()).unwrap_or_default();
         let mut known = BTreeSet::new();
         for notice in notices {
-            // A restarted broker learns of all settlements again; only the first time counts.
+            // A restarted broker receives all settlements again; only the first time counts.
             if let Some(settled_at) = self.fleet.invariants.settled_at.get(&notice.id)
                 && known.insert((notice.broker, notice.id))
             {
--- a/crates/dunepond-simulation/src/scenario/topology.rs
+++ b/crates/dunepond-simulation/src/scenario/topology.rs
@@ -7,9 +7,9 @@
 
 use crate::fixtures;
 
-/// Maximum number of segments that one version changes.
+/// Maximum number of segments that one new configuration version changes in the shard map.
 const MAX_CHANGED_SEGMENTS: usize = 4;
-/// Maximum number of segments that are watched at each step.
+/// Maximum number of watched segments: those that are checked for conflicting owners at each step.
 const WATCHED_SEGMENT_COUNT: u64 = 6;
 /// Versions change only the first segments, this many times as many as are watched, so that watched ones change often.
 const CHANGED_PER_WATCHED: u64 = 2;
@@ -49,12 +49,12 @@
         format!("s{}", number % self.node_count)
     }
 
-    /// Name of the partner that owns the node of this number.
+    /// Name of the partner (an organisation that owns nodes) that owns the node of this number.
     pub fn partner(&self, number: usize) -> String {
         format!("p{}", number % self.node_count % self.partner_count)
     }
 
-    /// Name of the partner that owns the node of this name.
+    /// Name of the partner (an organisation that owns nodes) that owns the node of this name.
     pub fn partner_of(&self, node: &str) -> String {
         self.partner(node[1..].parse().expect("a node of this topology"))
     }
--- a/crates/dunepond-simulation/src/settlements.rs
+++ b/crates/dunepond-simulation/src/settlements.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Ids of the settlements that a broker has learned of since the last call.
+/// Ids of the settlements in the updates that a broker has received since the last call.
 pub fn take_learned_ids(client: &mut LeaseClient) -> Vec<String> {
     let entries = client.take_settlement_updates().into_iter().flat_map(|update| update.entries);
     entries.filter_map(|noted| settlement_of(noted.entry)).map(|settlement| settlement.id).collect()
@@ -32,13 +32,14 @@
 
 /// Result of [`settlements_after`]: settlements in a part of the log.
 pub struct LoggedSettlements {
-    /// Number of entries about settlement in the log up to the end of this part.
+    /// Number of settlement entries in the log from its start to the end of this part.
     pub entry_count: u64,
     /// Settlements in this part of the log.
     pub settlements: Vec<Settlement>,
 }
 
-/// The settlements after the first `known_count` entries about settlement in the log, as far as one update covers them.
+/// The settlements in the log after its first `known_count` settlement entries. Reads a single update; settlements
+/// that it does not contain are not returned.
 ///
 /// # Panics
 /// The replicated state does not keep the entries after `known_count` any more.
