--- a/crates/dunepond-broker/src/downstream/accept.rs
+++ b/crates/dunepond-broker/src/downstream/accept.rs
@@ -63,7 +63,8 @@
             let full = self.connections.len() >= self.max_connections;
             let candidate = if full { self.eviction_candidate(now) } else { None };
             if full && candidate.is_none() {
-                // A connection that is still to be read may turn out to be owed no response.
+                // Retried soon while there are clients still to be read: reading may show that one of them awaits no
+                // response, and such a client can be evicted to make room.
                 let retry_soon = !self.pending_clients.is_empty();
                 self.pause_accepting(now, retry_soon.then_some(now), timers);
                 return false;
--- a/crates/dunepond-broker/src/downstream/read.rs
+++ b/crates/dunepond-broker/src/downstream/read.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Lets a client whose reading was paused be read again.
+    /// Resumes reading from a client after the broker paused it.
     pub fn resume_reading(&mut self, id: usize) {
         if let Some(client) = self.connections.get_mut(id) {
             client.reading_paused = false;
--- a/crates/dunepond-broker/src/frames.rs
+++ b/crates/dunepond-broker/src/frames.rs
@@ -151,7 +151,7 @@
     /// An `E` frame with an unknown word for the outcome.
     #[error("E frame with an unknown outcome")]
     UnknownOutcome,
-    /// An `E` frame whose score is missing or not a number.
+    /// An `E` frame (the end of an attempt) whose score is missing or not a number. The score is only checked, not used.
     #[error("E frame without a score")]
     EndWithoutScore,
     /// An `E` frame without a report.
--- a/crates/dunepond-broker/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -109,7 +109,7 @@
         #[arg(value_name = "DIR")]
         folder: PathBuf,
     },
-    /// Verify every file of a folder and name each one that a broker would not use
+    /// Verify all files in a broker's state folder and name each file that a broker would not use
     Check {
         #[arg(value_name = "DIR")]
         folder: PathBuf,
--- a/crates/dunepond-broker/src/search_api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -184,7 +184,7 @@
 
 /// A search of a request whose query is in flight.
 pub struct ActiveSearch {
-    /// The number of the request that the search belongs to.
+    /// Number of the client's request that contains this search; a request may contain several.
     pub request: u64,
     /// Index of the search among the request's searches.
     position: usize,
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -153,7 +153,7 @@
 
 /// The nodes that speak the search API.
 struct SearchApiNodes {
-    /// The networks of these nodes.
+    /// The IP networks of the nodes that speak the search API.
     networks: Vec<IpNet>,
     /// For each query class, whether its queries must not run twice.
     non_idempotent: Vec<bool>,
--- a/crates/dunepond-broker/tests/fleet/main.rs
+++ b/crates/dunepond-broker/tests/fleet/main.rs
@@ -136,7 +136,7 @@
         (answer.status, answer.body["finished"].as_bool())
     };
     assert_eq!(answer_state("a", &[0, 4]), (200, Some(true)));
-    // All parts were answered, but the shard map does not have all their keys.
+    // All parts were answered, but some of their keys are outside the shard map, so the answer is incomplete.
     assert_eq!(answer_state("b", &[0, 5]), (200, Some(false)));
     fleet.wait(
         0,
--- a/crates/dunepond-broker/tests/golden.rs
+++ b/crates/dunepond-broker/tests/golden.rs
@@ -655,7 +655,7 @@
     check("state.txt", &transcript.0);
 }
 
-/// Reads a state folder that a broker wrote before the renaming. The age of its data is not compared.
+/// Reads a state folder that an earlier build of the broker wrote. The age of its data is not compared.
 #[test]
 fn state_folder_of_an_earlier_build_is_read() {
     let golden = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/golden/state");
--- a/crates/dunepond-control-plane/src/commitments.rs
+++ b/crates/dunepond-control-plane/src/commitments.rs
@@ -40,7 +40,7 @@
 pub struct Commitments {
     /// Settlements promised from this broker's own shares of debts.
     pub shares: SharePromises,
-    /// The ledger that the promises are checked against.
+    /// The ledger of settlements that the promises in `shares` are checked against.
     pub ledger: SettlementLedger,
     /// Number of settlement entries of the log that the ledger has applied.
     pub applied_entries: u64,
--- a/crates/dunepond-control-plane/src/control_loop/messages.rs
+++ b/crates/dunepond-control-plane/src/control_loop/messages.rs
@@ -39,7 +39,7 @@
 pub(super) struct MessageState {
     /// Requests that this broker sent, by the id of the request.
     sent: HashMap<u64, SentRequest>,
-    /// Peers' lease requests, by the broker's name and the id of its request.
+    /// Lease requests from peers, by the name of the broker that sent the request and the id of the request.
     pub(super) pending: HashMap<(String, u64), PendingRequest>,
 }
 
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -34,7 +34,7 @@
     /// The leader added an entry for the offer to its log. The plan is offered again until a voter reports its status
     /// in the log.
     Accepted,
-    /// The offer changes nothing; this is the plan's status in the log.
+    /// No log entry is added, because the offer would change nothing. Holds the plan's status in the log.
     Known(String),
     /// The voter does not lead. Names the leader if the voter knows it.
     NotLeader(Option<String>),
--- a/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Applies the entries of an update that follow the entries already applied.
+    /// Replaces the ledger if the update has one, then applies the update's entries. Entries that do not start right
+    /// after the last one applied are ignored.
     fn apply_entries(&mut self, update: SettlementUpdate) {
         if let Some(ledger) = update.ledger {
             self.traffic.balances.replace_ledger(*ledger);
--- a/crates/dunepond-control-plane/src/error.rs
+++ b/crates/dunepond-control-plane/src/error.rs
@@ -135,11 +135,11 @@
     Rule {
         /// The version file.
         path: PathBuf,
-        /// Key of the rule.
+        /// Key of the rule in the version file.
         key: &'static str,
         /// The value that was given.
         value: f64,
-        /// The allowed range, for people.
+        /// The allowed range, in words.
         expected: &'static str,
     },
     /// The configuration version is too large for a message between brokers.
@@ -159,7 +159,7 @@
         path: PathBuf,
         /// Name of the voter.
         name: String,
-        /// The address in the file.
+        /// The voter's address as it stands in the file.
         at: String,
     },
     /// This build does not know a key that every broker must know.
--- a/crates/dunepond-control-plane/src/slow_start.rs
+++ b/crates/dunepond-control-plane/src/slow_start.rs
@@ -31,10 +31,10 @@
 }
 
 impl SlowStartPolicy {
-    /// Capacity that fills may use on a node that started `age` seconds ago. All brokers together may use `multiple`
-    /// times the node's current capacity, which grows up to `rate` (bytes per second of a warm node); the caller may
-    /// use the fraction `capacity_ratio` of that. The limit also allows a margin for random variation, which is left to
-    /// queries.
+    /// Capacity that fills may use on a node that started `age` seconds ago. The node's current capacity grows up to
+    /// `rate` (bytes per second of a warm node). All brokers together may use `multiple` times the current capacity, and
+    /// the caller may use the fraction `capacity_ratio` of this product. The limit on the node's traffic adds a margin
+    /// for random variation; the margin counts as used by queries, so fills do not get it.
     pub fn fill_capacity(&self, age: f64, multiple: f64, rate: f64, capacity_ratio: f64) -> NodeCapacity {
         let warmth = (age / self.warm_up_seconds).clamp(0.0, 1.0);
         let share = self.initial_share + (1.0 - self.initial_share) * warmth;
--- a/crates/dunepond-control-plane/tests/control_loop.rs
+++ b/crates/dunepond-control-plane/tests/control_loop.rs
@@ -56,7 +56,8 @@
     TestDoubles { storage: Some(Arc::new(files.clone())), ..TestDoubles::default() }
 }
 
-/// Waits until the condition holds for the phase and for whether the lease is valid.
+/// Waits until `condition` returns true. Its arguments are the present phase of the configuration and whether the lease is
+/// valid.
 fn wait(control_plane: &ControlPlane, what: &str, condition: impl Fn(ConfigPhase, bool) -> bool) {
     let started = Instant::now();
     let active = || control_plane.handle().active_config();
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -35,7 +35,7 @@
 struct FakeFillService {
     /// While this is set, requests for fills that are not done get no response.
     blocked: AtomicBool,
-    /// While this is set, fills that are not done fail.
+    /// While this is set, requests for fills that are not done fail.
     fails: AtomicBool,
     /// Ids of fills that are done.
     done: Mutex<BTreeSet<String>>,
@@ -308,8 +308,8 @@
     assert_eq!(broker.fill_service.requests.lock().unwrap().len(), 1, "filled once");
 }
 
-/// The broker ends while its own fill is running, or crashes when the fill is done but the leader does not know. In
-/// both cases the fill is settled once after the restart.
+/// The broker is stopped while its own fill (a copy of a segment to a node) is running, or crashes when the fill is done
+/// but the leader does not know that yet. In both cases the fill is settled once after the restart.
 #[rstest]
 #[case::done(true)]
 #[case::running(false)]
--- a/crates/dunepond-routing/src/deployment.rs
+++ b/crates/dunepond-routing/src/deployment.rs
@@ -105,7 +105,7 @@
     /// long after a change, the broker is assumed to know it even if it has not polled. `None` if the list is
     /// pushed.
     pub list_poll_deadline: Option<f64>,
-    /// The clock's unit: the shortest interval between two calls of the router, in seconds.
+    /// The clock's unit: the shortest interval between two calls to the router, in seconds.
     pub tick: f64,
 }
 
@@ -146,8 +146,8 @@
 }
 
 /// This broker's shares of the quotas that all brokers hold together;
-/// [`Router::set_quota_shares`](crate::Router::set_quota_shares) applies them. `None` means that the router
-/// determines the value from the deployment and its own measurements.
+/// [`Router::set_quota_shares`](crate::Router::set_quota_shares) applies them. For a field that is `None`, the
+/// router determines the value from the deployment and its own measurements.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuotaShares {
     /// Parts per second that a warm node completes for this broker; limits the parts that this broker sends to
--- a/crates/dunepond-routing/src/policy/idle_reset.rs
+++ b/crates/dunepond-routing/src/policy/idle_reset.rs
@@ -14,8 +14,8 @@
 const MIN_RESET_COUNT: usize = 2;
 /// Age, in multiples of the longest latency objective, up to which resets count.
 const RESET_FRESH_OBJECTIVES: f64 = 2.0 * FRESH_OBJECTIVES;
-/// An idle time is comparable to that of a sample if it exceeds the sample's idle time multiplied by this
-/// ratio.
+/// The idle time of a connection is comparable to the idle time in a sample (a recorded attempt on an idle
+/// connection) if it exceeds the latter multiplied by this ratio.
 const COMPARABLE_IDLE_RATIO: f64 = 0.5;
 /// A connection that breaks within this time after an attempt was sent has broken at once: the node did no work
 /// on the attempt.
--- a/crates/dunepond-routing/src/policy/probing.rs
+++ b/crates/dunepond-routing/src/policy/probing.rs
@@ -60,7 +60,8 @@
         probed < MIN_PROBE_SAMPLE_COUNT || informative * MAX_PROBES_PER_INFORMATIVE > probed
     }
 
-    /// Probes each replica in service that may be sent a part of the present step.
+    /// Probes each replica that may be sent a part of the query's present step (a query runs in one or two steps),
+    /// except ejected ones.
     pub(super) fn probe_replicas(&mut self, transport: &mut dyn Transport, query: &mut InFlightQuery) {
         query.probing = Probing::Probed { at: self.now };
         let replicas = query.step().iter().flat_map(|part| self.replicas(part.segment, part.required_node));
--- a/crates/dunepond-routing/src/state/query.rs
+++ b/crates/dunepond-routing/src/state/query.rs
@@ -44,7 +44,7 @@
 /// Whether a query's replicas have been probed before its first attempts.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Probing {
-    /// No probe has been sent for the present step.
+    /// No probe has been sent for the query's present step (the first or the second).
     NotProbed,
     /// Probes have been sent.
     Probed {
@@ -58,7 +58,7 @@
 /// A part of a query in flight, with its attempts.
 pub struct PartState {
     pub segment: usize,
-    /// Weight of the part, as a share of the total weight of its step's parts.
+    /// Weight of the part, as a share of the total weight of all parts of its step (a query runs in one or two steps).
     pub weight: f64,
     /// The only node that the part may be sent to; `None` if any replica may serve it.
     pub required_node: Option<NodeId>,
--- a/crates/dunepond-routing/tests/bodies.rs
+++ b/crates/dunepond-routing/tests/bodies.rs
@@ -1,4 +1,5 @@
-//! Queries whose body is available only once or no longer: which attempts, hedges and retries are still possible.
+//! Queries whose body is available only on arrival, or has been discarded since: which attempts, hedges and retries are
+//! still possible.
 
 mod support;
 
--- a/crates/dunepond-routing/tests/fleet/harness.rs
+++ b/crates/dunepond-routing/tests/fleet/harness.rs
@@ -13,7 +13,8 @@
 const TICK: f64 = 0.005;
 const START_TIME: f64 = 100.0;
 
-/// Distribution of the work of parts over queries, in units of the mean work of a part.
+/// How much work each part of a query is: a query is heavy or light, and all its parts are alike. The unit is the mean work
+/// of a part.
 #[derive(Clone, Copy)]
 pub struct WorkDistribution {
     /// Share of the queries whose parts are heavy.
--- a/crates/dunepond-routing/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -16,9 +16,9 @@
 const START: f64 = 1000.0;
 const REPLICA_GROUPS: usize = 9;
 const ZONES: usize = 3;
-/// Number of events between two records of the router's present state in the digest.
+/// The router's present state is added to the digest each time this number of events has passed.
 const RECORD_EVERY_EVENTS: usize = 40;
-/// Number of events between two records of the router's learned state and spent budgets in the digest.
+/// The router's learned state and spent budgets are added to the digest each time this number of events has passed.
 const RECORD_LEARNED_EVERY_EVENTS: usize = 600;
 /// Number of digests that are compared for each scenario.
 const CHECKPOINTS: usize = 4;
--- a/crates/dunepond-routing/tests/slow_start.rs
+++ b/crates/dunepond-routing/tests/slow_start.rs
@@ -21,7 +21,8 @@
     cluster.update_list(false, &rows);
     cluster.run_traffic(FULL, 3.0, 0.06);
     for node in 0..cold {
-        // All three brokers together may send 2.5 x 0.36 of the ten parts a second that a warm node completes.
+        // A warm node completes ten parts a second. All three brokers together may send 2.5 (`rate_multiple`) x 0.36 (the
+        // ratio of the node's present capacity to its full capacity) of that.
         assert!(max_sent_in_window(&cluster, node, 1.0) <= 3);
     }
 }
@@ -38,7 +39,8 @@
         times.extend(cluster.transport.sent.iter().filter(|s| s.node == 0 && s.at > 105.9).map(|s| s.at));
     }
     let max_sent = times.iter().map(|t| times.iter().filter(|u| **u >= *t && **u < t + 1.0).count()).max();
-    // All brokers together may send 2.5 x 0.49 of the ten parts a second that a warm node completes.
+    // A warm node completes ten parts a second. All brokers together may send 2.5 (`rate_multiple`) x 0.49 (the ratio of
+    // the node's present capacity to its full capacity) of that.
     assert!((1..=12).contains(&max_sent.unwrap_or(0)), "{max_sent:?}");
 }
 
