--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/fit.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/fit.rs
@@ -1,43 +1,46 @@
-//! How a cost grows with the number of brokers.
+//! Fits a power law to costs and classifies how they grow with the number of brokers.
 
-/// Growth slower than this power of the number is called flat, and faster than the next one linear.
-const FLAT: f64 = 0.06;
-const LINEAR: f64 = 0.85;
+/// Exponent below which growth is classified as flat.
+const MAX_FLAT_POWER: f64 = 0.06;
+/// Exponent above which growth is classified as linear.
+const MIN_LINEAR_POWER: f64 = 0.85;
 
+/// Growth of a cost with the size of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// Cost goes as this power of the number of brokers.
+    /// Exponent x where the cost grows as the number of brokers to the power of x.
     pub power: f64,
-    pub name: &'static str,
+    /// Class of the growth: flat, logarithmic, linear, or between logarithmic and linear.
+    pub growth: &'static str,
 }
 
-/// Slope and the rest that it leaves, by least squares.
-fn line(points: &[(f64, f64)]) -> (f64, f64) {
+/// Fits a line by least squares and returns its slope and the sum of squared residuals.
+fn fit_line(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len() as f64;
-    let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
-    let (x, y) = (mean(|p| p.0), mean(|p| p.1));
-    let across: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
-    let slope = across / points.iter().map(|p| (p.0 - x).powi(2)).sum::<f64>();
-    (slope, points.iter().map(|p| (p.1 - y - slope * (p.0 - x)).powi(2)).sum())
+    let mean = |coordinate: fn(&(f64, f64)) -> f64| points.iter().map(coordinate).sum::<f64>() / count;
+    let (mean_x, mean_y) = (mean(|p| p.0), mean(|p| p.1));
+    let covariance_sum: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
+    let slope = covariance_sum / points.iter().map(|p| (p.0 - mean_x).powi(2)).sum::<f64>();
+    (slope, points.iter().map(|p| (p.1 - mean_y - slope * (p.0 - mean_x)).powi(2)).sum())
 }
 
-/// `points`: brokers and cost, both above 0; two at least.
-pub fn fit(points: &[(f64, f64)]) -> Fit {
+/// Fits the growth of a cost. Each point is a number of brokers and the cost, both above 0; at least two points are needed.
+pub fn fit_growth(points: &[(f64, f64)]) -> Fit {
     let logs: Vec<_> = points.iter().map(|p| (p.0.ln(), p.1.ln())).collect();
-    let (power, _) = line(&logs);
-    // Each left over by its own scale, so that they can be compared.
-    let spread = |points: &[(f64, f64)]| {
+    let (power, _) = fit_line(&logs);
+    // Residuals relative to the largest value, so that fits over different sets of points can be compared.
+    let relative_residual = |points: &[(f64, f64)]| {
         let scale = points.iter().map(|p| p.1.abs()).fold(0.0, f64::max).powi(2);
-        line(points).1 / scale
+        fit_line(points).1 / scale
     };
     let by_log: Vec<_> = points.iter().map(|p| (p.0.ln(), p.1)).collect();
-    let name = match power {
-        power if power < FLAT => "flat",
-        power if power > LINEAR => "linear",
-        _ if spread(&by_log) < spread(points) => "logarithmic",
+    let growth = match power {
+        power if power < MAX_FLAT_POWER => "flat",
+        power if power > MIN_LINEAR_POWER => "linear",
+        _ if relative_residual(&by_log) < relative_residual(points) => "logarithmic",
         _ => "between logarithmic and linear",
     };
-    Fit { power, name }
+    Fit { power, growth }
 }
 
 #[cfg(test)]
--- a/crates/dunepond-testkit/src/experiments/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/mod.rs
@@ -1,4 +1,4 @@
-//! Each subsystem's measurement, by name.
+//! Experiments of the test kit, one per subsystem. Each runs a workload, mostly with injected faults, and reports figures.
 
 mod background;
 mod bodies;
@@ -17,99 +17,99 @@
 
 use crate::report::Figures;
 
-/// How an experiment is to be run.
+/// Options of one experiment run, as given on the command line.
 pub struct RunOptions {
-    /// Our own program, which hosts the broker.
+    /// Path of the test kit's executable, which also hosts the broker processes.
     pub program: PathBuf,
-    /// With shorter stretches and fewer rounds.
+    /// Whether to use shorter durations and fewer rounds.
     pub quick: bool,
-    /// What is drawn is drawn from this.
+    /// Seed of the random generators; experiments that run several seeds start with this one.
     pub seed: u64,
-    /// Only the cases whose name holds this.
+    /// Runs only the cases whose name contains this text; all cases if absent.
     pub case_filter: Option<String>,
-    /// Plays of so many brokers alone, this many seeds from the one above on, where an experiment plays by seeds.
-    pub brokers: Option<usize>,
-    /// How many seeds are run, where an experiment runs by seeds.
+    /// Simulates only fleets of this many brokers, in experiments that run by seed; used to reproduce a failed seed.
+    pub broker_count: Option<usize>,
+    /// Number of consecutive seeds to run, starting with `seed`, in experiments that run by seed.
     pub seed_count: u64,
 }
 
 impl RunOptions {
-    /// Whether a case is to be run.
+    /// Returns whether the case filter selects the case with this name.
     pub fn includes(&self, case: &str) -> bool {
-        self.case_filter.as_ref().is_none_or(|only| case.contains(only))
+        self.case_filter.as_ref().is_none_or(|filter| case.contains(filter))
     }
 }
 
-/// An experiment by its name.
+/// A registered experiment.
 pub struct Experiment {
-    /// Its name on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// What it measures, in a line.
+    /// One-line description of what the experiment measures.
     pub summary: &'static str,
-    /// Runs it.
+    /// Runs the experiment and returns the figures that it measured.
     pub run: fn(&RunOptions) -> anyhow::Result<Figures>,
 }
 
-/// All experiments.
+/// All experiments, in the order in which they are listed.
 pub const ALL: [Experiment; 12] = [
     Experiment {
         name: "agree",
-        summary: "brokers that agree on versions: contradictions, cuts, time to agree, talk and what it costs",
+        summary: "agreement on versions: contradictions, network partitions, time to agree, message rates and CPU time",
         run: consensus::run,
     },
     Experiment {
         name: "bodies",
-        summary: "memory, small scans' times, copies and runs, with bodies pushed across every limit",
+        summary: "large request bodies beyond every limit: memory, small query latency, copied bytes, repeated parts",
         run: bodies::run,
     },
     Experiment {
         name: "map",
-        summary: "faults planted in shard maps, moves and scans, and what of them is named; what proving costs",
+        summary: "faults injected into shard maps, transitions and query parts: detection rate and verification cost",
         run: shard_map::run,
     },
     Experiment {
         name: "debts",
-        summary: "debts between partners under three traffic mixes, by the rule that picks sources, in simulated time",
+        summary: "debts between partners under three traffic mixes and a flood, by planning rule, in simulated time",
         run: settlement::run,
     },
     Experiment {
         name: "leases",
-        summary: "bounds that the fleet shares by leases, under skewed traffic, against their even split",
+        summary: "fleet-wide quotas shared by leases under skewed traffic, compared with an even split",
         run: quota::run,
     },
     Experiment {
         name: "moves",
-        summary: "segments moved under load by plans, beside a fleet in which nothing moves",
+        summary: "segments moved by plans under load, compared with a fleet in which nothing moves",
         run: rebalance::run,
     },
     Experiment {
         name: "fleet-at-size",
-        summary: "10 to 3,000 brokers in simulated time: faults by seed, time to agree, cost against size",
+        summary: "10 to 3,000 brokers in simulated time: faults by seed, time to agree, cost by fleet size",
         run: fleet_at_size::run,
     },
     Experiment {
         name: "phases",
-        summary: "work, times and honesty of wide scans whose nodes are asked first, with liars and stalls",
+        summary: "wide queries with the prefilter: work saved, latency and correctness with faulty or stalled nodes",
         run: prefilter::run,
     },
     Experiment {
         name: "restart",
-        summary: "a broker killed in an outage, with and without what it knew; crash loops; what keeping it costs",
+        summary: "broker killed in an outage, with and without persisted state; crash loops; cost of persistence",
         run: restart::run,
     },
     Experiment {
         name: "search",
-        summary: "the same scans at both doors before nodes of both kinds; what the API costs; merging",
+        summary: "same queries over both broker interfaces and both node protocols; cost of the search API and merging",
         run: search::run,
     },
     Experiment {
         name: "shutdown",
-        summary: "brokers told to end under clients that use their connections until the kill, by seed (--plays)",
+        summary: "graceful shutdown while clients keep using their connections until SIGKILL, by seed (--plays)",
         run: shutdown::run,
     },
     Experiment {
         name: "work",
-        summary: "a busy foreground beside background work that never ends, in simulated time",
+        summary: "foreground latency next to endless background work, in simulated time",
         run: background::run,
     },
 ];
--- a/crates/dunepond-testkit/src/main.rs
+++ b/crates/dunepond-testkit/src/main.rs
@@ -109,7 +109,7 @@
                 quick,
                 seed,
                 case_filter: only,
-                brokers,
+                broker_count: brokers,
                 seed_count: plays,
             })?;
             if !figures.finish(experiment.name, out.as_deref())? {
