--- a/crates/dunepond-testkit/src/experiments/background.rs
+++ b/crates/dunepond-testkit/src/experiments/background.rs
@@ -1,5 +1,5 @@
-//! A foreground at four fifths of its core beside background work that never ends, in simulated time: what the foreground
-//! feels of it, and whether every job gets its turn.
+//! Simulates one core with a foreground load of 80% next to background work that never ends. Measures how much the
+//! background work raises foreground latency, and whether every background job eventually runs.
 
 use std::collections::BTreeMap;
 
@@ -11,79 +11,86 @@
 use super::RunOptions;
 use crate::report::{Curve, Figures};
 
+/// Share of the core that foreground requests use.
 const FOREGROUND_LOAD: f64 = 0.8;
-/// What a request takes, and a step of background work.
+/// Core time of one foreground request, in seconds.
 const SERVICE_SECONDS: f64 = 500e-6;
+/// Core time of one step of a background job, in seconds.
 const STEP_SECONDS: f64 = 200e-6;
+/// Upper bound on the foreground p99 with background work divided by that without it.
 const MAX_LATENCY_RATIO: f64 = 1.1;
-/// No job waits longer for its first step.
+/// Upper bound on the time that a background job waits for its first step, in simulated seconds.
 const MAX_WAIT_SECONDS: f64 = 10.0;
 
+/// Measurements of one simulated run.
 struct SimulatedRun {
-    times: Histogram<u64>,
-    /// Steps of each job, and the longest wait for a first one.
-    steps: BTreeMap<&'static str, u64>,
-    waited: f64,
-    share: f64,
-    /// Idle jobs that were handed in.
-    added: u64,
+    /// Latencies of foreground requests, in microseconds.
+    latencies_micros: Histogram<u64>,
+    /// Number of steps that ran, by job name.
+    steps_by_job: BTreeMap<&'static str, u64>,
+    /// Longest time that a background job waited for its first step, in simulated seconds.
+    longest_wait_seconds: f64,
+    /// Share of the core that background work used.
+    core_share: f64,
+    /// Number of idle-priority jobs added to the scheduler.
+    idle_jobs_added: u64,
 }
 
-fn spec(name: &'static str, priority: Priority, now: f64) -> JobSpec {
+fn job_spec(name: &'static str, priority: Priority, now: f64) -> JobSpec {
     let kind = JobKind::Step;
     JobSpec { name, priority, kind, cost: JobCost::default(), not_before: now, deadline: None, retry: None }
 }
 
-/// One core: requests that have come go first; where none is there, a step may run, and a request that comes in the
-/// middle of it waits for its end.
-fn play(seed: u64, seconds: f64, background: Option<Budget>) -> SimulatedRun {
+/// Simulates one core for this many seconds, with background work if a budget is given. Queued requests run first; a
+/// background step runs only when no request is queued, and a request that arrives during the step waits for its end.
+fn simulate(seed: u64, seconds: f64, background: Option<Budget>) -> SimulatedRun {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut scheduler = background.map(|budget| {
         let mut scheduler = Scheduler::new(budget, seed);
-        scheduler.add(0.0, spec("endless and urgent", Priority::Urgent, 0.0));
-        scheduler.add(0.0, spec("endless", Priority::Normal, 0.0));
+        scheduler.add(0.0, job_spec("endless and urgent", Priority::Urgent, 0.0));
+        scheduler.add(0.0, job_spec("endless", Priority::Normal, 0.0));
         scheduler
     });
-    let mut draw = || -(1.0 - rng.random::<f64>()).ln() * SERVICE_SECONDS / FOREGROUND_LOAD;
-    let (mut now, mut next, mut idle_at) = (0.0, draw(), 0.0);
-    let mut ran = SimulatedRun {
-        times: Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds are in order"),
-        steps: BTreeMap::new(),
-        waited: 0.0,
-        share: 0.0,
-        added: 0,
+    let mut draw_interarrival = || -(1.0 - rng.random::<f64>()).ln() * SERVICE_SECONDS / FOREGROUND_LOAD;
+    let (mut now, mut next, mut next_idle_job_at) = (0.0, draw_interarrival(), 0.0);
+    let mut result = SimulatedRun {
+        latencies_micros: Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds are in order"),
+        steps_by_job: BTreeMap::new(),
+        longest_wait_seconds: 0.0,
+        core_share: 0.0,
+        idle_jobs_added: 0,
     };
     while now < seconds {
         if next <= now {
             now += SERVICE_SECONDS;
-            let _ = ran.times.record(((now - next) * 1e6) as u64);
-            next += draw();
+            let _ = result.latencies_micros.record(((now - next) * 1e6) as u64);
+            next += draw_interarrival();
             continue;
         }
         let step = scheduler.as_mut().and_then(|scheduler| {
-            // One that nobody minds comes every half second, beside those that never end.
-            if now >= idle_at {
-                idle_at = now + 0.5;
-                ran.added += 1;
-                scheduler.add(now, spec("idle", Priority::Idle, now));
+            // Adds an idle-priority job every half second, next to the endless jobs.
+            if now >= next_idle_job_at {
+                next_idle_job_at = now + 0.5;
+                result.idle_jobs_added += 1;
+                scheduler.add(now, job_spec("idle", Priority::Idle, now));
             }
-            let given = scheduler.next(now, true)?;
-            let outcome = if given.name == "idle" { Outcome::Done } else { Outcome::Yielded };
+            let job = scheduler.next(now, true)?;
+            let outcome = if job.name == "idle" { Outcome::Done } else { Outcome::Yielded };
             scheduler.finish(
                 now + STEP_SECONDS,
-                given.id,
+                job.id,
                 outcome,
                 ResourceUse { seconds: STEP_SECONDS, bytes: 0 },
             );
-            Some(given.name)
+            Some(job.name)
         });
         match step {
             Some(name) => {
-                *ran.steps.entry(name).or_default() += 1;
+                *result.steps_by_job.entry(name).or_default() += 1;
                 now += STEP_SECONDS;
-                ran.share += STEP_SECONDS / seconds;
+                result.core_share += STEP_SECONDS / seconds;
             }
-            // Nothing may run before the next request, or the next time at which something is due.
+            // No background step may run now: advances to the next request or the scheduler's next wakeup.
             None => {
                 let due = scheduler.as_ref().and_then(|s| s.next_wakeup(now)).unwrap_or(f64::MAX);
                 now = next.min(due.max(now + 1e-6));
@@ -92,46 +99,63 @@
     }
     let counts =
         scheduler.iter().flat_map(Scheduler::counters).map(|(_, counts)| counts.longest_wait_seconds);
-    ran.waited = counts.fold(0.0, f64::max);
-    ran
+    result.longest_wait_seconds = counts.fold(0.0, f64::max);
+    result
 }
 
+/// Runs the experiment.
 pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
     let seconds = if options.quick { 60.0 } else { 600.0 };
     let budget = Budget { time_ratio: 0.02, bytes_per_second: 1e6, max_blocking_jobs: 1 };
-    let alone = play(options.seed, seconds, None);
-    let beside = play(options.seed, seconds, Some(budget.clone()));
-    let unbounded = play(options.seed, seconds, Some(Budget { time_ratio: 1.0, ..budget }));
-    let at = |ran: &SimulatedRun, q: f64| ran.times.value_at_quantile(q) as f64 / 1e3;
-    figures.report("foreground alone, p50", at(&alone, 0.5), "ms, simulated");
-    figures.report("foreground alone, p99", at(&alone, 0.99), "ms, simulated");
-    figures.report("beside endless work, p99", at(&beside, 0.99), "ms, simulated");
+    let baseline = simulate(options.seed, seconds, None);
+    let budgeted = simulate(options.seed, seconds, Some(budget.clone()));
+    let unbudgeted = simulate(options.seed, seconds, Some(Budget { time_ratio: 1.0, ..budget }));
+    let latency_ms = |result: &SimulatedRun, quantile: f64| {
+        result.latencies_micros.value_at_quantile(quantile) as f64 / 1e3
+    };
+    figures.report("foreground alone, p50", latency_ms(&baseline, 0.5), "ms, simulated");
+    figures.report("foreground alone, p99", latency_ms(&baseline, 0.99), "ms, simulated");
+    figures.report("beside endless work, p99", latency_ms(&budgeted, 0.99), "ms, simulated");
     figures.report(
         "beside endless work without a budget of time, p99",
-        at(&unbounded, 0.99),
+        latency_ms(&unbudgeted, 0.99),
         "ms, simulated",
     );
     figures.report_bounded(
         "p99 beside endless work, against alone",
-        at(&beside, 0.99) / at(&alone, 0.99),
+        latency_ms(&budgeted, 0.99) / latency_ms(&baseline, 0.99),
         MAX_LATENCY_RATIO,
         "times",
     );
-    figures.report_bounded("share of the core for background work", beside.share, 0.021, "");
-    figures.report_bounded("longest wait for a first step", beside.waited, MAX_WAIT_SECONDS, "s, simulated");
+    figures.report_bounded("share of the core for background work", budgeted.core_share, 0.021, "");
+    figures.report_bounded(
+        "longest wait for a first step",
+        budgeted.longest_wait_seconds,
+        MAX_WAIT_SECONDS,
+        "s, simulated",
+    );
     for name in ["endless and urgent", "endless", "idle"] {
-        figures.report(format!("steps: {name}"), beside.steps.get(name).copied().unwrap_or(0) as f64, "");
+        figures.report(
+            format!("steps: {name}"),
+            budgeted.steps_by_job.get(name).copied().unwrap_or(0) as f64,
+            "",
+        );
     }
-    let jobs = beside.added as f64;
-    let done = beside.steps.get("idle").copied().unwrap_or(0) as f64;
-    figures.report_bounded("idle jobs not done", (jobs - done).max(0.0), MAX_WAIT_SECONDS / 0.5, "");
-    let curve = |name: &str, ran: &SimulatedRun| {
-        let points = (0..=100).map(|i| (i as f64, at(ran, i as f64 / 100.0)));
+    let idle_jobs = budgeted.idle_jobs_added as f64;
+    let idle_jobs_done = budgeted.steps_by_job.get("idle").copied().unwrap_or(0) as f64;
+    figures.report_bounded(
+        "idle jobs not done",
+        (idle_jobs - idle_jobs_done).max(0.0),
+        MAX_WAIT_SECONDS / 0.5,
+        "",
+    );
+    let curve = |name: &str, result: &SimulatedRun| {
+        let points = (0..=100).map(|i| (i as f64, latency_ms(result, i as f64 / 100.0)));
         Curve { name: name.to_string(), points: points.collect() }
     };
     let curves =
-        vec![curve("alone", &alone), curve("beside", &beside), curve("beside, no budget", &unbounded)];
+        vec![curve("alone", &baseline), curve("beside", &budgeted), curve("beside, no budget", &unbudgeted)];
     figures.plot("foreground", "percent of requests", "ms", curves);
     Ok(figures)
 }
--- a/crates/dunepond-testkit/src/experiments/bodies/cases.rs
+++ b/crates/dunepond-testkit/src/experiments/bodies/cases.rs
@@ -1,34 +1,37 @@
-//! Cases of large bodies: how many, which nodes and which disk.
+//! Cases of the body experiment: the requests, the behavior of the nodes and the state of the disk.
 
 use crate::body_cluster::{BodyNodeBehavior, BodyRequest, body_request, mib_bytes};
 
 const SERVING: [BodyNodeBehavior; 3] = [BodyNodeBehavior::Serve; 3];
 
-/// One case.
+/// A set of requests that are sent concurrently to a cluster of its own.
 pub(super) struct Case {
+    /// Name of the case in the figures and for the case filter.
     pub name: &'static str,
     /// Whether bodies may be spilled to files.
-    pub files: bool,
-    /// The most memory for one body, as the operator's file states it.
+    pub spill_to_files: bool,
+    /// Memory limit of a single body, in the syntax of the operator file.
     pub memory_one: &'static str,
+    /// Behavior of each node.
     pub behaviors: [BodyNodeBehavior; 3],
-    /// What the disk does; see [`crate::faulty_disk`].
+    /// Fault of the disk in the syntax of [`crate::faulty_disk`]; empty for a working disk.
     pub disk: &'static str,
+    /// Requests that are sent at the same time.
     pub requests: Vec<BodyRequest>,
 }
 
 impl Case {
-    /// With files, and nodes and a disk that work.
+    /// Creates a case that may spill bodies to files, with serving nodes and a working disk.
     fn new(name: &'static str, memory_one: &'static str, requests: Vec<BodyRequest>) -> Self {
-        Self { name, files: true, memory_one, behaviors: SERVING, disk: "", requests }
+        Self { name, spill_to_files: true, memory_one, behaviors: SERVING, disk: "", requests }
     }
 
-    fn without_files(mut self) -> Self {
-        self.files = false;
+    fn without_spilling(mut self) -> Self {
+        self.spill_to_files = false;
         self
     }
 
-    /// The first node behaves so, the others serve.
+    /// Sets the behavior of the first node; the other nodes serve.
     fn first_node(mut self, behavior: BodyNodeBehavior) -> Self {
         self.behaviors[0] = behavior;
         self
@@ -40,9 +43,9 @@
     }
 }
 
-/// All cases; with fewer requests where it has to be quick.
+/// Returns all cases, with fewer requests each if `quick`.
 pub(super) fn cases(quick: bool) -> Vec<Case> {
-    let many = if quick { 40 } else { 200 };
+    let request_count = if quick { 40 } else { 200 };
     let chunked = |mut request: BodyRequest| {
         request.chunked = true;
         request
@@ -52,29 +55,38 @@
         request
     };
     vec![
-        Case::new("8 MiB each, no files", "8MiB", finds(many, 8)).without_files(),
-        Case::new("8 MiB each, files", "8MiB", finds(many, 8)),
-        Case::new("64 MiB passing", "1MiB", finds(8, 64)).without_files(),
-        Case::new("1 MiB each, chunked", "1MiB", finds(many, 1).into_iter().map(chunked).collect()),
-        Case::new("fix-request, a node refuses half way", "4MiB", fixes(many, 4))
+        Case::new("8 MiB each, no files", "8MiB", find_queries(request_count, 8)).without_spilling(),
+        Case::new("8 MiB each, files", "8MiB", find_queries(request_count, 8)),
+        Case::new("64 MiB passing", "1MiB", find_queries(8, 64)).without_spilling(),
+        Case::new(
+            "1 MiB each, chunked",
+            "1MiB",
+            find_queries(request_count, 1).into_iter().map(chunked).collect(),
+        ),
+        Case::new("fix-request, a node refuses half way", "4MiB", fix_queries(request_count, 4))
             .first_node(BodyNodeBehavior::RefuseMidFrame),
-        Case::new("fix-request, a node closes", "4MiB", fixes(many, 4)).first_node(BodyNodeBehavior::Close),
-        Case::new("a node is stuck", "1MiB", finds(12, 16))
-            .without_files()
+        Case::new("fix-request, a node closes", "4MiB", fix_queries(request_count, 4))
+            .first_node(BodyNodeBehavior::Close),
+        Case::new("a node is stuck", "1MiB", find_queries(12, 16))
+            .without_spilling()
             .first_node(BodyNodeBehavior::StopReading),
-        Case::new("clients leave", "1MiB", finds(many, 4).into_iter().map(disconnecting).collect()),
-        Case::new("the disk is full", "1MiB", finds(many, 4)).disk("full"),
-        Case::new("the disk stalls", "1MiB", finds(many, 4)).disk("stall 2"),
-        Case::new("files cannot be read back", "1MiB", finds(many, 4)).disk("unreadable"),
+        Case::new(
+            "clients leave",
+            "1MiB",
+            find_queries(request_count, 4).into_iter().map(disconnecting).collect(),
+        ),
+        Case::new("the disk is full", "1MiB", find_queries(request_count, 4)).disk("full"),
+        Case::new("the disk stalls", "1MiB", find_queries(request_count, 4)).disk("stall 2"),
+        Case::new("files cannot be read back", "1MiB", find_queries(request_count, 4)).disk("unreadable"),
     ]
 }
 
-/// Idempotent queries of two shards with bodies of this size.
-fn finds(count: usize, mib: u64) -> Vec<BodyRequest> {
+/// Creates idempotent queries of two shards, with bodies of `mib` MiB.
+fn find_queries(count: usize, mib: u64) -> Vec<BodyRequest> {
     (0..count).map(|i| body_request("find", &format!("c{i}"), &[0, 1], mib_bytes(mib))).collect()
 }
 
-/// Queries that must not run twice, of one shard, with bodies of this size.
-fn fixes(count: usize, mib: u64) -> Vec<BodyRequest> {
+/// Creates non-idempotent queries of one shard, with bodies of `mib` MiB.
+fn fix_queries(count: usize, mib: u64) -> Vec<BodyRequest> {
     (0..count).map(|i| body_request("fix", &format!("c{i}"), &[i % 6], mib_bytes(mib))).collect()
 }
--- a/crates/dunepond-testkit/src/experiments/bodies/small_queries.rs
+++ b/crates/dunepond-testkit/src/experiments/bodies/small_queries.rs
@@ -1,4 +1,4 @@
-//! Small queries beside large bodies: what they feel of it.
+//! Measures how large bodies that pass through the broker at the same time affect the latency of small queries.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread;
@@ -11,30 +11,35 @@
 use crate::load::{Load, LoadReport};
 use crate::report::Figures;
 
-/// The latency of small queries beside large bodies, against small queries alone in the same run.
+/// Upper bound on the p99 of small queries next to large bodies divided by that of small queries alone in the same run.
 const MAX_LATENCY_RATIO: f64 = 1.5;
+/// Rate of small queries.
 const REQUESTS_PER_SECOND: f64 = 400.0;
-/// A client on a fast network, not one on this machine's loopback.
+/// Upload rate of a large body: that of a client on a fast network, since loopback would be faster than any real client.
 const STREAM_BYTES_PER_SECOND: u64 = 128_000_000;
-/// A disk that stalls for 2 s at a time, and works well in between.
-const STALL: &str = "stall 2";
-const STALL_TURN: Duration = Duration::from_millis(500);
+/// Disk fault that makes operations stall for 2 s; it is switched on and off every `STALL_TOGGLE_INTERVAL`.
+const DISK_STALL_FAULT: &str = "stall 2";
+/// Time between switching the disk fault on and off.
+const STALL_TOGGLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Small queries of all rounds, in each of three circumstances.
+/// Results of the small queries, one per round for each condition.
 #[derive(Default)]
 struct Rounds {
+    /// Small queries without any large bodies.
     alone: Vec<LoadReport>,
+    /// Small queries next to large bodies that are spilled to files.
     with_files: Vec<LoadReport>,
+    /// Small queries next to large bodies on a disk that stalls from time to time.
     with_stalls: Vec<LoadReport>,
 }
 
-/// The p99 of rounds, in seconds.
-struct RoundLatencies {
+/// Median and maximum of the rounds' p99 latencies, in seconds.
+struct RoundP99s {
     median: f64,
     max: f64,
 }
 
-impl RoundLatencies {
+impl RoundP99s {
     fn of(rounds: &[LoadReport]) -> Self {
         let mut latencies: Vec<_> = rounds.iter().map(|round| round.latency_seconds(0.99)).collect();
         latencies.sort_by(f64::total_cmp);
@@ -42,7 +47,7 @@
     }
 }
 
-/// Runs small queries through one cluster, each time under ids of their own.
+/// Runs small queries on one cluster, with a distinct request id prefix per run.
 struct SmallQueries<'a> {
     cluster: &'a BodyCluster,
     seconds: f64,
@@ -62,34 +67,36 @@
         load.run()
     }
 
-    /// Beside a stream of large bodies, whose answers with 200 are added to `served`.
-    fn run_beside(&self, disk: &str, seed: u64, served: &AtomicU64) -> LoadReport {
+    /// Runs small queries next to a stream of large bodies, with the given disk fault toggled, or a working disk if it is empty.
+    /// Adds the number of large bodies answered with status 200 to `served`.
+    fn run_with_large_bodies(&self, disk_fault: &str, seed: u64, served: &AtomicU64) -> LoadReport {
         let stop = &AtomicBool::new(false);
         let cluster = self.cluster;
-        cluster.set_disk_fault(disk);
+        cluster.set_disk_fault(disk_fault);
         thread::scope(|scope| {
-            let prefix = format!("{seed}{}-", if disk.is_empty() { "f" } else { "d" });
+            let prefix = format!("{seed}{}-", if disk_fault.is_empty() { "f" } else { "d" });
             scope.spawn(move || stream_large_bodies(cluster, &prefix, stop, served));
-            let stalls = scope.spawn(|| stall_by_turns(cluster, disk, stop));
+            let toggler = scope.spawn(|| toggle_disk_fault(cluster, disk_fault, stop));
             let report = self.run(seed);
             stop.store(true, Ordering::Relaxed);
-            let _ = stalls.join();
+            let _ = toggler.join();
             cluster.set_disk_fault("");
             report
         })
     }
 }
 
-fn stall_by_turns(cluster: &BodyCluster, disk: &str, stop: &AtomicBool) {
-    while !disk.is_empty() && !stop.load(Ordering::Relaxed) {
-        thread::sleep(STALL_TURN);
+/// Switches the disk fault off and on until stopped; returns at once if `disk_fault` is empty.
+fn toggle_disk_fault(cluster: &BodyCluster, disk_fault: &str, stop: &AtomicBool) {
+    while !disk_fault.is_empty() && !stop.load(Ordering::Relaxed) {
+        thread::sleep(STALL_TOGGLE_INTERVAL);
         cluster.set_disk_fault("");
-        thread::sleep(STALL_TURN);
-        cluster.set_disk_fault(disk);
+        thread::sleep(STALL_TOGGLE_INTERVAL);
+        cluster.set_disk_fault(disk_fault);
     }
 }
 
-/// Sends bodies of 64 MiB one after the other until it is to stop.
+/// Sends 64 MiB bodies one after the other until stopped, and counts those answered with status 200.
 fn stream_large_bodies(cluster: &BodyCluster, prefix: &str, stop: &AtomicBool, served: &AtomicU64) {
     for i in 0.. {
         if stop.load(Ordering::Relaxed) {
@@ -105,30 +112,30 @@
     }
 }
 
-/// In rounds, of which the middle one counts: a hiccup of the machine in one round is not the broker's.
+/// Measures in several rounds and compares medians, so that a stall of the machine in one round does not decide the result.
 pub(super) fn report_small_queries(options: &RunOptions, figures: &mut Figures) -> anyhow::Result<()> {
     let (round_count, seconds) = if options.quick { (3, 1.0) } else { (7, 2.0) };
     let cluster = cluster(options, &[BodyNodeBehavior::Serve; 3], true, "1MiB");
-    let small = SmallQueries { cluster: &cluster, seconds, runs: AtomicU64::new(0) };
+    let small_queries = SmallQueries { cluster: &cluster, seconds, runs: AtomicU64::new(0) };
     let served = AtomicU64::new(0);
-    small.run(options.seed);
+    small_queries.run(options.seed);
     let mut rounds = Rounds::default();
     for round in 0..round_count {
         let seed = options.seed + 10 * round;
-        rounds.alone.push(small.run(seed));
-        rounds.with_files.push(small.run_beside("", seed + 1, &served));
-        rounds.with_stalls.push(small.run_beside(STALL, seed + 2, &served));
+        rounds.alone.push(small_queries.run(seed));
+        rounds.with_files.push(small_queries.run_with_large_bodies("", seed + 1, &served));
+        rounds.with_stalls.push(small_queries.run_with_large_bodies(DISK_STALL_FAULT, seed + 2, &served));
     }
     let served = served.into_inner();
-    ensure!(served > 0, "no body of 64 MiB was served beside the small scans");
+    ensure!(served > 0, "none of the 64 MiB bodies was answered with status 200 while small queries ran");
     report(figures, &rounds, served);
     Ok(())
 }
 
 fn report(figures: &mut Figures, rounds: &Rounds, served: u64) {
-    let alone = RoundLatencies::of(&rounds.alone);
-    let with_files = RoundLatencies::of(&rounds.with_files);
-    let with_stalls = RoundLatencies::of(&rounds.with_stalls);
+    let alone = RoundP99s::of(&rounds.alone);
+    let with_files = RoundP99s::of(&rounds.with_files);
+    let with_stalls = RoundP99s::of(&rounds.with_stalls);
     figures.report("small scans alone, p99, median of rounds", 1e3 * alone.median, "ms");
     let name = "beside 64 MiB bodies in files, p99, median of rounds";
     figures.report(name, 1e3 * with_files.median, "ms");
@@ -141,8 +148,8 @@
     figures.report_bounded("p99 beside files, against alone", ratio, MAX_LATENCY_RATIO, "times");
     let ratio = with_stalls.median / alone.median;
     figures.report_bounded("p99 beside a stalling disk, against alone", ratio, MAX_LATENCY_RATIO, "times");
-    let all = rounds.alone.iter().chain(&rounds.with_files).chain(&rounds.with_stalls);
-    let not_served: u64 = all.map(|round| round.failed + round.rejected).sum();
+    let all_rounds = rounds.alone.iter().chain(&rounds.with_files).chain(&rounds.with_stalls);
+    let not_served: u64 = all_rounds.map(|round| round.failed + round.rejected).sum();
     figures.report_bounded("small scans lost or refused", not_served as f64, 0.0, "");
     let curves = vec![
         rounds.alone[0].latency_curve("alone"),
