--- a/crates/dunepond-testkit/src/experiments/prefilter/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/prefilter/mod.rs
@@ -1,5 +1,5 @@
-//! Wide queries with and without the prefilter, at several match rates and with several troubles: work at the nodes,
-//! times, and whether any answer was falsely complete.
+//! Runs wide queries with and without the prefilter, at several match rates and under several faults. Measures the work at
+//! the nodes and the latency, and checks that no answer claims to be complete when it is not.
 
 mod side;
 
@@ -8,38 +8,49 @@
 use crate::report::{Curve, Figures};
 use side::{Queries, Side, SideReport, run_sides};
 
-/// What the prefilter may cost where it saves nothing, in parts searched.
+/// Upper bound on the parts searched with the prefilter divided by those without it, where the prefilter saves nothing.
 const MAX_SEARCHED_RATIO: f64 = 1.05;
-/// What it may cost in time: where it saves nothing, and while nodes stall, lie or lag; no trouble of the prefilter may make
-/// queries much slower than without it.
+/// Upper bound on the p50 with the prefilter divided by that without it, where the prefilter saves nothing and while nodes
+/// stall, lie or lag: no fault that affects the prefilter may make queries much slower than without it.
 const MAX_LATENCY_RATIO: f64 = 1.25;
-/// Of how many queries it may be so that they wait until their probes are given up, beyond those searched without any.
+/// Upper bound on the additional share of queries that wait until their probes time out, compared with no prefilter.
 const MAX_LONG_RATIO: f64 = 0.05;
-/// The most that may be left to search where one segment in a hundred matches, in the best round of a few tries: nodes that a busy
-/// machine lets answer late are rightly not asked for a while, and their segments searched.
-const MAX_LEFT_RATIO: f64 = 0.2;
-const TRIES: usize = 3;
+/// Upper bound on the parts searched with the prefilter divided by those without it, where one segment in a hundred matches,
+/// in the best round of up to `MAX_RUNS` runs. On a busy machine nodes answer late; the broker then rightly stops probing them
+/// for a while and searches their segments.
+const MAX_REMAINING_RATIO: f64 = 0.2;
+/// Runs of the comparison at the lowest match rate, until one is within `MAX_REMAINING_RATIO`.
+const MAX_RUNS: usize = 3;
+/// Operator configuration that enables the prefilter.
 const OPERATOR_KDL: &str = "phases least-segments=6 share=0.3 fresh=0 audits=0.01\ncounters every=0.5\n";
+/// Percentages of segments that match a query.
 const MATCH_PERCENTS: [u64; 4] = [1, 10, 50, 100];
-/// Queries of a comparison, of a whole run and of a quick one.
+/// Queries per comparison in a full run.
 const QUERY_COUNT: f64 = 1500.0;
+/// Queries per comparison in a quick run.
 const QUICK_QUERY_COUNT: f64 = 400.0;
 
-/// How each node behaves, by its number.
+/// Returns the behavior of each node by its index.
 type Behaviors = Box<dyn Fn(usize) -> ProbeBehavior + Sync>;
 
-/// What is wrong with nodes or their content.
-struct Trouble {
+/// Faulty nodes, changing content, or both.
+struct FaultScenario {
+    /// Name in the figures.
     name: &'static str,
+    /// Behavior of each node.
     behavior: Behaviors,
+    /// Whether the content of the nodes changes continuously.
     content_changes: bool,
 }
 
-/// Sums over all sides.
+/// Sums over all comparisons.
 #[derive(Default)]
 struct Totals {
+    /// Answers that claimed to be complete and were not.
     falsely_complete: u64,
+    /// Queries without an answer in time.
     late: u64,
+    /// Queries sent.
     queries: u64,
 }
 
@@ -63,7 +74,7 @@
         let [off, on] = compare_at_rate(options, queries, &mut totals);
         report_rate(&mut figures, match_percent, &off, &on);
         let x = match_percent as f64;
-        work_saved.push((x, 100.0 * (1.0 - on.searched / off.searched)));
+        work_saved.push((x, 100.0 * (1.0 - on.searched_per_query / off.searched_per_query)));
         latency_percents.push((x, 100.0 * on.p50_against(&off).median));
     }
     let curves = vec![
@@ -71,18 +82,18 @@
         Curve { name: "p50 on, percent of off".to_string(), points: latency_percents },
     ];
     figures.plot("work-saved", "percent of shards that match", "percent", curves);
-    for trouble in troubles() {
-        eprintln!("{} ...", trouble.name);
-        // At a match rate at which much is pruned.
+    for scenario in fault_scenarios() {
+        eprintln!("{} ...", scenario.name);
+        // A match rate at which the prefilter prunes many segments.
         let queries = Queries { match_percent: 10, count: count / 1.5 };
-        let troubled = Side {
+        let faulty_side = Side {
             operator_kdl: OPERATOR_KDL,
-            behavior: &*trouble.behavior,
-            content_changes: trouble.content_changes,
+            behavior: &*scenario.behavior,
+            content_changes: scenario.content_changes,
         };
-        let [plain, side] = run_sides(options, queries, [honest_side(""), troubled]);
+        let [baseline, side] = run_sides(options, queries, [honest_side(""), faulty_side]);
         totals.add(&side);
-        report_trouble(&mut figures, trouble.name, &plain, &side);
+        report_scenario(&mut figures, scenario.name, &baseline, &side);
     }
     figures.report("nodes, one a cell", REPLICA_GROUP_COUNT as f64, "");
     figures.report("scans asked", totals.queries as f64, "");
@@ -91,11 +102,13 @@
     Ok(figures)
 }
 
+/// A side whose nodes all answer truthfully and whose content does not change.
 fn honest_side(operator_kdl: &str) -> Side<'_> {
     Side { operator_kdl, behavior: &|_| ProbeBehavior::Honest, content_changes: false }
 }
 
-/// Without and with the prefilter; more than once where it has to save much.
+/// Compares queries without and with the prefilter, in this order. At a match rate of 1%, where the prefilter has to save
+/// much, repeats the comparison while it misses the bound, up to `MAX_RUNS` runs.
 fn compare_at_rate(options: &RunOptions, queries: Queries, totals: &mut Totals) -> [SideReport; 2] {
     let mut run = || {
         let sides = run_sides(options, queries, [honest_side(""), honest_side(OPERATOR_KDL)]);
@@ -103,32 +116,35 @@
         sides
     };
     let mut sides = run();
-    for _ in 1..TRIES {
+    for _ in 1..MAX_RUNS {
         let [off, on] = &sides;
-        if queries.match_percent == 1 && on.min_searched > MAX_LEFT_RATIO * off.searched {
+        if queries.match_percent == 1
+            && on.min_searched_per_query > MAX_REMAINING_RATIO * off.searched_per_query
+        {
             sides = run();
         }
     }
     sides
 }
 
+/// Reports work and latency at one match rate.
 fn report_rate(figures: &mut Figures, match_percent: u64, off: &SideReport, on: &SideReport) {
     let name = |what: &str| format!("{match_percent}% match: {what}");
-    figures.report(name("parts searched a scan, off"), off.searched, "");
-    figures.report(name("parts searched a scan, on"), on.searched, "");
-    figures.report(name("questions a scan"), on.probes, "");
-    figures.report(name("bytes of questions and answers a scan"), on.probe_bytes, "");
+    figures.report(name("parts searched a scan, off"), off.searched_per_query, "");
+    figures.report(name("parts searched a scan, on"), on.searched_per_query, "");
+    figures.report(name("questions a scan"), on.probes_per_query, "");
+    figures.report(name("bytes of questions and answers a scan"), on.probe_bytes_per_query, "");
     for (what, quantile) in [("p50", 0.5), ("p99", 0.99)] {
         figures.report(name(&format!("{what}, off")), 1e3 * off.latency_seconds(quantile), "ms");
         figures.report(name(&format!("{what}, on")), 1e3 * on.latency_seconds(quantile), "ms");
     }
-    let ratio = on.searched / off.searched;
+    let ratio = on.searched_per_query / off.searched_per_query;
     match match_percent {
         1 => {
             figures.report(name("parts searched, on against off"), ratio, "times");
-            let best = on.min_searched / off.searched;
+            let best_ratio = on.min_searched_per_query / off.searched_per_query;
             let name = name("parts searched, on against off, best round");
-            figures.report_bounded(name, best, MAX_LEFT_RATIO, "times");
+            figures.report_bounded(name, best_ratio, MAX_REMAINING_RATIO, "times");
         }
         100 => {
             figures.report_bounded(
@@ -146,40 +162,48 @@
     }
 }
 
-fn report_trouble(figures: &mut Figures, trouble: &str, plain: &SideReport, side: &SideReport) {
-    let name = |what: &str| format!("{trouble}: {what}");
-    figures.report(name("parts searched a scan"), side.searched, "");
+/// Reports latency under a fault, compared with queries without the prefilter.
+fn report_scenario(figures: &mut Figures, scenario: &str, baseline: &SideReport, side: &SideReport) {
+    let name = |what: &str| format!("{scenario}: {what}");
+    figures.report(name("parts searched a scan"), side.searched_per_query, "");
     figures.report(name("p50"), 1e3 * side.latency_seconds(0.5), "ms");
-    let ratios = side.p50_against(plain);
+    let ratios = side.p50_against(baseline);
     figures.report(name("p50 against searched plainly, middle of rounds"), ratios.median, "times");
-    let best = name("p50 against searched plainly, best round");
-    figures.report_bounded(best, ratios.min, MAX_LATENCY_RATIO, "times");
-    let long = (side.long_ratio() - plain.long_ratio()).max(0.0);
-    let beyond = name("share over the target time, beyond plainly");
-    figures.report_bounded(beyond, long, MAX_LONG_RATIO, "");
+    let best_name = name("p50 against searched plainly, best round");
+    figures.report_bounded(best_name, ratios.min, MAX_LATENCY_RATIO, "times");
+    let long_ratio = (side.long_ratio() - baseline.long_ratio()).max(0.0);
+    let figure_name = name("share over the target time, beyond plainly");
+    figures.report_bounded(figure_name, long_ratio, MAX_LONG_RATIO, "");
     figures.report(name("p99"), 1e3 * side.latency_seconds(0.99), "ms");
     figures.report(name("refused"), side.rejected as f64, "");
 }
 
-fn troubles() -> Vec<Trouble> {
-    let stable = |name, behavior| Trouble { name, behavior, content_changes: false };
-    let changing = |name, behavior| Trouble { name, behavior, content_changes: true };
+/// Returns all fault scenarios.
+fn fault_scenarios() -> Vec<FaultScenario> {
+    let with_stable_content = |name, behavior| FaultScenario { name, behavior, content_changes: false };
+    let with_changing_content = |name, behavior| FaultScenario { name, behavior, content_changes: true };
     vec![
-        stable("one node stalls", every(usize::MAX, ProbeBehavior::Stall)),
-        stable("a third stall", every(3, ProbeBehavior::Stall)),
-        stable("all stall", every(1, ProbeBehavior::Stall)),
-        stable("a third deny all", every(3, ProbeBehavior::DenyAll)),
-        changing("a third say the old truth, content moves", every(3, ProbeBehavior::StaleContent)),
-        changing("a third lag, content moves", every(3, ProbeBehavior::PreviousVersion)),
-        stable("a third speak of a version to come", every(3, ProbeBehavior::FutureVersion)),
-        stable("a third do not know the letter", every(3, ProbeBehavior::RejectProbe)),
-        changing("all answer after 40 ms, content moves", every(1, ProbeBehavior::ReplyAfterMillis(40))),
-        stable("a third garble", every(3, ProbeBehavior::Malformed)),
-        changing("content moves", every(1, ProbeBehavior::Honest)),
+        with_stable_content("one node stalls", every_nth(usize::MAX, ProbeBehavior::Stall)),
+        with_stable_content("a third stall", every_nth(3, ProbeBehavior::Stall)),
+        with_stable_content("all stall", every_nth(1, ProbeBehavior::Stall)),
+        with_stable_content("a third deny all", every_nth(3, ProbeBehavior::DenyAll)),
+        with_changing_content(
+            "a third say the old truth, content moves",
+            every_nth(3, ProbeBehavior::StaleContent),
+        ),
+        with_changing_content("a third lag, content moves", every_nth(3, ProbeBehavior::PreviousVersion)),
+        with_stable_content("a third speak of a version to come", every_nth(3, ProbeBehavior::FutureVersion)),
+        with_stable_content("a third do not know the letter", every_nth(3, ProbeBehavior::RejectProbe)),
+        with_changing_content(
+            "all answer after 40 ms, content moves",
+            every_nth(1, ProbeBehavior::ReplyAfterMillis(40)),
+        ),
+        with_stable_content("a third garble", every_nth(3, ProbeBehavior::Malformed)),
+        with_changing_content("content moves", every_nth(1, ProbeBehavior::Honest)),
     ]
 }
 
-/// The first node of each `interval` behaves so, the others are honest.
-fn every(interval: usize, behavior: ProbeBehavior) -> Behaviors {
+/// Gives the behavior to the first node of each `interval` nodes; the others answer truthfully.
+fn every_nth(interval: usize, behavior: ProbeBehavior) -> Behaviors {
     Box::new(move |i| if i.is_multiple_of(interval) { behavior } else { ProbeBehavior::Honest })
 }
--- a/crates/dunepond-testkit/src/experiments/prefilter/side.rs
+++ b/crates/dunepond-testkit/src/experiments/prefilter/side.rs
@@ -1,4 +1,4 @@
-//! One side of a comparison: a cluster, its load, and what came of it.
+//! One side of a comparison: a cluster, its load and the measurements.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Barrier};
@@ -14,102 +14,114 @@
 };
 use crate::stand_ins::Answer;
 
-/// Segments of one query.
+/// Segments that each query covers.
 const QUERY_SEGMENTS: usize = 24;
-/// How long a node works on one part, one at a time.
+/// Time a node takes to search one part; a node searches one part at a time.
 const SEARCH_TIME: Duration = Duration::from_micros(800);
+/// Query rate on each side.
 const REQUESTS_PER_SECOND: f64 = 200.0;
-/// The time that a client gives a query.
+/// Time budget of a query, in seconds.
 const BUDGET_SECONDS: f64 = 2.0;
-/// Later than this an answer does not count as in time.
+/// Latency above which an answer counts as late.
 const MAX_ANSWER_TIME: Duration = Duration::from_millis(2050);
+/// Time between two changes of the nodes' content.
 const CONTENT_CHANGE_INTERVAL: Duration = Duration::from_millis(2);
-/// Both sides of a comparison are asked at the same time, in so many rounds, and the best is held to the bound. Beside five
-/// times the load that the machine can bear the middle ones came to 0.3 to 2.4 times where 1.0 is usual, and what is
-/// wrong with the code (waiting for probes' time-outs was 70 times) is in all of them.
+/// Rounds of a comparison. Both sides get their load at the same time, and the bound applies to the best round. On a machine
+/// with five times the load it can handle, the median of rounds was 0.3 to 2.4 where 1.0 is usual. A fault in the code shows
+/// in every round: waiting for probes to time out gave a ratio of 70.
 const ROUNDS: u64 = 7;
-/// Longer than this, the latency objective, a query takes that waits for answers to its probes until these are given up.
+/// The latency objective, in microseconds. A query that waits until its probes time out takes longer than this.
 const LONG_LATENCY_MICROS: u64 = 400_000;
 
-/// How a side is set up.
+/// Setup of one side.
 #[derive(Clone, Copy)]
 pub(super) struct Side<'a> {
-    /// The text of its operator's file.
+    /// Text of the operator file.
     pub operator_kdl: &'a str,
-    /// How each node behaves, by its number.
+    /// Returns the behavior of each node by its index.
     pub behavior: &'a (dyn Fn(usize) -> ProbeBehavior + Sync),
-    /// Whether the nodes' content changes all the time.
+    /// Whether the content of the nodes changes continuously.
     pub content_changes: bool,
 }
 
-/// What is asked on both sides.
+/// Queries that are sent to both sides.
 #[derive(Clone, Copy)]
 pub(super) struct Queries {
-    /// How many of a hundred segments match.
+    /// Percentage of segments that match.
     pub match_percent: u64,
-    /// How many queries, in all rounds together.
+    /// Number of queries over all rounds.
     pub count: f64,
 }
 
-/// What a side's queries came to.
+/// Measurements of one side.
 pub(super) struct SideReport {
+    /// Results of each round.
     rounds: Vec<LoadReport>,
-    /// Of all rounds together, in microseconds.
+    /// Latencies over all rounds, in microseconds.
     pub latencies: Histogram<u64>,
+    /// Queries that the broker rejected.
     pub rejected: u64,
-    /// Parts searched for each query.
-    pub searched: f64,
-    /// The same in the round in which it was least.
-    pub min_searched: f64,
-    /// Probes for each query.
-    pub probes: f64,
-    /// Bytes of probes and their answers for each query.
-    pub probe_bytes: f64,
+    /// Average parts searched per query.
+    pub searched_per_query: f64,
+    /// Average parts searched per query in the round in which this was lowest.
+    pub min_searched_per_query: f64,
+    /// Average probes per query.
+    pub probes_per_query: f64,
+    /// Average bytes of probes and their answers per query.
+    pub probe_bytes_per_query: f64,
+    /// Answers that claimed to be complete and were not.
     pub falsely_complete: u64,
+    /// Queries without an answer in time.
     pub late: u64,
 }
 
-/// Ratios of the rounds' p50 to those of the other side in the same rounds.
+/// Ratios of the p50 of one side to that of the other, round by round.
 pub(super) struct RoundRatios {
+    /// Lowest ratio.
     pub min: f64,
+    /// Median ratio.
     pub median: f64,
 }
 
 impl SideReport {
+    /// Returns a quantile of the latency over all rounds, in seconds.
     pub fn latency_seconds(&self, quantile: f64) -> f64 {
         self.latencies.value_at_quantile(quantile) as f64 / 1e6
     }
 
-    /// The share of queries that took longer than the latency objective.
+    /// Returns the share of queries that took longer than the latency objective.
     pub fn long_ratio(&self) -> f64 {
         let in_time = self.latencies.count_between(0, LONG_LATENCY_MICROS);
         1.0 - in_time as f64 / self.latencies.len().max(1) as f64
     }
 
+    /// Compares the p50 of each round with that of the other side in the same round.
     pub fn p50_against(&self, other: &Self) -> RoundRatios {
-        let ratio = |(ours, others): (&LoadReport, &LoadReport)| {
-            ours.latency_seconds(0.5) / others.latency_seconds(0.5)
-        };
+        let ratio =
+            |(own, other): (&LoadReport, &LoadReport)| own.latency_seconds(0.5) / other.latency_seconds(0.5);
         let mut ratios: Vec<_> = self.rounds.iter().zip(&other.rounds).map(ratio).collect();
         ratios.sort_by(f64::total_cmp);
         RoundRatios { min: ratios[0], median: ratios[ratios.len() / 2] }
     }
 }
 
-/// Asks both sides the same at the same time.
+/// Sends the same queries to both sides at the same time.
 pub(super) fn run_sides(options: &RunOptions, queries: Queries, sides: [Side; 2]) -> [SideReport; 2] {
-    let together = &Barrier::new(2);
+    let barrier = &Barrier::new(2);
     thread::scope(|scope| {
-        let start = |side| scope.spawn(move || run_side(options, queries, side, together));
-        sides.map(start).map(|side| side.join().expect("a side ends"))
+        let start = |side| scope.spawn(move || run_side(options, queries, side, barrier));
+        sides.map(start).map(|side| side.join().expect("the thread of a side does not panic"))
     })
 }
 
-/// What is counted while answers come.
+/// Counters that are updated as answers arrive.
 #[derive(Default)]
 struct Counts {
+    /// Completed queries, with or without an answer.
     answers: AtomicU64,
+    /// Answers that claimed to be complete and were not.
     falsely_complete: AtomicU64,
+    /// Queries that got no answer or a late one.
     late: AtomicU64,
 }
 
@@ -131,6 +143,7 @@
     }
 }
 
+/// A query, derived from its number.
 struct Query {
     segments: Vec<usize>,
     term: String,
@@ -143,12 +156,13 @@
     }
 }
 
-fn run_side(options: &RunOptions, queries: Queries, side: Side, together: &Barrier) -> SideReport {
+/// Starts a cluster, runs all rounds and sums up the counters. Waits at the barrier before each round.
+fn run_side(options: &RunOptions, queries: Queries, side: Side, barrier: &Barrier) -> SideReport {
     let cluster =
         PrefilterCluster::start(&options.program, side.operator_kdl, SEARCH_TIME, true, side.behavior);
     let counts = Arc::new(Counts::default());
     let stop = AtomicBool::new(false);
-    let mut min_searched = f64::MAX;
+    let mut min_searched_per_query = f64::MAX;
     let rounds: Vec<LoadReport> = thread::scope(|scope| {
         scope.spawn(|| {
             if side.content_changes {
@@ -157,11 +171,12 @@
         });
         let mut rounds = Vec::new();
         for round in 0..ROUNDS {
-            together.wait();
+            barrier.wait();
             let searches_before = cluster.searches();
             let report = run_round(options, queries, round, &cluster, &counts);
             let searches = (cluster.searches() - searches_before) as f64;
-            min_searched = min_searched.min(searches / report.latencies.len().max(1) as f64);
+            min_searched_per_query =
+                min_searched_per_query.min(searches / report.latencies.len().max(1) as f64);
             rounds.push(report);
         }
         stop.store(true, Ordering::Relaxed);
@@ -169,15 +184,15 @@
     });
     let mut latencies = rounds[0].latencies.clone();
     for round in &rounds[1..] {
-        latencies.add(&round.latencies).expect("all have the same bounds");
+        latencies.add(&round.latencies).expect("all rounds use histograms with the same bounds");
     }
     let answers = counts.answers.load(Ordering::Relaxed).max(1) as f64;
     let failed: u64 = rounds.iter().map(|round| round.failed).sum();
     SideReport {
-        searched: cluster.searches() as f64 / answers,
-        min_searched,
-        probes: cluster.probes() as f64 / answers,
-        probe_bytes: cluster.probe_bytes() as f64 / answers,
+        searched_per_query: cluster.searches() as f64 / answers,
+        min_searched_per_query,
+        probes_per_query: cluster.probes() as f64 / answers,
+        probe_bytes_per_query: cluster.probe_bytes() as f64 / answers,
         falsely_complete: counts.falsely_complete.load(Ordering::Relaxed),
         late: counts.late.load(Ordering::Relaxed) + failed,
         rejected: rounds.iter().map(|round| round.rejected).sum(),
@@ -186,6 +201,7 @@
     }
 }
 
+/// Runs the queries of one round.
 fn run_round(
     options: &RunOptions,
     queries: Queries,
@@ -214,6 +230,7 @@
     )
 }
 
+/// Advances the content version of one segment after the other until stopped.
 fn change_content(corpus: &Corpus, stop: &AtomicBool) {
     for segment in (0..SEGMENT_COUNT).cycle() {
         if stop.load(Ordering::Relaxed) {
