--- a/crates/dunepond-testkit/src/experiments/rebalance.rs
+++ b/crates/dunepond-testkit/src/experiments/rebalance.rs
@@ -1,5 +1,5 @@
-//! Segments moved by plans under a steady load, beside a fleet in which nothing moves: the same load at the same time, and
-//! each of the two moves in turn, so that what the machine does to one it does to both.
+//! Moves segments by plans under a steady load and compares the latency with a fleet in which nothing moves. Both fleets get
+//! the same load at the same time and alternate in moving, so that other load on the machine affects both alike.
 
 use std::collections::BTreeMap;
 use std::thread;
@@ -15,83 +15,95 @@
 use crate::processes::wait_until;
 use crate::report::{Curve, Figures};
 
-const REQUEST_GAP: Duration = Duration::from_millis(15);
+/// Pause of each client between two requests.
+const REQUEST_PAUSE: Duration = Duration::from_millis(15);
+/// Upper bound on the p99 next to a move divided by that in the undisturbed fleet.
 const MAX_LATENCY_RATIO: f64 = 1.2;
-/// Segments that go to and fro, with who owns them at first and then.
+/// Segments that move back and forth, each with its original owner and its other owner.
 const MOVED_SEGMENTS: [(u64, &str, &str); 2] = [(0, "s-0", "s-2"), (3, "s-3", "s-5")];
-/// Of a fill, seconds.
+/// Duration of a fill, in seconds.
 const FILL_SECONDS: f64 = 0.3;
-
-/// Of the queries that may run twice, so many may fail beside a move.
+/// Upper bound on the share of idempotent queries that fail next to a move.
 const MAX_NOT_SERVED_RATIO: f64 = 0.01;
-/// Load before a move and behind it.
-const AROUND_MOVE: Duration = Duration::from_millis(300);
+/// Duration of the load before a move starts and after it ends.
+const AROUND_MOVE_DURATION: Duration = Duration::from_millis(300);
 
-struct Moving {
+/// A fleet and the state of its moves.
+struct MovingFleet {
     fleet: Fleet,
-    /// The last version's number, and whether the segments are where they were at first.
-    number: u64,
-    home: bool,
+    /// Number of the last version.
+    last_version: u64,
+    /// Whether the moved segments are at their original owners.
+    at_original_owners: bool,
 }
 
-impl Moving {
+impl MovingFleet {
+    /// Returns a plan that moves each of [`MOVED_SEGMENTS`] to the owner that it does not have now.
     fn plan(&self, id: &str) -> Value {
-        let operation = |(segment, first, then): (u64, &str, &str)| {
-            let (from, to) = if self.home { (first, then) } else { (then, first) };
+        let operation = |(segment, original, other): (u64, &str, &str)| {
+            let (from, to) = if self.at_original_owners { (original, other) } else { (other, original) };
             json!({"move": {"segment": segment, "from": from, "to": to}})
         };
         json!({"id": id, "who": "lab", "why": "an experiment", "operations": MOVED_SEGMENTS.map(operation)})
     }
 
-    /// Moves the segments by a version that fills and one that switches; false where that did not come.
-    fn moves(&mut self, id: &str) -> bool {
+    /// Moves the segments by one version that fills and one that switches owners. Returns false if the switch did not become
+    /// active at all brokers.
+    fn run_move(&mut self, id: &str) -> bool {
         self.fleet.propose_plan(1, &self.plan(id));
-        let (brokers, number) = (self.fleet.options.brokers, self.number + 2);
-        let there = |i| {
+        let (brokers, number) = (self.fleet.options.brokers, self.last_version + 2);
+        let is_active = |i| {
             let recorded = self.fleet.phase(i);
-            recorded.is_some_and(|it| it.phase == AuditPhase::Active && it.last_version == number)
+            recorded.is_some_and(|state| state.phase == AuditPhase::Active && state.last_version == number)
         };
-        if !wait_until(|| (0..brokers).all(there)) {
+        if !wait_until(|| (0..brokers).all(is_active)) {
             return false;
         }
-        self.home = !self.home;
-        let owners =
-            MOVED_SEGMENTS.map(|(segment, first, then)| (segment, if self.home { first } else { then }));
+        self.at_original_owners = !self.at_original_owners;
+        let owners = MOVED_SEGMENTS.map(|(segment, original, other)| {
+            (segment, if self.at_original_owners { original } else { other })
+        });
         self.fleet.expect_plan_step(number - 1, &[]);
         self.fleet.expect_plan_step(number, &owners);
-        self.number = number;
+        self.last_version = number;
         true
     }
 }
 
-fn is_fix(one: &QueryOutcome) -> bool {
-    QUERY_CLASSES[one.kind] == NON_IDEMPOTENT_CLASS
+/// Whether the query is of the class that must not run twice.
+fn is_non_idempotent(outcome: &QueryOutcome) -> bool {
+    QUERY_CLASSES[outcome.kind] == NON_IDEMPOTENT_CLASS
 }
 
-/// Of each segment that moved: from the first fix that was turned away to the end of the last.
-fn refused(outcomes: &[QueryOutcome]) -> (usize, f64) {
+/// Returns the number of rejected non-idempotent queries, and the longest time for which those of one segment were rejected,
+/// from the start of the first to the end of the last, in seconds.
+fn rejection_times(outcomes: &[QueryOutcome]) -> (usize, f64) {
     let mut spans: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
-    let Some(first) = outcomes.first().map(|one| one.started_at) else { return (0, 0.0) };
-    let refused: Vec<_> = outcomes.iter().filter(|one| is_fix(one) && one.status == Some(429)).collect();
-    for one in &refused {
-        let began = one.started_at.duration_since(first).as_secs_f64();
-        let span = spans.entry(one.segment).or_insert((began, began + one.latency_seconds));
-        span.1 = span.1.max(began + one.latency_seconds);
+    let Some(first) = outcomes.first().map(|outcome| outcome.started_at) else { return (0, 0.0) };
+    let rejected: Vec<_> =
+        outcomes.iter().filter(|outcome| is_non_idempotent(outcome) && outcome.status == Some(429)).collect();
+    for outcome in &rejected {
+        let began = outcome.started_at.duration_since(first).as_secs_f64();
+        let span = spans.entry(outcome.segment).or_insert((began, began + outcome.latency_seconds));
+        span.1 = span.1.max(began + outcome.latency_seconds);
     }
-    (refused.len(), spans.values().map(|(from, to)| to - from).fold(0.0, f64::max))
+    (rejected.len(), spans.values().map(|(from, to)| to - from).fold(0.0, f64::max))
 }
 
-/// What all rounds came to.
+/// Measurements of all rounds.
 #[derive(Default)]
 struct Measured {
-    /// Queries of the fleet in which nothing moved.
+    /// Outcomes in the fleet in which nothing moved.
     undisturbed: Vec<QueryOutcome>,
-    /// Queries beside a move.
+    /// Outcomes in the fleet that moved segments.
     moved: Vec<QueryOutcome>,
-    /// The p99 beside a move against undisturbed, round by round.
+    /// The p99 next to a move divided by that in the undisturbed fleet, for each round.
     p99_ratios: Vec<f64>,
-    rejected_fixes: usize,
+    /// Non-idempotent queries that were rejected next to a move.
+    rejected_non_idempotent: usize,
+    /// Longest time for which non-idempotent queries of one segment were rejected, in seconds.
     longest_rejection_seconds: f64,
+    /// Moves that did not complete in time.
     failed_moves: usize,
 }
 
@@ -104,14 +116,17 @@
         extra_lines: vec!["moves \"OWN.plan\" at-once=4 settle=0.1".to_string()],
         ..FleetOptions::new(&options.program, 3, 5)
     };
-    let mut fleets =
-        [(); 2].map(|()| Moving { fleet: Fleet::start_with_version(fleet_options()), number: 1, home: true });
-    fleets.iter().for_each(|one| one.fleet.filler.set_fill_seconds(FILL_SECONDS));
+    let mut fleets = [(); 2].map(|()| MovingFleet {
+        fleet: Fleet::start_with_version(fleet_options()),
+        last_version: 1,
+        at_original_owners: true,
+    });
+    fleets.iter().for_each(|moving| moving.fleet.filler.set_fill_seconds(FILL_SECONDS));
     let measured = measure(&mut fleets, rounds);
     report_latencies(&mut figures, &measured);
     report_rejections(&mut figures, &measured, &fleets[0].fleet.options);
     let done = (rounds - measured.failed_moves) * MOVED_SEGMENTS.len();
-    let moved_bytes: u64 = fleets.iter().map(|one| one.fleet.filler.moved_bytes()).sum();
+    let moved_bytes: u64 = fleets.iter().map(|moving| moving.fleet.filler.moved_bytes()).sum();
     let ratio = moved_bytes as f64 / (done as u64 * SEGMENT_BYTES).max(1) as f64;
     figures.report_bounded("bytes moved, against the least possible", ratio, 1.0, "times");
     report_findings(&mut figures, &fleets);
@@ -123,24 +138,24 @@
     Ok(figures)
 }
 
-/// In each round one of the two moves, by turns.
-fn measure(fleets: &mut [Moving; 2], rounds: usize) -> Measured {
+/// Runs all rounds; the two fleets alternate in moving.
+fn measure(fleets: &mut [MovingFleet; 2], rounds: usize) -> Measured {
     let mut measured = Measured::default();
     let brokers = fleets[0].fleet.options.brokers;
     for round in 0..rounds {
         eprintln!("round {} of {rounds} ...", round + 1);
-        let turn = round % 2;
-        let loads = fleets.each_ref().map(|one| one.fleet.clients(0..brokers, REQUEST_GAP));
-        thread::sleep(AROUND_MOVE);
-        // Every other fill breaks off half way and goes on from there.
-        fleets[turn].fleet.filler.fail_next(1);
-        measured.failed_moves += usize::from(!fleets[turn].moves(&format!("round-{round}")));
-        thread::sleep(AROUND_MOVE);
-        let [one, other] = loads.map(|load| load.stop());
-        let (moved, undisturbed) = if turn == 0 { (one, other) } else { (other, one) };
+        let moving_index = round % 2;
+        let loads = fleets.each_ref().map(|moving| moving.fleet.clients(0..brokers, REQUEST_PAUSE));
+        thread::sleep(AROUND_MOVE_DURATION);
+        // One of the two fills fails half way and resumes from there.
+        fleets[moving_index].fleet.filler.fail_next(1);
+        measured.failed_moves += usize::from(!fleets[moving_index].run_move(&format!("round-{round}")));
+        thread::sleep(AROUND_MOVE_DURATION);
+        let [first, second] = loads.map(|load| load.stop());
+        let (moved, undisturbed) = if moving_index == 0 { (first, second) } else { (second, first) };
         measured.p99_ratios.push(p99_ms(&moved) / p99_ms(&undisturbed).max(1e-3));
-        let (count, seconds) = refused(&moved);
-        measured.rejected_fixes += count;
+        let (count, seconds) = rejection_times(&moved);
+        measured.rejected_non_idempotent += count;
         measured.longest_rejection_seconds = measured.longest_rejection_seconds.max(seconds);
         measured.moved.extend(moved);
         measured.undisturbed.extend(undisturbed);
@@ -148,10 +163,12 @@
     measured
 }
 
+/// Returns the p99 latency of idempotent queries in milliseconds.
 fn p99_ms(outcomes: &[QueryOutcome]) -> f64 {
     1e3 * latency_quantile(outcomes, QueryOutcome::is_idempotent, 0.99)
 }
 
+/// Reports the latency of idempotent queries next to a move, compared with the undisturbed fleet.
 fn report_latencies(figures: &mut Figures, measured: &Measured) {
     let (undisturbed, moved) = (p99_ms(&measured.undisturbed), p99_ms(&measured.moved));
     figures.report("scans beside a move", measured.moved.len() as f64, "");
@@ -162,16 +179,17 @@
     let (pooled, median) = (moved / undisturbed, ratios[ratios.len() / 2]);
     figures.report("p99 beside a move, against undisturbed, all rounds together", pooled, "times");
     figures.report("the same, median of rounds", median, "times");
-    // What the machine does lifts the one or the other; what a move costs lifts both.
+    // Other load on the machine raises one of the two ratios; a real cost of a move raises both.
     figures.report_bounded("the same, the lesser of both", pooled.min(median), MAX_LATENCY_RATIO, "times");
 }
 
+/// Reports the queries that were rejected or failed next to a move.
 fn report_rejections(figures: &mut Figures, measured: &Measured, fleet_options: &FleetOptions) {
-    let rejected = measured.undisturbed.iter().filter(|one| one.status == Some(429)).count();
-    figures.report("fixes turned away during switches", measured.rejected_fixes as f64, "");
+    let rejected = measured.undisturbed.iter().filter(|outcome| outcome.status == Some(429)).count();
+    figures.report("fixes turned away during switches", measured.rejected_non_idempotent as f64, "");
     figures.report("scans turned away where nothing moved", rejected as f64, "");
-    let idempotent = measured.moved.iter().filter(|one| !is_fix(one));
-    let not_served = idempotent.clone().filter(|one| one.status != Some(200)).count();
+    let idempotent = measured.moved.iter().filter(|outcome| !is_non_idempotent(outcome));
+    let not_served = idempotent.clone().filter(|outcome| outcome.status != Some(200)).count();
     let ratio = not_served as f64 / idempotent.count().max(1) as f64;
     figures.report_bounded("replayable scans not served beside a move", ratio, MAX_NOT_SERVED_RATIO, "share");
     let bound = fleet_options.lease_bound_seconds + fleet_options.lease_seconds;
@@ -181,10 +199,12 @@
     figures.report_bounded("moves that did not come to their end", failed, 0.0, "");
 }
 
-fn report_findings(figures: &mut Figures, fleets: &[Moving; 2]) {
-    let found: Vec<_> = fleets.iter().flat_map(|one| one.fleet.audit()).collect();
-    found.iter().take(5).for_each(|finding| eprintln!("{finding}"));
-    let count = |is: fn(&Finding) -> bool| found.iter().filter(|finding| is(finding)).count() as f64;
+/// Reports the auditor's findings in both fleets.
+fn report_findings(figures: &mut Figures, fleets: &[MovingFleet; 2]) {
+    let findings: Vec<_> = fleets.iter().flat_map(|moving| moving.fleet.audit()).collect();
+    findings.iter().take(5).for_each(|finding| eprintln!("{finding}"));
+    let count =
+        |matches: fn(&Finding) -> bool| findings.iter().filter(|finding| matches(finding)).count() as f64;
     let ran_twice = |finding: &Finding| {
         matches!(
             finding,
@@ -195,11 +215,12 @@
         |finding: &Finding| matches!(finding, Finding::FalselyComplete { .. } | Finding::MixedEpochs { .. });
     figures.report_bounded("non-replayable parts doubled, or at two owners", count(ran_twice), 0.0, "");
     figures.report_bounded("answers falsely whole", count(falsely_complete), 0.0, "");
-    figures.report_bounded("findings of the auditor in all", found.len() as f64, 0.0, "");
-    let contradictions = fleets.iter().map(|one| longest_contradiction(&one.fleet.records()));
+    figures.report_bounded("findings of the auditor in all", findings.len() as f64, 0.0, "");
+    let contradictions = fleets.iter().map(|moving| longest_contradiction(&moving.fleet.records()));
     figures.report_bounded("longest contradiction", contradictions.fold(0.0, f64::max), 0.0, "s");
 }
 
+/// Returns the latency of idempotent queries in milliseconds by percentile.
 fn latency_curve(name: &str, outcomes: &[QueryOutcome]) -> Curve {
     let point = |percent: u32| {
         let percent = f64::from(percent);
--- a/crates/dunepond-testkit/src/experiments/search.rs
+++ b/crates/dunepond-testkit/src/experiments/search.rs
@@ -1,5 +1,5 @@
-//! The same scans at both doors, before nodes of both kinds: the same outcomes, what the API's door costs, and how long
-//! merging takes.
+//! Sends the same queries through the broker's own HTTP interface and through the search API, in front of nodes of both
+//! protocols. Checks that the outcomes are the same, and measures what the API costs and how long merging hits takes.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -14,23 +14,26 @@
 use super::RunOptions;
 use crate::load::{Load, LoadReport};
 use crate::report::Figures;
-use crate::search_cluster::{NodeProtocol, SearchCluster, SearchNodeBehavior, http_request as http};
+use crate::search_cluster::{NodeProtocol, SearchCluster, SearchNodeBehavior, http_request as api_request};
 
-const RATE: f64 = 300.0;
-/// The API's door, against the first, for equal texts.
-const DEARER: f64 = 1.3;
-const MERGE_MS: f64 = 2.0;
+/// Query rate.
+const REQUESTS_PER_SECOND: f64 = 300.0;
+/// Upper bound on CPU time per query through the search API divided by that through the broker's own interface, for the same
+/// query text.
+const MAX_CPU_RATIO: f64 = 1.3;
+/// Upper bound on the time to merge 10 parts of 1,000 hits, in milliseconds.
+const MAX_MERGE_MS: f64 = 2.0;
 
-/// Seconds of the core that a process has taken so far.
-fn cpu(pid: u32) -> f64 {
+/// Returns the CPU time that a process has used so far, in seconds.
+fn process_cpu_seconds(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<_> = stat.rsplit_once(") ").map_or("", |(_, rest)| rest).split(' ').collect();
-    let ticks = |at: usize| fields.get(at).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
+    let ticks = |index: usize| fields.get(index).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
     (ticks(11) + ticks(12)) / 100.0
 }
 
-/// The text of a search as nodes are sent it, so that both doors carry the same.
-fn text() -> String {
+/// Returns the body of a search as the broker sends it to nodes, so that both interfaces carry the same query.
+fn search_body() -> String {
     let names = ["all".to_string()];
     match request::parse("GET", "/all/_search", b"", &names, &RequestLimits::default()) {
         Ok(ApiRequest::Search(search)) => search.node_request_body(),
@@ -38,67 +41,77 @@
     }
 }
 
-fn first(id: &str) -> String {
-    let buckets: Vec<_> = (0..6).map(|seg| json!({"bucket": seg, "part": 1.0 / 6.0})).collect();
-    let body = json!({"buckets": buckets, "body": text()}).to_string();
+/// Returns a query over six segments for the broker's own interface.
+fn own_interface_request(id: &str) -> String {
+    let buckets: Vec<_> = (0..6).map(|segment| json!({"bucket": segment, "part": 1.0 / 6.0})).collect();
+    let body = json!({"buckets": buckets, "body": search_body()}).to_string();
     let length = body.len();
     format!(
         "POST /all HTTP/1.1\r\nX-Call-Id: {id}\r\nX-Budget: 2.0\r\nContent-Length: {length}\r\n\r\n{body}"
     )
 }
 
-struct Ran {
+/// Measurements of one run.
+struct RunResult {
+    /// Results of the queries.
     load_report: LoadReport,
-    /// Seconds of the broker's core for each scan.
-    cost: f64,
-    twice: usize,
+    /// CPU time of the broker per query, in seconds.
+    cpu_seconds_per_query: f64,
+    /// Parts that ran more than once.
+    repeated_parts: usize,
 }
 
-/// So many seconds of scans at one door, before nodes of one kind that behave as told.
-fn ran(
+/// Runs queries for this many seconds through one interface, in front of nodes of one protocol. `behaviors` lists the nodes
+/// that do not serve, each with its behavior.
+fn run_queries(
     options: &RunOptions,
     api: bool,
-    speech: NodeProtocol,
+    protocol: NodeProtocol,
     behaviors: &[(usize, SearchNodeBehavior)],
     seconds: f64,
-) -> Ran {
-    let cluster = SearchCluster::start(&options.program, &[speech; 4], "");
+) -> RunResult {
+    let cluster = SearchCluster::start(&options.program, &[protocol; 4], "");
     behaviors.iter().for_each(|(node, behavior)| cluster.nodes[*node].set_behavior(*behavior));
     let to = if api { cluster.api_address } else { cluster.broker.address };
-    let load = |prefix: &'static str, seconds: f64| {
+    let run_load = |prefix: &'static str, seconds: f64| {
         let load = Load {
             to,
-            requests_per_second: RATE,
+            requests_per_second: REQUESTS_PER_SECOND,
             duration_seconds: seconds,
             seed: options.seed,
             id_prefix: prefix,
         };
         load.run_with(
             move |i| {
-                if api { http("GET", "/all/_search?timeout=2s", "") } else { first(&format!("{prefix}{i}")) }
+                if api {
+                    api_request("GET", "/all/_search?timeout=2s", "")
+                } else {
+                    own_interface_request(&format!("{prefix}{i}"))
+                }
             },
             |_, _, _| {},
         )
     };
-    load("w", 0.5);
-    let before = cpu(cluster.broker.pid());
-    let load_report = load("c", seconds);
-    let cost = (cpu(cluster.broker.pid()) - before) / load_report.latencies.len().max(1) as f64;
-    Ran { load_report, cost, twice: cluster.repeated_parts() }
+    run_load("w", 0.5);
+    let before = process_cpu_seconds(cluster.broker.pid());
+    let load_report = run_load("c", seconds);
+    let cpu_seconds_per_query =
+        (process_cpu_seconds(cluster.broker.pid()) - before) / load_report.latencies.len().max(1) as f64;
+    RunResult { load_report, cpu_seconds_per_query, repeated_parts: cluster.repeated_parts() }
 }
 
-/// The first 100 of ten parts of a thousand hits each, in milliseconds, without their reading.
-fn merging(seed: u64) -> f64 {
+/// Returns the median time to merge ten parts of 1,000 hits each, in milliseconds, without parsing them.
+fn merge_milliseconds(seed: u64) -> f64 {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let sort = [SortKey { field: "n".to_string(), descending: true, missing_first: false }];
-    let mut took = Vec::new();
+    let mut elapsed_ms = Vec::new();
     for _ in 0..20 {
         let parts: Vec<_> = (0..10)
             .map(|_| {
                 let mut keys: Vec<u32> = (0..1000).map(|_| rng.random_range(0..1_000_000)).collect();
                 keys.sort_unstable_by(|a, b| b.cmp(a));
-                let hits = keys.into_iter().enumerate().map(|(at, key)| Hit {
-                    id: at.to_string(),
+                let hits = keys.into_iter().enumerate().map(|(index, key)| Hit {
+                    id: index.to_string(),
                     score: None,
                     sort: vec![json!(key)],
                     source: RawValue::from_string(r#"{"path":"src/lib.rs"}"#.to_string()).ok(),
@@ -113,50 +126,55 @@
             })
             .collect();
         let began = Instant::now();
-        let mut merge = HitMerger::new(&sort, 1000);
-        parts.into_iter().enumerate().for_each(|(seg, found)| merge.add(seg, found));
-        let hits = merge.into_hits("all", 0);
-        took.push(1e3 * began.elapsed().as_secs_f64());
+        let mut merger = HitMerger::new(&sort, 1000);
+        parts.into_iter().enumerate().for_each(|(segment, part)| merger.add(segment, part));
+        let hits = merger.into_hits("all", 0);
+        elapsed_ms.push(1e3 * began.elapsed().as_secs_f64());
         assert_eq!(hits.len(), 1000);
     }
-    took.sort_by(f64::total_cmp);
-    took[took.len() / 2]
+    elapsed_ms.sort_by(f64::total_cmp);
+    elapsed_ms[elapsed_ms.len() / 2]
 }
 
+/// Runs the experiment.
 pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
     let seconds = if options.quick { 1.5 } else { 8.0 };
     let mut costs = BTreeMap::new();
-    let mut different = 0u64;
-    let troubles: [(&str, &[(usize, SearchNodeBehavior)]); 3] = [
+    let mut not_served = 0u64;
+    let scenarios: [(&str, &[(usize, SearchNodeBehavior)]); 3] = [
         ("all serve", &[]),
         ("one faults", &[(0, SearchNodeBehavior::Fault)]),
         ("one hangs", &[(0, SearchNodeBehavior::Hang)]),
     ];
-    for (name, behaviors) in troubles {
-        for (door, api) in [("first door", false), ("API", true)] {
-            for (kind, speech) in [("frames", NodeProtocol::Frames), ("API nodes", NodeProtocol::Api)] {
-                eprintln!("{name}, {door}, {kind} ...");
-                let ran = ran(options, api, speech, behaviors, seconds);
-                let all = ran.load_report.latencies.len();
-                // Whatever the door and the nodes: all of them are served.
-                different += all - ran.load_report.served;
-                let label = format!("{name}, {door}, {kind}");
-                figures.report(format!("{label}: served of {all}"), ran.load_report.served as f64, "");
-                figures.report(format!("{label}: p50"), 1e3 * ran.load_report.latency_seconds(0.5), "ms");
-                figures.report(format!("{label}: p99"), 1e3 * ran.load_report.latency_seconds(0.99), "ms");
-                figures.report(format!("{label}: core a scan"), 1e6 * ran.cost, "us");
-                figures.report(format!("{label}: parts that ran twice (copies)"), ran.twice as f64, "");
-                costs.insert((name, door, kind), ran.cost);
+    for (name, behaviors) in scenarios {
+        for (interface, api) in [("first door", false), ("API", true)] {
+            for (kind, protocol) in [("frames", NodeProtocol::Frames), ("API nodes", NodeProtocol::Api)] {
+                eprintln!("{name}, {interface}, {kind} ...");
+                let result = run_queries(options, api, protocol, behaviors, seconds);
+                let total = result.load_report.latencies.len();
+                // Every query has to be served, through both interfaces and with both node protocols.
+                not_served += total - result.load_report.served;
+                let label = format!("{name}, {interface}, {kind}");
+                figures.report(format!("{label}: served of {total}"), result.load_report.served as f64, "");
+                figures.report(format!("{label}: p50"), 1e3 * result.load_report.latency_seconds(0.5), "ms");
+                figures.report(format!("{label}: p99"), 1e3 * result.load_report.latency_seconds(0.99), "ms");
+                figures.report(format!("{label}: core a scan"), 1e6 * result.cpu_seconds_per_query, "us");
+                figures.report(
+                    format!("{label}: parts that ran twice (copies)"),
+                    result.repeated_parts as f64,
+                    "",
+                );
+                costs.insert((name, interface, kind), result.cpu_seconds_per_query);
             }
         }
     }
-    figures.report_bounded("scans not served whole, all combinations", different as f64, 0.0, "");
-    let cost = |door, kind| costs.get(&("all serve", door, kind)).copied().unwrap_or(f64::MAX);
+    figures.report_bounded("scans not served whole, all combinations", not_served as f64, 0.0, "");
+    let cost = |interface, kind| costs.get(&("all serve", interface, kind)).copied().unwrap_or(f64::MAX);
     figures.report_bounded(
         "core a scan, API against first door, frames",
         cost("API", "frames") / cost("first door", "frames"),
-        DEARER,
+        MAX_CPU_RATIO,
         "times",
     );
     figures.report(
@@ -164,6 +182,11 @@
         cost("API", "API nodes") / cost("first door", "API nodes"),
         "times",
     );
-    figures.report_bounded("merging 10 parts of 1,000 hits, median", merging(options.seed), MERGE_MS, "ms");
+    figures.report_bounded(
+        "merging 10 parts of 1,000 hits, median",
+        merge_milliseconds(options.seed),
+        MAX_MERGE_MS,
+        "ms",
+    );
     Ok(figures)
 }
