--- a/crates/dunepond-testkit/src/experiments/settlement/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/settlement/mod.rs
@@ -1,5 +1,6 @@
-//! Partners that carry for each other, and holders that have to be filled: what is left open by the rule that picks
-//! sources, in simulated time. Counts come late and doubled, brokers restart, fills fail, one partner claims ten times.
+//! Simulates partners that carry queries for each other while replicas are filled, and measures the debts that stay open under
+//! each rule that selects the sources of fills. Counts arrive late and twice, brokers restart, fills fail, and one partner
+//! claims ten times the bytes that it carried.
 
 mod simulation;
 
@@ -7,111 +8,144 @@
 
 use super::RunOptions;
 use crate::report::{Curve, Figures};
-use simulation::{FLOOD, PARTNERS, SimulationResult, play, terms};
+use simulation::{FLOOD, PARTNERS, SimulationResult, settlement_terms, simulate};
 
+/// Traffic mixes that are simulated, besides the flood of demands.
 const MIXES: [&str; 3] = ["even", "lopsided", "ring with bursts"];
-/// Nobody looks at debts: each need has one source, by chance.
+/// Rules by name. Under "none" debts are ignored: each demand has one source, drawn at random. Rules from the third on take
+/// debts into account.
 const RULES: [(&str, Option<PlanningRule>); 4] = [
     ("none", None),
     ("cheapest", Some(PlanningRule::Cheapest)),
     ("round robin", Some(PlanningRule::DeficitRoundRobin)),
     ("max-min", Some(PlanningRule::MaxMin)),
 ];
-/// Plays of each rule in each mix, and what the open debts of the rules that look at them may be of those of the others.
-const GAMES: u64 = 3;
-const AGAINST: f64 = 0.5;
+/// Simulations of each rule in each mix.
+const SIMULATIONS_PER_RULE: u64 = 3;
+/// Upper bound on the open debts of a rule that takes debts into account divided by those of a rule that does not. Also
+/// bounds the distance of Jain's index from 1, relative to that without a rule.
+const MAX_RATIO: f64 = 0.5;
 
-/// One rule's plays, each from a seed of its own: one draw says little about what chance leaves open.
-struct Plays {
+/// Results of one rule. Each simulation has a seed of its own, since a single seed says little about the random debts.
+struct RuleResults {
+    /// Name of the rule.
     rule: &'static str,
-    plays: Vec<SimulationResult>,
+    /// Result of each simulation.
+    results: Vec<SimulationResult>,
 }
 
-impl Plays {
-    fn of(mix: &str, options: &RunOptions, seconds: f64) -> Vec<Plays> {
-        let one = |(rule, kind): &(&'static str, Option<PlanningRule>)| {
-            let seeds = (0..GAMES).map(|game| options.seed * GAMES + game);
-            Plays { rule, plays: seeds.map(|seed| play(mix, *kind, seed, seconds)).collect() }
+impl RuleResults {
+    /// Simulates a mix under every rule, in the order of [`RULES`].
+    fn simulate_all(mix: &str, options: &RunOptions, seconds: f64) -> Vec<RuleResults> {
+        let simulate_rule = |(rule, kind): &(&'static str, Option<PlanningRule>)| {
+            let seeds = (0..SIMULATIONS_PER_RULE).map(|number| options.seed * SIMULATIONS_PER_RULE + number);
+            RuleResults { rule, results: seeds.map(|seed| simulate(mix, *kind, seed, seconds)).collect() }
         };
-        RULES.iter().map(one).collect()
+        RULES.iter().map(simulate_rule).collect()
     }
 
-    fn mean(&self, of: impl Fn(&SimulationResult) -> f64) -> f64 {
-        self.plays.iter().map(of).sum::<f64>() / self.plays.len() as f64
+    /// Returns the mean of a value over all simulations.
+    fn mean(&self, value: impl Fn(&SimulationResult) -> f64) -> f64 {
+        self.results.iter().map(value).sum::<f64>() / self.results.len() as f64
     }
 }
 
-/// What holds under every rule, and what only under those that look at debts.
-fn bounds(figures: &mut Figures, mix: &str, all: &[Plays]) {
-    let greatest = |some: &[Plays], of: fn(&SimulationResult) -> f64| {
-        some.iter().flat_map(|plays| &plays.plays).map(of).fold(0.0, f64::max)
+/// Reports the limits that hold under every rule, and the longest wait, which is bounded only under the rules that take debts
+/// into account.
+fn report_limits(figures: &mut Figures, mix: &str, all_rules: &[RuleResults]) {
+    let max_of = |results: &[RuleResults], value: fn(&SimulationResult) -> f64| {
+        results.iter().flat_map(|rule| &rule.results).map(value).fold(0.0, f64::max)
     };
-    let most = |of| greatest(all, of);
-    let mut hold =
-        |what: &str, value, most, unit| figures.report_bounded(format!("{mix}: {what}"), value, most, unit);
-    hold("load of a link, of its cap", most(|it| it.link), 1.0 + 1e-9, "");
-    hold("load of a cold node, of its bound", most(|it| it.cold), 1.0, "");
-    hold("carried in a window, of the most", most(|it| it.carried), 1.0, "");
-    let waited = greatest(&all[2..], |it| it.waited);
-    hold("longest that a partner went without a fill", waited, 1.5 * terms().window_seconds, "s, simulated");
-    hold("book off the truth", most(|it| it.off), 0.0, "bytes");
-    hold("the liar's counted, of what it carried", most(|it| it.counted), 1.0, "times");
-    hold("cells of counts", most(|it| it.cells), 400.0, "");
+    let max = |value| max_of(all_rules, value);
+    let mut report_bounded =
+        |what: &str, value, bound, unit| figures.report_bounded(format!("{mix}: {what}"), value, bound, unit);
+    report_bounded("load of a link, of its cap", max(|result| result.max_link_ratio), 1.0 + 1e-9, "");
+    report_bounded("load of a cold node, of its bound", max(|result| result.max_cold_node_ratio), 1.0, "");
+    report_bounded("carried in a window, of the most", max(|result| result.max_carried_ratio), 1.0, "");
+    let longest_wait = max_of(&all_rules[2..], |result| result.longest_wait_seconds);
+    report_bounded(
+        "longest that a partner went without a fill",
+        longest_wait,
+        1.5 * settlement_terms().window_seconds,
+        "s, simulated",
+    );
+    report_bounded("book off the truth", max(|result| result.balance_error_bytes), 0.0, "bytes");
+    report_bounded(
+        "the liar's counted, of what it carried",
+        max(|result| result.counted_ratio),
+        1.0,
+        "times",
+    );
+    report_bounded("cells of counts", max(|result| result.cell_count), 400.0, "");
     figures.report(
         format!("{mix}: the liar's disputed, of what it carried"),
-        most(|it| it.disputed),
+        max(|result| result.disputed_ratio),
         "times",
     );
-    figures.report(format!("{mix}: fills of a play"), most(|it| it.fills), "");
+    figures.report(format!("{mix}: fills of a play"), max(|result| result.fill_count), "");
 }
 
+/// Runs the experiment.
 pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
     let mut figures = Figures::default();
     let seconds = if options.quick { 3600.0 } else { 14_400.0 };
     let mut curves = Vec::new();
     for mix in MIXES.into_iter().filter(|mix| options.includes(mix)) {
-        let all = Plays::of(mix, options, seconds);
-        for plays in &all {
-            let mut report = |what: &str, of: fn(&SimulationResult) -> f64, unit| {
-                figures.report(format!("{mix}, {}: {what}", plays.rule), plays.mean(of), unit);
+        let all_rules = RuleResults::simulate_all(mix, options, seconds);
+        for rule_results in &all_rules {
+            let mut report = |what: &str, value: fn(&SimulationResult) -> f64, unit| {
+                figures.report(
+                    format!("{mix}, {}: {what}", rule_results.rule),
+                    rule_results.mean(value),
+                    unit,
+                );
             };
-            report("open debts, mean", |it| it.spread / 1e6, "MB");
-            report("owed to one partner, mean", |it| it.worst / 1e6, "MB");
-            report("little is left open after", |it| it.settles_in, "s, simulated");
-            report("Jain's index of carried to taken", |it| it.jain, "");
+            report("open debts, mean", |result| result.mean_open_bytes / 1e6, "MB");
+            report("owed to one partner, mean", |result| result.mean_worst_creditor_bytes / 1e6, "MB");
+            report("little is left open after", |result| result.settle_seconds, "s, simulated");
+            report("Jain's index of carried to taken", |result| result.jain_index, "");
         }
-        for plays in &all[2..] {
-            for other in &all[..2] {
-                let ratio = plays.mean(|it| it.spread) / other.mean(|it| it.spread);
-                let what = format!("{mix}, {}: open debts, against {}", plays.rule, other.rule);
-                figures.report_bounded(what, ratio, AGAINST, "times");
+        for rule_results in &all_rules[2..] {
+            for other in &all_rules[..2] {
+                let ratio = rule_results.mean(|result| result.mean_open_bytes)
+                    / other.mean(|result| result.mean_open_bytes);
+                let what = format!("{mix}, {}: open debts, against {}", rule_results.rule, other.rule);
+                figures.report_bounded(what, ratio, MAX_RATIO, "times");
             }
-            let short = |plays: &Plays| 1.0 - plays.mean(|it| it.jain);
-            let ratio = short(plays) / short(&all[0]);
-            let what = format!("{mix}, {}: Jain's index, short of 1, against none", plays.rule);
-            figures.report_bounded(what, ratio, AGAINST, "times");
+            let shortfall = |rule_results: &RuleResults| 1.0 - rule_results.mean(|result| result.jain_index);
+            let ratio = shortfall(rule_results) / shortfall(&all_rules[0]);
+            let what = format!("{mix}, {}: Jain's index, short of 1, against none", rule_results.rule);
+            figures.report_bounded(what, ratio, MAX_RATIO, "times");
         }
-        bounds(&mut figures, mix, &all);
+        report_limits(&mut figures, mix, &all_rules);
         if mix == "lopsided" {
-            let curve = |it: &Plays| Curve { name: it.rule.to_string(), points: it.plays[0].open.clone() };
-            curves = all.iter().map(curve).collect();
+            let curve = |result: &RuleResults| Curve {
+                name: result.rule.to_string(),
+                points: result.results[0].open_megabytes.clone(),
+            };
+            curves = all_rules.iter().map(curve).collect();
         }
     }
     if options.includes(FLOOD) {
-        let all = Plays::of(FLOOD, options, seconds);
-        for plays in &all {
-            let mut report = |what: &str, of: fn(&SimulationResult) -> f64, unit| {
-                figures.report(format!("{FLOOD}, {}: {what}", plays.rule), plays.mean(of), unit);
+        let all_rules = RuleResults::simulate_all(FLOOD, options, seconds);
+        for rule_results in &all_rules {
+            let mut report = |what: &str, value: fn(&SimulationResult) -> f64, unit| {
+                figures.report(
+                    format!("{FLOOD}, {}: {what}", rule_results.rule),
+                    rule_results.mean(value),
+                    unit,
+                );
             };
-            let least = |it: &SimulationResult| {
-                let others = (1..PARTNERS.len()).map(|at| it.served[at] / it.demanded[at].max(1.0));
+            let min_served_ratio = |result: &SimulationResult| {
+                let others =
+                    (1..PARTNERS.len()).map(|i| result.served_bytes[i] / result.demanded_bytes[i].max(1.0));
                 others.fold(1.0, f64::min)
             };
-            report("least served of one that does not flood", least, "of asked");
-            report("served of all", |it| it.served.iter().sum::<f64>() / 1e6, "MB");
-            report("longest without a fill", |it| it.waited, "s, simulated");
+            report("least served of one that does not flood", min_served_ratio, "of asked");
+            report("served of all", |result| result.served_bytes.iter().sum::<f64>() / 1e6, "MB");
+            report("longest without a fill", |result| result.longest_wait_seconds, "s, simulated");
         }
-        bounds(&mut figures, FLOOD, &all);
+        report_limits(&mut figures, FLOOD, &all_rules);
     }
     if !curves.is_empty() {
         figures.plot("open-debts", "simulated seconds", "MB", curves);
