--- a/crates/dunepond-testkit/src/experiments/shard_map/cost.rs
+++ b/crates/dunepond-testkit/src/experiments/shard_map/cost.rs
@@ -1,4 +1,4 @@
-//! What a verification costs by the size of the map.
+//! Measures what verification costs by the size of the map.
 
 use std::time::Instant;
 
@@ -9,23 +9,25 @@
 
 use super::maps::{CONSTRAINTS, nodes, random_map};
 
-/// Segments that a small change touches.
+/// Number of segments that a small change modifies.
 pub(super) const CHANGED_SEGMENTS: usize = 64;
-/// Rounds of a small change for each of a whole map.
+/// Number of rounds of a small change for each round of a whole map.
 const SMALL_CHANGE_ROUNDS: usize = 20;
-const NANOSECONDS: f64 = 1e9;
+/// Nanoseconds in a second.
+const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// What verifying costs, in nanoseconds a segment.
+/// Cost of verification, in nanoseconds per segment.
 #[derive(Clone, Copy)]
 pub(super) struct VerificationCost {
-    /// A whole map.
+    /// Cost of a whole map, per segment of the map.
     pub map: f64,
-    /// The transition between two whole maps.
+    /// Cost of the transition between two whole maps, per segment of a map.
     pub transition: f64,
-    /// A change of [`CHANGED_SEGMENTS`], for each of these.
+    /// Cost of a change of [`CHANGED_SEGMENTS`] segments, per changed segment.
     pub delta: f64,
 }
 
+/// Measures verification of a random map with `count` segments. Each cost is the lowest of several rounds.
 pub(super) fn measure(rng: &mut Pcg64Mcg, count: usize, rounds: usize) -> VerificationCost {
     let map = random_map(rng, count);
     let nodes = nodes();
@@ -37,9 +39,9 @@
         assert!(verified.is_ok());
         seconds
     });
-    let from = verify(&map, &nodes, &CONSTRAINTS).expect("a sound map");
+    let from = verify(&map, &nodes, &CONSTRAINTS).expect("the random map is valid");
     let delta = owner_changes(&from);
-    let to = verify_delta(&from, &delta).expect("a sound change").to().clone();
+    let to = verify_delta(&from, &delta).expect("the change of owners is valid").to().clone();
     let delta_seconds = min_seconds(rounds * SMALL_CHANGE_ROUNDS, || {
         let start = Instant::now();
         let transition = verify_delta(&from, &delta);
@@ -53,17 +55,17 @@
         start.elapsed().as_secs_f64()
     });
     VerificationCost {
-        map: map_seconds / count as f64 * NANOSECONDS,
-        transition: transition_seconds / count as f64 * NANOSECONDS,
-        delta: delta_seconds / CHANGED_SEGMENTS as f64 * NANOSECONDS,
+        map: map_seconds / count as f64 * NANOSECONDS_PER_SECOND,
+        transition: transition_seconds / count as f64 * NANOSECONDS_PER_SECOND,
+        delta: delta_seconds / CHANGED_SEGMENTS as f64 * NANOSECONDS_PER_SECOND,
     }
 }
 
-/// A change that gives [`CHANGED_SEGMENTS`] segments, spread over the map, another owner.
+/// Returns a change that gives another owner to [`CHANGED_SEGMENTS`] segments spread over the map.
 fn owner_changes(from: &VerifiedMap) -> MapDelta {
     let segments = &from.map().segments;
-    let every = segments.len() / CHANGED_SEGMENTS;
-    let changed = segments.iter().step_by(every).take(CHANGED_SEGMENTS).map(|segment| {
+    let interval = segments.len() / CHANGED_SEGMENTS;
+    let changed = segments.iter().step_by(interval).take(CHANGED_SEGMENTS).map(|segment| {
         let owner = segment.replicas[1].node.clone();
         Segment { owner, ..segment.clone() }
     });
@@ -77,7 +79,7 @@
     delta.with_digests(from)
 }
 
-/// The least of some rounds: what else the machine does only adds.
+/// Returns the shortest of several rounds, since other load on the machine only makes a round longer.
 fn min_seconds(rounds: usize, mut run: impl FnMut() -> f64) -> f64 {
     (0..rounds).map(|_| run()).fold(f64::MAX, f64::min)
 }
--- a/crates/dunepond-testkit/src/experiments/shard_map/faults.rs
+++ b/crates/dunepond-testkit/src/experiments/shard_map/faults.rs
@@ -1,21 +1,25 @@
-//! Kinds of faults that are planted in maps, and what the verification is to say of each.
+//! Kinds of faults that are injected into maps, with the faults that verification must detect for each.
 
 use dunepond_shard_map::{KEY_HASH, KeyRange, MapFault, Segment, SegmentContext, SegmentRef, ShardMap};
 
 use super::maps::{NODE_COUNT, node, replica, segment};
 
+/// Returns the context of segment `i`: the segment and its neighbours.
 fn context(segments: &[Segment], i: usize) -> Box<SegmentContext> {
-    let place = |i: usize| segments.get(i).map(SegmentRef::from);
-    let before = i.checked_sub(1).and_then(place);
-    Box::new(SegmentContext { segment: SegmentRef::from(&segments[i]), before, after: place(i + 1) })
+    let reference = |i: usize| segments.get(i).map(SegmentRef::from);
+    let before = i.checked_sub(1).and_then(reference);
+    Box::new(SegmentContext { segment: SegmentRef::from(&segments[i]), before, after: reference(i + 1) })
 }
 
-/// Spoils the segment at a place, which is neither the first nor the last, and says what is to be named.
-pub(super) type PlantSegmentFault = fn(&mut Vec<Segment>, usize) -> Vec<MapFault>;
+/// Injects a fault at the segment with this index, which is neither the first nor the last, and returns the faults that must be
+/// detected.
+pub(super) type InjectSegmentFault = fn(&mut Vec<Segment>, usize) -> Vec<MapFault>;
 
-pub(super) type PlantMapFault = fn(&mut ShardMap) -> Vec<MapFault>;
+/// Injects a fault into the map and returns the faults that must be detected.
+pub(super) type InjectMapFault = fn(&mut ShardMap) -> Vec<MapFault>;
 
-pub(super) const SEGMENT_FAULTS: [(&str, PlantSegmentFault); 16] = [
+/// Kinds of faults at a single segment, by name.
+pub(super) const SEGMENT_FAULTS: [(&str, InjectSegmentFault); 16] = [
     ("gap", |s, i| {
         let from = s[i].keys.from;
         s[i].keys.from += 1;
@@ -47,24 +51,24 @@
         vec![MapFault::UnknownReplica { node: "x".to_string(), context: context(s, i) }]
     }),
     ("doubled holder", |s, i| {
-        let mut twin = s[i].replicas[0].clone();
-        twin.share = 0.0;
-        s[i].replicas.push(twin.clone());
-        vec![MapFault::DuplicateReplica { node: twin.node, context: context(s, i) }]
+        let mut duplicate = s[i].replicas[0].clone();
+        duplicate.share = 0.0;
+        s[i].replicas.push(duplicate.clone());
+        vec![MapFault::DuplicateReplica { node: duplicate.node, context: context(s, i) }]
     }),
     ("draining holder", |s, i| {
         s[i].replicas.push(replica(NODE_COUNT, 0.0));
         vec![MapFault::DrainingReplica { node: node(NODE_COUNT).name, context: context(s, i) }]
     }),
     ("partner", |s, i| {
-        let is = std::mem::replace(&mut s[i].replicas[2].partner, "x".to_string());
-        let (node, said) = (s[i].replicas[2].node.clone(), "x".to_string());
-        vec![MapFault::WrongPartner { node, stated: said, actual: is, context: context(s, i) }]
+        let actual = std::mem::replace(&mut s[i].replicas[2].partner, "x".to_string());
+        let (node, stated) = (s[i].replicas[2].node.clone(), "x".to_string());
+        vec![MapFault::WrongPartner { node, stated, actual, context: context(s, i) }]
     }),
     ("too few holders", |s, i| {
-        s[i].replicas[1..].iter_mut().for_each(|holder| holder.filled = false);
-        let holders = MapFault::TooFewReplicas { filled: 1, min: 2, context: context(s, i) };
-        vec![holders, MapFault::TooFewZones { zones: 1, min: 2, context: context(s, i) }]
+        s[i].replicas[1..].iter_mut().for_each(|replica| replica.filled = false);
+        let too_few_replicas = MapFault::TooFewReplicas { filled: 1, min: 2, context: context(s, i) };
+        vec![too_few_replicas, MapFault::TooFewZones { zones: 1, min: 2, context: context(s, i) }]
     }),
     ("too few zones", |s, i| {
         s[i].replicas = vec![replica(3, 0.5), replica(6, 0.5)];
@@ -94,8 +98,8 @@
     }),
 ];
 
-/// Of the whole map, and at both ends of the space.
-pub(super) const MAP_FAULTS: [(&str, PlantMapFault); 4] = [
+/// Kinds of faults of the whole map and at both ends of the key space, by name.
+pub(super) const MAP_FAULTS: [(&str, InjectMapFault); 4] = [
     ("start", |map| {
         map.segments[0].keys.from = 1;
         let keys = KeyRange { from: 0, to: Some(1) };
@@ -110,8 +114,8 @@
         vec![MapFault::GapAtEnd { keys, before: (&map.segments[last]).into() }]
     }),
     ("digest", |map| {
-        let is = std::mem::replace(&mut map.digest, "x".to_string());
-        vec![MapFault::DigestMismatch { stated: "x".to_string(), actual: is }]
+        let actual = std::mem::replace(&mut map.digest, "x".to_string());
+        vec![MapFault::DigestMismatch { stated: "x".to_string(), actual }]
     }),
     ("hash", |map| {
         map.hash = "x".to_string();
--- a/crates/dunepond-testkit/src/experiments/shard_map/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/shard_map/mod.rs
@@ -1,5 +1,5 @@
-//! Faults planted in shard maps, transitions and the parts of queries, alone and many at once, against what is detected; and what a
-//! verification costs by the size of the map.
+//! Injects faults into shard maps, transitions and the parts of queries, one or many at a time, and compares them with the
+//! faults that verification detects. Also measures what verification costs by the size of the map.
 
 mod cost;
 mod detection;
@@ -13,16 +13,17 @@
 use super::RunOptions;
 use crate::report::{Curve, Figures};
 use cost::{CHANGED_SEGMENTS, VerificationCost, measure};
-use detection::{plant_in_maps, plant_in_transitions_and_parts};
+use detection::{inject_into_maps, inject_into_transitions_and_parts};
 use transitions::verify_random_transitions;
 
-/// The most that a segment may cost in the largest map against the smallest, which fits the caches.
-const MAX_GROWTH: f64 = 4.0;
-/// The most that a small change may cost against the whole map.
+/// Upper bound on the cost per segment in the largest map divided by that in the smallest, which fits into the CPU caches.
+const MAX_GROWTH_RATIO: f64 = 4.0;
+/// Upper bound on the cost of verifying a small change divided by that of the whole map.
 const MAX_DELTA_RATIO: f64 = 0.05;
+/// Rounds of each cost measurement.
 const COST_ROUNDS: usize = 5;
 
-/// What verifying a map of a size costs.
+/// Cost of verifying a map with this many segments.
 struct SizedCost {
     segments: usize,
     cost: VerificationCost,
@@ -44,26 +45,28 @@
     Ok(figures)
 }
 
+/// Reports how many of the injected faults were detected, and the faults that were detected without being injected.
 fn report_detection(figures: &mut Figures, rng: &mut Pcg64Mcg, rounds: usize) {
-    let in_maps = plant_in_maps(rng, rounds);
-    let in_transitions = plant_in_transitions_and_parts(rng, rounds);
+    let in_maps = inject_into_maps(rng, rounds);
+    let in_transitions = inject_into_transitions_and_parts(rng, rounds);
     for (what, detection) in [("maps", in_maps), ("moves and scans", in_transitions)] {
         for kind in &detection.missed_kinds {
             figures.report(format!("{what}: not all named: {kind}"), 1.0, "");
         }
-        figures.report(format!("{what}: faults planted"), detection.planted as f64, "");
-        figures.report(format!("{what}: named to the letter"), detection.named as f64, "");
-        let missed = (detection.planted - detection.named) as f64;
+        figures.report(format!("{what}: faults planted"), detection.injected as f64, "");
+        figures.report(format!("{what}: named to the letter"), detection.detected as f64, "");
+        let missed = (detection.injected - detection.detected) as f64;
         figures.report_bounded(format!("{what}: planted and not named"), missed, 0.0, "");
         let unexpected = detection.unexpected as f64;
         figures.report_bounded(format!("{what}: named and not planted"), unexpected, 0.0, "");
     }
 }
 
+/// Reports the verdicts on random valid transitions and the owners of keys in their joint phase.
 fn report_transitions(figures: &mut Figures, rng: &mut Pcg64Mcg, rounds: usize) {
     let counts = verify_random_transitions(rng, rounds);
-    figures.report("moves proved", counts.sound as f64, "");
-    figures.report("moves refused", counts.refused as f64, "");
+    figures.report("moves proved", counts.accepted as f64, "");
+    figures.report("moves refused", counts.rejected as f64, "");
     figures.report_bounded(
         "changes judged otherwise than the whole",
         counts.differing_verdicts as f64,
@@ -75,6 +78,7 @@
     figures.report_bounded("of these with two owners", counts.two_owners as f64, 0.0, "");
 }
 
+/// Reports the cost of verification at each size, and how it grows with the size.
 fn report_costs(figures: &mut Figures, costs: &[SizedCost]) {
     for SizedCost { segments, cost } in costs {
         figures.report(format!("{segments} segments: proof"), cost.map, "ns a segment");
@@ -88,22 +92,22 @@
         figures.report_bounded(
             "a segment's proof, largest map against smallest",
             growth,
-            MAX_GROWTH,
+            MAX_GROWTH_RATIO,
             "times",
         );
         let growth = large.delta / small.delta;
         figures.report_bounded(
             "a changed segment, largest map against smallest",
             growth,
-            MAX_GROWTH,
+            MAX_GROWTH_RATIO,
             "times",
         );
         let ratio = large.delta * CHANGED_SEGMENTS as f64 / (large.map * largest.segments as f64);
         let name = "a change against the whole proof, largest map";
         figures.report_bounded(name, ratio, MAX_DELTA_RATIO, "times");
     }
-    let curve = |name: &str, of: fn(&VerificationCost) -> f64| {
-        let point = |sized: &SizedCost| ((sized.segments as f64).log10(), of(&sized.cost) / 1e3);
+    let curve = |name: &str, value: fn(&VerificationCost) -> f64| {
+        let point = |sized: &SizedCost| ((sized.segments as f64).log10(), value(&sized.cost) / 1e3);
         Curve { name: name.to_string(), points: costs.iter().map(point).collect() }
     };
     let curves = vec![
--- a/crates/dunepond-testkit/src/experiments/shard_map/transitions.rs
+++ b/crates/dunepond-testkit/src/experiments/shard_map/transitions.rs
@@ -1,4 +1,4 @@
-//! Sound changes of a map, verified as a whole and by what changes.
+//! Valid random transitions between maps, verified once as whole maps and once by the changed segments only.
 
 use dunepond_shard_map::{
     MapDelta, Segment, ShardMap, TransitionPhase, verify, verify_delta, verify_transition,
@@ -8,24 +8,26 @@
 
 use super::maps::{CONSTRAINTS, NODE_COUNT, SEGMENT_COUNT, nodes, random_map, replica};
 
-/// One sound step of a map: another owner, another holder, a split, a merge, a boundary elsewhere, two ids exchanged.
-fn random_step(rng: &mut Pcg64Mcg, segments: &mut Vec<Segment>, fresh: &mut u64) {
+/// Applies one valid random change: a new owner, a new replica, a split, a merge, a moved boundary or two swapped ids.
+/// `last_new_id` is the last id given to a new segment.
+fn apply_random_change(rng: &mut Pcg64Mcg, segments: &mut Vec<Segment>, last_new_id: &mut u64) {
     let i = rng.random_range(1..segments.len() - 1);
     let keys = segments[i].keys;
     let width = keys.end() - u128::from(keys.from);
     let middle = keys.from + (width / 2) as u64;
     match rng.random_range(0..6) {
         0 => segments[i].owner = segments[i].replicas[1].node.clone(),
-        // A node farther on, in the zone of the one that goes; the others stay.
+        // Replaces the third replica by one on another node of the same zone.
         1 => {
-            let number: u64 = segments[i].replicas[2].node[1..].parse().expect("a node's number");
+            let number: u64 =
+                segments[i].replicas[2].node[1..].parse().expect("a node is named 'n' and its number");
             segments[i].owner = segments[i].replicas[0].node.clone();
             segments[i].replicas[2] = replica((number + 3) % NODE_COUNT, 0.25);
         }
         2 if width > 2 => {
-            *fresh += 1;
+            *last_new_id += 1;
             let mut half = segments[i].clone();
-            (half.id, half.keys.from, segments[i].keys.to) = (*fresh, middle, Some(middle));
+            (half.id, half.keys.from, segments[i].keys.to) = (*last_new_id, middle, Some(middle));
             segments.insert(i + 1, half);
         }
         3 if segments.len() > SEGMENT_COUNT / 2 => {
@@ -39,24 +41,32 @@
     }
 }
 
+/// Counts of verified transitions and of the keys checked in their joint phase.
 #[derive(Default)]
 pub(super) struct TransitionCounts {
-    pub sound: usize,
-    pub refused: usize,
-    /// Verdicts of the change alone that differ from those on the whole map.
+    /// Transitions that were accepted.
+    pub accepted: usize,
+    /// Transitions that were rejected.
+    pub rejected: usize,
+    /// Transitions whose verdict by the changed segments differs from that by the whole maps.
     pub differing_verdicts: usize,
-    /// Keys that two brokers one step apart would send to two owners.
+    /// Keys that two brokers in adjacent phases of a transition would send to two different owners.
     pub two_owners: usize,
+    /// Keys whose owner was looked up in the joint phase.
     pub keys_checked: usize,
+    /// Keys without an owner in the joint phase.
     pub no_owner: usize,
 }
 
+/// Verifies a sequence of random transitions, each from the last accepted map.
 pub(super) fn verify_random_transitions(rng: &mut Pcg64Mcg, rounds: usize) -> TransitionCounts {
-    let (mut counts, mut fresh) = (TransitionCounts::default(), 1 << 32);
-    let mut from = verify(&random_map(rng, SEGMENT_COUNT), &nodes(), &CONSTRAINTS).expect("a sound map");
+    let (mut counts, mut last_new_id) = (TransitionCounts::default(), 1 << 32);
+    let mut from =
+        verify(&random_map(rng, SEGMENT_COUNT), &nodes(), &CONSTRAINTS).expect("the random map is valid");
     for _ in 0..rounds {
         let mut to = ShardMap { epoch: from.epoch() + 1, ..from.map().clone() };
-        (0..rng.random_range(1..8)).for_each(|_| random_step(rng, &mut to.segments, &mut fresh));
+        (0..rng.random_range(1..8))
+            .for_each(|_| apply_random_change(rng, &mut to.segments, &mut last_new_id));
         let to = to.with_digest();
         let full = verify(&to, &nodes(), &CONSTRAINTS).and_then(|to| verify_transition(&from, &to));
         let delta = verify_delta(&from, &MapDelta::between(&from, &to));
@@ -64,11 +74,11 @@
             (Ok(full), Ok(delta)) => (full, delta),
             (full, delta) => {
                 counts.differing_verdicts += usize::from(full.err() != delta.err());
-                counts.refused += 1;
+                counts.rejected += 1;
                 continue;
             }
         };
-        counts.sound += 1;
+        counts.accepted += 1;
         let same = full.required_fills() == delta.required_fills() && full.to().map() == delta.to().map();
         counts.differing_verdicts += usize::from(!same);
         for segment in delta.from().segments().chain(delta.to().segments()) {
@@ -81,10 +91,10 @@
                 delta.owner_of_segment(new.id, TransitionPhase::Joint),
                 delta.owner_of_key(key, TransitionPhase::Joint),
             ];
-            // Joint beside joint, and beside each of the plain ones.
+            // Compares the owners in the joint phase with each other and with those before and after the transition.
             let mut owners = joint.into_iter().flatten();
-            let two = owners.any(|owner| owner != old.owner || owner != new.owner);
-            counts.two_owners += usize::from(two);
+            let has_two_owners = owners.any(|owner| owner != old.owner || owner != new.owner);
+            counts.two_owners += usize::from(has_two_owners);
         }
         from = delta.to().clone();
     }
