--- a/crates/dunepond-routing/src/endpoint.rs
+++ b/crates/dunepond-routing/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The rows of the endpoint list.
+//! The rows of the endpoint list, which states the replica group, the zone and the state of each node.
 
 /// Index of a node, which the host assigns to the node's address. The index may be reused for another node
 /// after [`Router::remove_node`](crate::Router::remove_node).
@@ -26,6 +26,7 @@
     pub zone: usize,
     /// The state of the node.
     pub state: EndpointState,
-    /// When the node's process last started, in seconds on the host's clock; 0 if that was long ago.
+    /// When the node's process last started, in seconds on the host's clock; 0 if the process started long
+    /// ago.
     pub started_at: f64,
 }
--- a/crates/dunepond-routing/src/learned.rs
+++ b/crates/dunepond-routing/src/learned.rs
@@ -11,7 +11,7 @@
 pub struct LearnedState {
     /// The statistics of each node.
     pub nodes: Vec<LearnedNode>,
-    /// The last attempts that warm nodes served, oldest first.
+    /// The last attempts that warm nodes (those past their slow start) served, oldest first.
     pub latency_samples: Vec<LatencyRecord>,
     /// Outcomes of attempts on connections that had been idle.
     pub idle_resets: Vec<IdleResetRecord>,
@@ -37,7 +37,8 @@
     pub class: usize,
     /// Seconds since the attempt was sent.
     pub sent_ago: f64,
-    /// Latency of the attempt in seconds, scaled to that of a warm node.
+    /// Latency of the attempt in seconds, multiplied by the ratio of the node's capacity to that of a warm
+    /// node (one past its slow start).
     pub latency: f64,
     /// Seconds since the attempt ended.
     pub ended_ago: f64,
@@ -70,12 +71,13 @@
     pub broke: bool,
 }
 
-/// Budgets that a router has spent and that a restart does not renew.
+/// What a router has spent of its budgets. A restart does not renew the budgets, so the successor counts this
+/// as spent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SpentBudgets {
-    /// Ages of the retries and hedged requests that were sent, in seconds.
+    /// For each retry or hedged request, the seconds since it was sent.
     pub retries: Vec<f64>,
-    /// The queries and parts that arrived, from which the retry budget follows.
+    /// The queries and parts that arrived; the retry budget grows with their number.
     pub admissions: Vec<AdmissionRecord>,
     /// The parts that were sent to each node during its slow start.
     pub slow_start_sends: Vec<SlowStartRecord>,
@@ -84,7 +86,7 @@
 /// Number of queries and parts that arrived at the same instant.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionRecord {
-    /// Age of the arrival, in seconds.
+    /// Seconds since the arrival.
     pub ago: f64,
     /// Number of queries and parts that arrived.
     pub count: f64,
@@ -95,6 +97,6 @@
 pub struct SlowStartRecord {
     /// The node.
     pub node: NodeId,
-    /// Ages of the parts, in seconds.
+    /// For each part, the seconds since it was sent.
     pub sent_ago: Vec<f64>,
 }
--- a/crates/dunepond-routing/src/policy/admission.rs
+++ b/crates/dunepond-routing/src/policy/admission.rs
@@ -18,19 +18,19 @@
 pub(super) const SHED_START_RATIO: f64 = 0.25;
 /// Ratio of expected wait to useful time (see [`Router::useful_seconds`]) at which every query is shed.
 const SHED_ALL_RATIO: f64 = 0.65;
-/// Weight of the share of missed objectives in the overload level.
+/// Weight, in the overload level, of the share of recent queries that missed their latency objective.
 const MISSED_WEIGHT: f64 = 0.5;
-/// Number of queries from which the share of missed objectives is computed.
+/// Number of recent queries from which the share that missed their latency objective is computed.
 const MISSED_SAMPLE_COUNT: usize = 16;
-/// Number of on-time queries that are added to the share of missed objectives as a prior, because a few
-/// samples are not significant.
+/// Number of assumed on-time queries that are added to the recent ones when the share that missed their
+/// latency objective is computed. This prior is needed because a few samples are not significant.
 const MISSED_PRIOR_COUNT: f64 = 4.0;
 /// Number of recent queries among which a new query is ranked by value density.
 const VALUE_SAMPLE_COUNT: usize = 64;
 /// Wait of a query with two steps, as a multiple of the wait of its first step: the second step waits again,
 /// mostly for lighter parts.
 const TWO_STEP_WAIT_RATIO: f64 = 1.5;
-/// Expected service time of a part, as a multiple of the baseline latency.
+/// Expected service time of a part, as a multiple of the baseline latency (the lowest median latency so far).
 const SERVICE_BASELINE_RATIO: f64 = 1.5;
 
 impl Router {
@@ -71,9 +71,11 @@
         StageResult::Continue
     }
 
-    /// Returns the instant up to which an answer has its full value. A retry by the client has already used
-    /// part of the latency objective. This is assumed only if the retry has less time left than the tenant's
-    /// last query of this class that was not a retry, because some clients state short timeouts from the start.
+    /// Returns the instant up to which an answer has its full value. If the query is a client's retry, the
+    /// class's timeout minus the time that the client still waits has already passed, and is subtracted from
+    /// the latency objective. It is subtracted only if the client waits for less time than with the tenant's
+    /// last query of this class that was not a retry, because some clients state short timeouts from the
+    /// start.
     pub(super) fn objective_at(&mut self, query: &Query) -> f64 {
         let class = &self.deployment.query_classes[query.class];
         let index = query.class + query.tenant * self.deployment.query_classes.len();
@@ -88,8 +90,8 @@
     }
 
     /// Returns a query's useful time in seconds, during which an answer keeps its value: the time left until
-    /// the latency objective or, if the query will be late anyway, the length of the objective. It ends at the
-    /// deadline at the latest.
+    /// the latency objective or, if the query will be late anyway, the length of the objective. The useful
+    /// time ends at the query's deadline at the latest.
     fn useful_seconds(&self, query: &InFlightQuery, class: &QueryClass, is_late: bool) -> f64 {
         let useful = if is_late { class.latency_objective } else { query.objective_at - self.now };
         useful.min(query.deadline_at - self.now)
@@ -109,7 +111,8 @@
         densities.iter().map(below).sum::<f64>() / densities.len() as f64
     }
 
-    /// Returns the overload level: 0 or less sheds nothing, 1 or more sheds everything.
+    /// Returns the overload level, given the ratio of a query's expected wait to its useful time. A level of
+    /// 0 or less sheds nothing, a level of 1 or more sheds everything.
     fn overload_level(&self, wait_ratio: f64) -> f64 {
         (wait_ratio - SHED_START_RATIO) / (SHED_ALL_RATIO - SHED_START_RATIO)
             + MISSED_WEIGHT * self.missed_share()
@@ -132,9 +135,10 @@
         0.0
     }
 
-    /// Returns the shortest expected wait (seconds) at a part's replicas; `f64::MAX` if each of them is full or
-    /// may not be sent an attempt. A query that needs such a part is rejected, because its other parts would
-    /// only waste capacity. This does not count as overload, so queries of other segments are not affected.
+    /// Returns the shortest expected wait (seconds) at a part's replicas; `f64::MAX` if each of them is full
+    /// or may not be sent an attempt. A query that needs such a part is rejected, because its other parts
+    /// would only waste capacity. The overload level does not rise, so queries of other segments are not
+    /// affected.
     pub(super) fn part_wait(&self, part: &PartState) -> f64 {
         let replicas = self.replicas(part.segment, part.required_node);
         replicas.map(|(_, node)| self.node_wait(node)).min_by(f64::total_cmp).unwrap_or(f64::MAX)
@@ -164,14 +168,14 @@
         self.expected_latency(node, RECENT_OBJECTIVES, |_| 0.0) - self.latency.baseline
     }
 
-    /// Returns the expected wait (seconds) at a node: the age of the oldest outstanding attempt or the recent
-    /// excess latency, whichever is more.
+    /// Returns the expected wait (seconds) at a node: the greater of the age of its oldest outstanding
+    /// attempt and `excess`, the seconds by which its recent attempts exceeded the baseline latency.
     fn queue_wait(&self, node: &Node, excess: f64) -> f64 {
         if let Some(oldest) = node.outstanding.first() {
             return excess.max(self.now - oldest.sent_at);
         }
-        // If the last sample of the node's zone is older than the wait itself, the wait may be over, and only a
-        // new attempt can show that.
+        // No attempt is outstanding here. If the last sample of the node's zone is older than `excess`, the
+        // node may have no queue any more, and only a new attempt can show that.
         let last_sample_at = self.latency.zones[node.zone].back().map_or(0.0, |sample| sample.at);
         let is_outdated = self.now - last_sample_at > excess;
         if is_outdated { 0.0 } else { excess }
@@ -195,8 +199,9 @@
             || self.expected_served_at(self.expected_wait(query)) <= query.deadline_at
     }
 
-    /// Returns whether, at more than half of the nodes in service, the oldest outstanding attempt has waited
-    /// for longer than the time at which load shedding starts. Optional work must not be sent then.
+    /// Returns whether, at more than half of the nodes in service, the oldest outstanding attempt has been
+    /// waiting for longer than `SHED_START_RATIO` times the shortest latency objective. While this holds,
+    /// optional work must not be sent.
     pub fn is_overloaded(&self) -> bool {
         let limit = SHED_START_RATIO * self.latency.shortest_objective;
         let (mut late, mut in_service) = (0, 0);
@@ -210,7 +215,8 @@
     }
 
     /// Returns the share of recent queries that missed their latency objective. A broker that rarely sends to
-    /// each replica estimates waits from the fleet's median; this share shows when those estimates are too low.
+    /// each replica has no recent samples of it and estimates its wait from the fleet's median; this share
+    /// shows when such estimates are too low.
     fn missed_share(&self) -> f64 {
         let since = self.objectives_ago(RECENT_OBJECTIVES);
         let (mut missed, mut all) = (0.0, MISSED_PRIOR_COUNT);
--- a/crates/dunepond-routing/src/policy/clock.rs
+++ b/crates/dunepond-routing/src/policy/clock.rs
@@ -1,8 +1,9 @@
 //! Clock: when the router is woken next, and how a stall of the process itself is compensated.
 //!
-//! Inputs: the transport's clock (seconds), the tick (seconds), the instant of the requested wake (a call of
-//! [`Router::on_wake`]). A wake that comes far too late means that the process read nothing in the meantime. If
-//! this counted as silence of the nodes, the whole fleet would be ejected.
+//! Inputs: the transport's clock (seconds), the tick (seconds), and the instant for which a wake (a call of
+//! [`Router::on_wake`]) was requested. A wake that comes far too late means that the process has stalled and
+//! read nothing in the meantime. If the stall counted as silence of the nodes, the whole fleet would be
+//! ejected.
 
 use crate::Transport;
 use crate::state::Router;
@@ -12,11 +13,12 @@
 /// before it. Client deadlines have no such margin, because many queries arrive with less time left and are
 /// served in time.
 pub const MAX_STALL_SECONDS: f64 = 0.15;
-/// A requested call of [`Router::on_wake`] that is late by more than this indicates a stall of the process.
+/// Delay, in ticks, of a requested call of [`Router::on_wake`] above which the process is taken to have
+/// stalled.
 const STALL_TICKS: f64 = 10.0;
-/// Interval between calls of [`Router::on_wake`] while queries are in flight.
+/// Interval, in ticks, between calls of [`Router::on_wake`] while queries are in flight.
 const WAKE_INTERVAL_TICKS: f64 = 5.0;
-/// Tolerance for a call of [`Router::on_wake`] that comes early because instants are rounded.
+/// Tolerance, in ticks, for a call of [`Router::on_wake`] that comes early because instants are rounded.
 const EARLY_WAKE_TICKS: f64 = 0.5;
 
 impl Router {
@@ -42,9 +44,10 @@
         self.now - objectives * self.latency.longest_objective
     }
 
-    /// Clears the request for a call of [`Router::on_wake`] once the call is due. The host still makes a call
-    /// whose request has been replaced by an earlier one; if the endpoint list is polled, such a call clears
-    /// nothing.
+    /// Clears the pending request for a call of [`Router::on_wake`], because the call is being made. The host
+    /// also makes calls for older requests, which a request for an earlier instant has replaced. If the
+    /// endpoint list is polled, such a call clears nothing when it comes before the pending request is due;
+    /// otherwise the calls for polling and for queries would each request another call.
     pub(super) fn clear_due_wake(&mut self) {
         let is_polling = self.endpoint_poll.next_at < f64::MAX;
         if !is_polling || self.now > self.wake_due_at - EARLY_WAKE_TICKS * self.deployment.tick {
--- a/crates/dunepond-routing/src/policy/completion.rs
+++ b/crates/dunepond-routing/src/policy/completion.rs
@@ -49,13 +49,13 @@
         part.is_done() || part.has_outstanding() || self.may_send(query, part)
     }
 
-    /// Returns the weight of the done parts with which the present step is complete.
+    /// Returns the total weight of done parts at which the present step of a query is complete.
     pub(super) fn complete_weight(&self, query: &InFlightQuery) -> f64 {
         let share = if query.is_second_step { 1.0 } else { self.complete_share(query) };
         share - WEIGHT_ROUNDING
     }
 
-    /// Returns the weight of the done parts below which no answer can be given, not even a partial one.
+    /// Returns the total weight of done parts below which a query gets no answer, not even a partial one.
     pub(super) fn minimum_weight(&self, query: &InFlightQuery) -> f64 {
         self.complete_weight(query).min(self.minimum_share(query) - WEIGHT_ROUNDING)
     }
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Returns whether another attempt may still need the query's body. An outstanding attempt counts as one
-    /// that may turn out not to have run.
+    /// Returns whether another attempt may still need the query's body. An outstanding attempt may turn out
+    /// not to have run, and its part can then be sent again even if it must not run twice.
     pub fn needs_body(&self, id: QueryId) -> bool {
         let Some(query) = self.queries.get(&id) else { return false };
         if query.body_consumed {
--- a/crates/dunepond-routing/src/policy/deadline.rs
+++ b/crates/dunepond-routing/src/policy/deadline.rs
@@ -1,15 +1,16 @@
 //! Deadline: when a query must be answered at the latest, completely or partially.
 //!
 //! Inputs: the client's deadline and, for a class whose late answers have no value, the latency objective
-//! (both instants), and the weight of the parts received. If the query class accepts a partial answer, it is
-//! given rather than none.
+//! (both instants), and the weight of the parts received. If the query class accepts partial answers, a
+//! partial answer is given rather than none.
 
 use super::StageResult;
 use crate::Transport;
 use crate::state::{InFlightQuery, Router};
 
-/// Time before the client's deadline, or before the latency objective if late answers have no value, at which
-/// an unanswered query ends; the next call of [`Router::on_wake`] might come too late.
+/// Time in ticks before the client's deadline (or before the latency objective, if late answers have no
+/// value) at which an unanswered query is ended. The margin is needed because the next call of
+/// [`Router::on_wake`] might come after that deadline.
 const DECISION_MARGIN_TICKS: f64 = 7.0;
 
 impl Router {
--- a/crates/dunepond-routing/src/policy/endpoint_list.rs
+++ b/crates/dunepond-routing/src/policy/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Endpoint list: how its rows update the known nodes, and when the list is polled.
+//! Endpoint list: how the rows of the list update the known nodes, and when the list is polled.
 //!
 //! Inputs: the rows with each node's start (an instant) and, if the endpoint list is only sent on request, the
 //! time (seconds) within which it must be polled. A node listed as draining or removed gets no new work; a node
@@ -20,8 +20,8 @@
 /// [`Deployment::list_poll_deadline`](crate::Deployment::list_poll_deadline). Each further failure doubles it,
 /// up to the poll interval.
 const FIRST_BACKOFF_RATIO: f64 = 0.03;
-/// Jitter factor of the back-off after a failed poll: many brokers that start at the same time would otherwise
-/// fill the queue of the server of the endpoint list.
+/// Range of the random factor by which the back-off after a failed poll is multiplied. Without it, the polls
+/// of many brokers that start at the same time would fill the queue of the server that sends the list.
 const BACKOFF_SPREAD: Range<f64> = 0.5..1.0;
 
 impl Router {
--- a/crates/dunepond-routing/src/policy/hedging.rs
+++ b/crates/dunepond-routing/src/policy/hedging.rs
@@ -1,8 +1,10 @@
 //! Hedging: when an outstanding part is late enough for a hedged attempt at another replica.
 //!
 //! Inputs: median and 95th percentile latency (seconds), the latency objective of the class, and whether the
-//! rules allow hedged requests. A hedge only has to be answered within the latency objective; sending it sooner
-//! than that requires wastes work. If all attempts are slow, hedges would add to the load that makes them slow.
+//! rules allow hedged requests. A hedge only has to be answered within the latency objective. It is not sent
+//! sooner than that requires, because a hedge of a part that would soon have been answered is wasted work. If
+//! all attempts are slow, no hedges are sent, because they would add to the load that makes the attempts
+//! slow.
 
 use crate::Idempotency;
 use crate::state::{Attempt, InFlightQuery, PartState, Router};
--- a/crates/dunepond-routing/src/policy/idle_reset.rs
+++ b/crates/dunepond-routing/src/policy/idle_reset.rs
@@ -1,24 +1,25 @@
 //! Idle resets: detects connections that a middlebox drops without notice while they are idle.
 //!
 //! Inputs: the idle time of the connection before an attempt (seconds), and the time from sending the attempt
-//! to the break. Such a break is not a fault of the node, which never received the attempt. After repeated
-//! resets a new connection is opened instead, which costs less than a lost part.
+//! until the connection breaks. A break of a connection that had been idle is not a fault of the node, which
+//! never received the attempt. After repeated resets a new connection is opened instead, which costs less
+//! than a lost part.
 
 use super::latency::FRESH_OBJECTIVES;
 use crate::state::{IdleReset, OutstandingAttempt, Router, keep_last};
 
 /// Number of samples of attempts after long idle times that are kept.
 const RESET_SAMPLE_COUNT: usize = 8;
-/// Smallest number of resets among the samples for which idle connections are avoided: a single connection may
-/// break for another reason.
+/// Smallest number of resets among the samples at which idle connections are closed instead of used. It is
+/// more than one, because a single connection may break for another reason.
 const MIN_RESET_COUNT: usize = 2;
-/// Age, in multiples of the longest latency objective, up to which resets count.
+/// Age, in multiples of the longest latency objective, up to which a recorded reset counts.
 const RESET_FRESH_OBJECTIVES: f64 = 2.0 * FRESH_OBJECTIVES;
-/// The idle time of a connection is comparable to the idle time in a sample (a recorded attempt on an idle
-/// connection) if it exceeds the latter multiplied by this ratio.
+/// The idle time of a connection is comparable to that of a recorded attempt if it exceeds the latter
+/// multiplied by this ratio.
 const COMPARABLE_IDLE_RATIO: f64 = 0.5;
-/// A connection that breaks within this time after an attempt was sent has broken at once: the node did no work
-/// on the attempt.
+/// A connection that breaks within this number of ticks after an attempt was sent has broken at once: the
+/// node did no work on the attempt.
 const PROMPT_TICKS: f64 = 4.0;
 
 impl Router {
@@ -47,7 +48,8 @@
         keep_last(&mut self.idle_resets, reset, RESET_SAMPLE_COUNT);
     }
 
-    /// Returns whether connections with this idle time (seconds) have been reset so often that they are avoided.
+    /// Returns whether connections with a comparable idle time (seconds) have been reset so often that a new
+    /// connection should be used instead.
     pub(super) fn is_likely_reset(&self, idle_seconds: f64) -> bool {
         let since = self.objectives_ago(RESET_FRESH_OBJECTIVES);
         let is_relevant_reset =
--- a/crates/dunepond-routing/src/policy/latency.rs
+++ b/crates/dunepond-routing/src/policy/latency.rs
@@ -1,8 +1,9 @@
 //! Latency: median, 95th percentile and baseline of the fleet, and the median of each zone.
 //!
 //! Inputs: latencies (seconds) of the last completions at warm nodes and of the last attempts in each zone.
-//! Other rules use multiples of these quantiles, so that no limit has to be tuned for a deployment. A node is
-//! compared with the fleet: if all nodes become slow, the quantiles rise and no node is an outlier.
+//! The baseline is the lowest median so far. Other rules use multiples of these quantiles, so that no limit
+//! has to be tuned for a deployment. A node is compared with the fleet: if all nodes become slow, the
+//! quantiles rise and no node is an outlier.
 
 use std::collections::VecDeque;
 
@@ -14,7 +15,7 @@
 const MIN_QUANTILE_SAMPLE_COUNT: usize = 8;
 /// Number of recent served attempts that are needed to update the baseline.
 const MIN_BASELINE_SAMPLE_COUNT: usize = 16;
-/// Number of attempts kept for each zone.
+/// Number of samples of attempts that are kept for each zone.
 const ZONE_SAMPLE_COUNT: usize = 16;
 /// Number of fresh attempts that are needed to compute the median of a zone.
 const MIN_ZONE_SAMPLE_COUNT: usize = 4;
@@ -24,7 +25,7 @@
 /// Age, in multiples of the longest latency objective, up to which samples are fresh; older ones no longer
 /// describe a node or zone.
 pub(super) const FRESH_OBJECTIVES: f64 = 8.0;
-/// A latency above this multiple of the median is slow.
+/// A latency above this multiple of the fleet's median latency counts as slow.
 pub(super) const SLOW_RATIO: f64 = 2.5;
 /// With too few samples, quantile q is assumed to be this ratio times q times the shortest latency objective.
 const DEFAULT_QUANTILE_RATIO: f64 = 0.4;
--- a/crates/dunepond-routing/src/policy/mod.rs
+++ b/crates/dunepond-routing/src/policy/mod.rs
@@ -1,14 +1,15 @@
 //! The routing decisions: one file for each kind of decision, with its constants.
 //!
-//! A query passes through [`REQUEST_STAGES`] when it arrives, whenever one of its attempts ends, and when its
-//! due instant has come: admission, deadline, completion, dispatch, retry and hedging. The end of an attempt
-//! passes through [`RESPONSE_STAGES`]: first the health of its node is updated, then the query. The entry
-//! points are in `router`. The mechanism, and each departure from the plain (n, k) fork-join, are described in
-//! docs/design.md.
+//! A query passes through [`REQUEST_STAGES`] (admission, deadline, completion, dispatch, retry and hedging)
+//! when it arrives, whenever one of its attempts ends, and when the instant in `InFlightQuery::due_at` is
+//! reached. The end of an attempt passes through [`RESPONSE_STAGES`]: first the health of its node is
+//! updated, then the query. The entry points are in `router`. docs/design.md describes the design and how it
+//! departs from a plain (n, k) fork-join, in which n parts are sent and any k of them are enough for an
+//! answer.
 //!
-//! Instants are in seconds on the transport's clock. Durations are in seconds, unless the name has ticks
-//! (the clock's unit, the shortest time between two calls) or objectives (multiples of the longest latency
-//! objective).
+//! Instants are in seconds on the transport's clock. Durations are in seconds, unless their name contains
+//! ticks (the clock's unit, which is the shortest time between two calls of the router) or objectives
+//! (multiples of the longest latency objective).
 
 mod admission;
 mod clock;
--- a/crates/dunepond-routing/src/policy/outlier_detection.rs
+++ b/crates/dunepond-routing/src/policy/outlier_detection.rs
@@ -11,17 +11,19 @@
 
 /// Number of samples that are kept for each node.
 const NODE_SAMPLE_COUNT: usize = 8;
-/// Time without a due response after which a node counts as silent, as a multiple of the 95th percentile
+/// A node counts as silent if a response has been due for longer than this multiple of the 95th percentile
 /// latency.
 pub(super) const SILENCE_P95_RATIO: f64 = 2.0;
-/// Number of faults among a node's samples that eject it; a single error does not.
+/// Number of faults among a node's samples at which the node is ejected. It is more than one, so a single
+/// error does not eject a node.
 const MIN_FAULT_COUNT: usize = 2;
 /// A cancelled or timed out attempt counts as overtaken if at least this many attempts that were sent after it
 /// have ended before it.
 const MIN_OVERTAKEN_COUNT: usize = 2;
 /// Ejection time before the first probation attempt, as a multiple of the 95th percentile latency.
 pub(super) const EJECTION_P95_RATIO: f64 = 3.0;
-/// A node returns to service once it may have more than this number of outstanding probation attempts.
+/// Largest number of probation attempts that may be outstanding at a node. When successes raise the node's
+/// limit above this number, the node returns to service.
 const MAX_PROBATION_ATTEMPTS: usize = 8;
 
 /// The reason for an ejection.
@@ -56,7 +58,9 @@
         self.samples.iter().any(|sample| sample.is_served() && !has_failed(sample.class))
     }
 
-    /// Returns the seconds for which an answer has been due without any response from the node.
+    /// Returns the seconds for which an answer has been due: the time since the oldest attempt whose frame
+    /// has been sent completely, or since the node's last response if that is later; 0 if no such attempt is
+    /// outstanding.
     pub(super) fn silence(&self, now: f64) -> f64 {
         match self.outstanding.iter().find(|attempt| attempt.frame_sent) {
             Some(oldest) => now - oldest.sent_at.max(self.last_response_at),
@@ -197,8 +201,9 @@
         self.detect_outlier(transport, id);
     }
 
-    /// Adds a sample of an attempt to those of the node, of its zone and, if a warm node served the attempt, of
-    /// the fleet. Returns the latency (seconds) scaled to that of a warm node; `None` if the node is not known.
+    /// Adds a sample of an attempt to those of the node, of its zone and, if a warm node served the attempt,
+    /// of the fleet. Returns the latency (seconds), multiplied by the ratio of the node's capacity to that of
+    /// a warm node; `None` if the node is not known.
     fn record_sample(
         &mut self,
         id: NodeId,
--- a/crates/dunepond-routing/src/policy/placement.rs
+++ b/crates/dunepond-routing/src/policy/placement.rs
@@ -20,7 +20,7 @@
 /// Whether a replica may be sent a part, from the best case to the worst.
 #[derive(Clone, Copy, PartialEq)]
 enum Eligibility {
-    /// The replica is in service.
+    /// The replica is in service, does not fail the query class, and has not been sent the part yet.
     InService,
     /// The replica is ejected and due a probation attempt.
     Probation,
@@ -41,7 +41,7 @@
 }
 
 impl Router {
-    /// Returns the active replicas of a segment; only the required node if there is one.
+    /// Returns the active replicas of a segment. If a node is required, the other replicas are left out.
     pub(super) fn replicas(
         &self,
         segment: usize,
@@ -142,8 +142,8 @@
 
     /// Returns the load of a node: this broker's attempts in progress there, weighted by the ratio of the
     /// node's recent latency to the fleet's median. At a node in slow start, each attempt in progress counts
-    /// for more, but the next attempt does not: tokens already limit it, and with both limits some tokens would
-    /// stay unused.
+    /// for more. The next attempt does not, because the node's slow start tokens already limit it: with both
+    /// limits some tokens would stay unused.
     fn load(&self, id: NodeId, class: usize, replica_count: usize) -> f64 {
         let Some(node) = &self.nodes[id] else { return 0.0 };
         let fault_latency = |sample: &NodeSample| {
@@ -169,9 +169,10 @@
         }
     }
 
-    /// Returns the expected latency (seconds) of an attempt at a node: the mean of the node's samples of the
-    /// last `objectives` longest latency objectives and of one more sample at the zone's median, as a prior.
-    /// Faults often return fast, so each counts with at least the latency that `fault_latency` returns for it.
+    /// Returns the expected latency (seconds) of an attempt at a node: the mean over the node's recent
+    /// samples and one more sample at the zone's median, which serves as a prior. Recent samples are those no
+    /// older than `objectives` times the longest latency objective. Faults often return fast, so each counts
+    /// with at least the latency that `fault_latency` returns for it.
     pub(super) fn expected_latency(
         &self,
         node: &Node,
--- a/crates/dunepond-routing/src/policy/probing.rs
+++ b/crates/dunepond-routing/src/policy/probing.rs
@@ -15,19 +15,19 @@
 const UNEQUAL_BASELINE_RATIO: f64 = 2.5;
 /// Longest wait for the answers to probes, as a multiple of the baseline latency.
 const WAIT_BASELINE_RATIO: f64 = 6.0;
-/// A query is rejected unless its parts with a replica that answered its probe in time have at least this ratio
-/// of the weight that makes a step complete.
+/// Smallest total weight of the parts with a replica that answered its probe in time, as a ratio of the
+/// weight at which a step is complete. Below it the query is rejected.
 const MIN_ANSWERED_RATIO: f64 = 0.75;
 /// With this many queries in flight no probes are sent, because they would multiply the load of a burst.
 const MAX_QUERIES_IN_FLIGHT: usize = 64;
 /// Number of probe results that are kept.
 const PROBE_SAMPLE_COUNT: usize = 64;
-/// Number of recent probes that are needed to decide whether probes are informative.
+/// Number of recent probes that are needed to decide whether the share of informative ones is large enough.
 const MIN_PROBE_SAMPLE_COUNT: usize = 8;
-/// Probing is useless if there are at least this many recent probes for each informative one: nodes answer at
-/// once and the answers do not show queues.
+/// Probes are no longer sent if at most one in this many recent probes was informative (failed, or took
+/// longer than a network round trip): the nodes answer at once, so the answers do not show their queues.
 const MAX_PROBES_PER_INFORMATIVE: usize = 8;
-/// A probe that is answered within this time took no more than a network round trip.
+/// A probe that is answered within this number of ticks took no more than a network round trip.
 const PROMPT_TICKS: f64 = 4.0;
 
 impl Router {
--- a/crates/dunepond-routing/src/policy/retry_budget.rs
+++ b/crates/dunepond-routing/src/policy/retry_budget.rs
@@ -1,8 +1,9 @@
 //! Retry budget: how many retries and hedged requests may be sent in any window of time.
 //!
-//! Inputs: the window (seconds), the number of retries that are always allowed, the ratio of retries to arrived
-//! queries and parts, and the instants at which each was sent or arrived. The window is one tick longer for
-//! retries and one tick shorter for arrivals, so that the budget also holds when measured by another clock.
+//! Inputs: the window (seconds), the number of retries that are always allowed, the ratio of retries to
+//! arrived queries and parts, and the instants of sent retries and of arrivals. The window is one tick longer
+//! for retries and one tick shorter for arrivals, so that the budget also holds when measured by another
+//! clock.
 
 use std::sync::Arc;
 
@@ -64,8 +65,9 @@
         is_permitted
     }
 
-    /// Returns how much of the shared quotas this broker uses: the retries sent in the last `seconds`, the rate
-    /// of completions, and the retries that the retry budget has denied since the last call.
+    /// Returns this broker's use of the quotas that apply to all brokers together: the retries sent in the
+    /// last `seconds`, the parts per second that a warm node completes for this broker, and the retries that
+    /// the retry budget has denied since the last call.
     pub fn quota_demand(&self, seconds: f64) -> QuotaDemand {
         let since = self.now - seconds;
         let sent = self.retries.retries_sent.iter().filter(|at| **at > since).count();
--- a/crates/dunepond-routing/src/policy/router.rs
+++ b/crates/dunepond-routing/src/policy/router.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Records that the frame of a streamed attempt has been sent completely. The node's response time counts
-    /// from now.
+    /// Records that the frame of a streamed attempt has been sent completely. The time until the node's
+    /// response is measured from now on.
     pub fn on_frame_written(&mut self, transport: &mut dyn Transport, node: NodeId, id: AttemptId) {
         self.sync_clock(transport);
         let now = self.now;
--- a/crates/dunepond-routing/src/policy/rules.rs
+++ b/crates/dunepond-routing/src/policy/rules.rs
@@ -1,8 +1,9 @@
 //! Rules that change while queries are in flight: each query is subject to the stricter of the rules that were
 //! in force on its arrival and the rules in force now.
 //!
-//! Inputs: shares of a query's weight, the retry budget, the attempt cap, and the longest Retry-After (seconds),
-//! as stated by the deployment or its operators. A query never exceeds what either version of the rules allows.
+//! Inputs: shares of a query's weight, the retry budget, the attempt cap, and the longest Retry-After
+//! (seconds), as stated by the deployment or its operators. A query stays within the limits of both versions
+//! of the rules.
 
 use std::sync::Arc;
 
@@ -34,7 +35,8 @@
         share(&query.rules).max(share(&self.rules))
     }
 
-    /// Returns the share of the weight that the served parts must reach for a partial answer to this query.
+    /// Returns the share of a step's weight that the served parts must reach for a partial answer to this
+    /// query.
     pub(super) fn minimum_share(&self, query: &InFlightQuery) -> f64 {
         let share = |rules: &Rules| share_of(&rules.minimum_share, query.class);
         share(&query.rules).max(share(&self.rules))
--- a/crates/dunepond-routing/src/policy/shutdown.rs
+++ b/crates/dunepond-routing/src/policy/shutdown.rs
@@ -14,11 +14,12 @@
 const NEW_CONNECTIONS_SECONDS: f64 = 0.4;
 /// Tolerance of each time limit of a shutdown.
 const SLACK_SECONDS: f64 = 0.05;
-/// The platform that runs the brokers sends SIGKILL no sooner after SIGTERM than the longest query timeout plus
-/// this time. A request that arrives more than this time after SIGTERM and is unanswered at SIGKILL is lost.
+/// The platform that runs the brokers sends SIGKILL no sooner after SIGTERM than the longest query timeout
+/// plus this time. A request that arrives later than this time after SIGTERM may still be unanswered at
+/// SIGKILL, and is then lost.
 const KILL_AFTER_DEADLINE_SECONDS: f64 = 0.7;
-/// Longest query timeout that the platform counts for the time of SIGKILL; longer timeouts do not delay it
-/// further.
+/// Cap on the longest query timeout from which the platform computes the time of SIGKILL; a longer timeout
+/// does not delay SIGKILL further.
 const LONGEST_COUNTED_DEADLINE_SECONDS: f64 = 3.0;
 /// Time between the last answers and SIGKILL: a margin for a stall, for an iteration of the event loop, and for
 /// the transfer of an answer to the client.
@@ -38,7 +39,7 @@
 pub enum ShutdownStage {
     /// Requests are served as before; the broker reports that it is not ready for new clients.
     Serving,
-    /// Connections close after their answers; no new connections are expected.
+    /// Each connection closes after the answers to its requests; no new connections are expected.
     ClosingAfterAnswers,
     /// The listener and idle connections close; a new request whose client waits longer than the process runs
     /// is rejected.
@@ -85,7 +86,8 @@
         self.stages().into_iter().map(|(at, _)| at).find(|at| *at > now)
     }
 
-    /// Returns whether requests whose clients wait longer than the process runs are rejected.
+    /// Returns whether, at this instant, requests whose clients wait longer than the process runs are
+    /// rejected.
     pub fn is_refusing(&self, now: f64) -> bool {
         self.stage(now) >= ShutdownStage::Refusing
     }
--- a/crates/dunepond-routing/src/policy/slow_start.rs
+++ b/crates/dunepond-routing/src/policy/slow_start.rs
@@ -12,18 +12,20 @@
 use crate::state::{InFlightQuery, Node, Router, TokenBucket};
 use crate::{Deployment, EndpointState, NodeId};
 
-/// Cap on a node's unspent tokens, as a multiple of this broker's share of the square root of all brokers'
-/// tokens in a window ([`SlowStart::window`](crate::SlowStart::window)). Unspent tokens are capped because all
-/// brokers may spend them at the same time. With a budget of N parts in a window, a node is overloaded only by
-/// `N + 2 sqrt(N) + 2` parts or more. The greater of this cap and that of [`BURST_WINDOW_RATIO`] applies.
+/// Cap on the unspent tokens that this broker has for a node, as a multiple of `sqrt(N) / broker_count`,
+/// where N is the number of tokens that all brokers together get for the node in a window
+/// ([`SlowStart::window`](crate::SlowStart::window)). Unspent tokens are capped because all brokers may spend
+/// them at the same time: `N + 2 sqrt(N) + 2` parts or more in a window overload the node. The greater of
+/// this cap and that of [`BURST_WINDOW_RATIO`] applies.
 const BURST_ROOT_RATIO: f64 = 2.0;
-/// Cap on a node's unspent tokens, as a ratio of this broker's tokens in a window
-/// ([`SlowStart::window`](crate::SlowStart::window)). The greater of this cap and that of [`BURST_ROOT_RATIO`]
-/// applies.
+/// Cap on the unspent tokens that this broker has for a node, as a ratio of the tokens that it gets in a
+/// window ([`SlowStart::window`](crate::SlowStart::window)). The greater of this cap and that of
+/// [`BURST_ROOT_RATIO`] applies.
 const BURST_WINDOW_RATIO: f64 = 0.5;
 
 impl Node {
-    /// Returns the capacity that the node has at least, as a ratio of its full capacity; 1 if the node is warm.
+    /// Returns the lowest capacity that the node is expected to have, as a ratio of its full capacity; 1 if
+    /// the node is warm (past its slow start).
     pub(super) fn slow_start_weight(&self, deployment: &Deployment, now: f64) -> f64 {
         let slow_start = &deployment.slow_start;
         let age_ratio = ((now - self.started_at) / slow_start.duration).clamp(0.0, 1.0);
@@ -38,16 +40,17 @@
     }
 
     /// Counts the warm nodes. Called with each update of the endpoint list, not only by [`Router::on_wake`],
-    /// because completions before the first call of the latter would otherwise be attributed to a single node.
+    /// because completions before the first call of `on_wake` would otherwise be attributed to a single node.
     pub(super) fn count_warm_nodes(&mut self) {
         let active = self.nodes.iter().flatten().filter(|node| node.state == EndpointState::Active);
         self.latency.warm_nodes = active.filter(|node| self.is_warm(node)).count().max(1);
     }
 
-    /// Returns the parts per second that a warm node completes for this broker, as of now: the rate at the last
-    /// call of [`Router::on_wake`] could still include a burst that is over. It is counted from the oldest kept
-    /// completion, not over a fixed window or since the broker's start: brokers that have just started would
-    /// otherwise send almost nothing to nodes that have just started, while the old nodes are full.
+    /// Returns the parts per second that a warm node completes for this broker, computed now, because the
+    /// rate at the last call of [`Router::on_wake`] could still include a burst that is over. The average is
+    /// taken from the oldest kept completion on, not over a fixed window or since the broker's start: brokers
+    /// that have just started would otherwise send almost nothing to nodes that have just started, while the
+    /// old nodes are full.
     pub(super) fn completion_rate(&self) -> f64 {
         let completions = &self.latency.completions;
         let since = completions.front().map_or(0.0, |first| first.at);
@@ -85,13 +88,13 @@
         (bucket.tokens + multiple * completed).min(self.max_unspent_tokens(per_window))
     }
 
-    /// Returns the parts that a warm node has completed for this broker since the bucket was last updated, as
-    /// the mean of all listed warm nodes: those that this broker sends to often are no fair sample. Completions
-    /// are counted, rather than a rate multiplied by time, so that the tokens of all brokers add up to what a
-    /// warm node did, even if brokers have just started or are unequally loaded. The result is at least
-    /// `elapsed` divided by the median latency and the number of brokers, because in quiet times there are too
-    /// few completions: a warm node can serve at least one part per median latency, and this capacity is
-    /// divided evenly among the brokers.
+    /// Returns the number of parts that a warm node has completed for this broker since the bucket was last
+    /// updated, averaged over all listed warm nodes: the nodes to which this broker often sends are not
+    /// representative. Completions are counted, rather than a rate multiplied by time, so that the tokens of
+    /// all brokers add up to what a warm node did, even if brokers have just started or are unequally loaded.
+    /// The result is at least `elapsed` divided by the median latency and the number of brokers, because in
+    /// quiet times there are too few completions: a warm node can serve at least one part per median latency,
+    /// and this capacity is divided evenly among the brokers.
     fn completed_since(&self, bucket: TokenBucket, elapsed: f64) -> f64 {
         let completed = self.latency.completed_per_node - bucket.completed_per_node;
         completed.max(elapsed / (self.latency.median * self.deployment.broker_count))
@@ -105,9 +108,9 @@
         burst.max(BURST_WINDOW_RATIO * per_window).max(1.0)
     }
 
-    /// Returns the token bucket of a node that is listed or has restarted. For a node in slow start it contains
-    /// a random fraction of a token, so that if each broker's share is less than one part, only some brokers
-    /// send a part at first.
+    /// Returns the initial token bucket of a node that is listed for the first time or has restarted. For a
+    /// node in slow start it contains a random fraction of a token, so that if each broker's share is less
+    /// than one part, only some brokers send a part at first.
     pub(super) fn initial_slow_start_tokens(&mut self, started_at: f64) -> TokenBucket {
         let is_cold = self.now - started_at < self.deployment.slow_start.duration;
         let tokens = if is_cold { self.rng.random() } else { 0.0 };
--- a/crates/dunepond-routing/src/policy/warm_restart.rs
+++ b/crates/dunepond-routing/src/policy/warm_restart.rs
@@ -1,8 +1,8 @@
 //! Warm restart: saves and restores the statistics that a process has learned and the budgets that it has
 //! spent.
 //!
-//! All times are ages in seconds, since each process has its own clock. A budget that is not known to be unspent
-//! counts as spent.
+//! All times are ages in seconds, since each process has its own clock. If it is not known how much of a
+//! budget was spent, all of it counts as spent.
 
 use std::collections::VecDeque;
 
@@ -45,8 +45,8 @@
         self.measure_latency();
     }
 
-    /// Returns the retries and the parts sent to nodes in slow start, which count against the budgets, and the
-    /// arrivals from which the retry budget follows.
+    /// Returns what this router has spent of its budgets (the retries, and the parts sent to nodes in slow
+    /// start), and the arrivals of queries and parts, with whose number the retry budget grows.
     pub fn spent_budgets(&mut self, transport: &dyn Transport) -> SpentBudgets {
         self.sync_clock(transport);
         let now = self.now;
--- a/crates/dunepond-routing/src/query.rs
+++ b/crates/dunepond-routing/src/query.rs
@@ -15,7 +15,7 @@
     /// Weight of the part relative to the other parts of its step (the first or second step of its query).
     pub weight: f64,
     /// The only node that the part may be sent to; `None` if any replica of the segment may serve it. Set for
-    /// a non-idempotent part of a segment with an agreed owner.
+    /// a non-idempotent part if the brokers have agreed on one node as the owner of the segment.
     pub required_node: Option<NodeId>,
 }
 
@@ -33,7 +33,8 @@
     pub expires_in: f64,
     /// Whether the client marked the query as a retry of an earlier one.
     pub is_retry: bool,
-    /// Whether the query's body is kept for retries; otherwise its parts are sent on arrival or never.
+    /// Whether the query's body is kept for retries. If not, the body is available on arrival only, and a
+    /// part that is not sent then is never sent.
     pub body_retained: bool,
     /// Whether sending the query's frames may take long;
     /// [`Router::on_frame_written`](crate::Router::on_frame_written) then reports when each frame has been sent
--- a/crates/dunepond-routing/src/state/admission.rs
+++ b/crates/dunepond-routing/src/state/admission.rs
@@ -10,8 +10,8 @@
     pub value_densities: VecDeque<f64>,
     /// Instants at which queries were admitted within their tenant's quota, by tenant.
     pub within_quota: Vec<VecDeque<f64>>,
-    /// Time in seconds that the client of the last query that was not a retry would wait, by tenant and query
-    /// class.
+    /// For each tenant and query class, the seconds for which the client of the last query that was not a
+    /// retry was ready to wait.
     pub first_try_seconds: Vec<f64>,
     /// Whether each recent query that had attempts missed its latency objective, oldest first.
     pub missed_objectives: VecDeque<ObjectiveResult>,
--- a/crates/dunepond-routing/src/state/latency.rs
+++ b/crates/dunepond-routing/src/state/latency.rs
@@ -49,7 +49,8 @@
 /// Latency of an attempt at a node of a zone.
 #[derive(Clone, Copy)]
 pub struct ZoneSample {
-    /// Latency of the attempt in seconds, scaled to that of a warm node.
+    /// Latency of the attempt in seconds, multiplied by the ratio of the node's capacity to that of a warm
+    /// node.
     pub latency: f64,
     /// When the attempt ended.
     pub at: f64,
--- a/crates/dunepond-routing/src/state/node.rs
+++ b/crates/dunepond-routing/src/state/node.rs
@@ -54,7 +54,8 @@
     /// Query class of the attempt.
     pub class: usize,
     pub sent_at: f64,
-    /// Latency in seconds, scaled to that of a warm node; for a rejection as full, the fleet's 95th percentile.
+    /// Latency in seconds, multiplied by the ratio of the node's capacity to that of a warm node; for a
+    /// rejection as full, the fleet's 95th percentile.
     pub latency: f64,
     /// When the attempt ended.
     pub at: f64,
@@ -68,8 +69,8 @@
     Served,
     /// The attempt failed, and the failure counts against the node.
     Fault,
-    /// The node rejected the attempt as full, or the attempt was cancelled before it ended. Its latency
-    /// counts, but not as a fault of the node.
+    /// The node rejected the attempt as full, or the attempt was cancelled or timed out. Its latency counts,
+    /// but the attempt does not count as a fault of the node.
     Inconclusive,
 }
 
@@ -81,14 +82,14 @@
     pub probation_limit: usize,
 }
 
-/// The slow start budget of this broker for a node, as of an instant.
+/// The slow start tokens that this broker has for a node. Each part that it sends to the node takes a token.
 #[derive(Clone, Copy)]
 pub struct TokenBucket {
-    /// Number of parts that this broker may send to the node.
+    /// Number of tokens at the instant `at`.
     pub tokens: f64,
     /// The value of [`LatencyStats::completed_per_node`](super::LatencyStats::completed_per_node) at `at`.
     pub completed_per_node: f64,
-    /// The instant at which the bucket held these tokens.
+    /// Instant at which `tokens` was last computed.
     pub at: f64,
 }
 
--- a/crates/dunepond-routing/src/state/query.rs
+++ b/crates/dunepond-routing/src/state/query.rs
@@ -18,8 +18,9 @@
     /// Instant at which the client stops waiting, or the last answers of a shutdown if those are earlier.
     pub deadline_at: f64,
     pub arrived_at: f64,
-    /// Instant at which the request stages must run even if no event occurs;
-    /// [`Router::on_wake`](super::Router::on_wake) runs them for queries whose instant has come.
+    /// Instant at which the request stages must run even if no event occurs.
+    /// [`Router::on_wake`](super::Router::on_wake) runs them for the queries for which this instant has been
+    /// reached.
     pub due_at: f64,
     /// The parts of all steps so far.
     pub parts: Vec<PartState>,
--- a/crates/dunepond-routing/src/state/retry_budget.rs
+++ b/crates/dunepond-routing/src/state/retry_budget.rs
@@ -1,4 +1,5 @@
-//! The retries that were sent, and the queries and parts that arrived, from which the retry budget follows.
+//! Records from which the retry budget is computed: the retries that were sent, and the queries and parts
+//! that arrived.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -14,8 +15,8 @@
     pub arrived: VecDeque<ArrivedWork>,
     /// Longest window of any retry budget so far, in seconds; records are kept for that long.
     pub window_seconds: f64,
-    /// Instant up to which all budgets count as fully spent, because the real use is not known; `f64::MIN` if
-    /// it is known.
+    /// Instant up to which the retry and slow start budgets count as fully spent, because it is not known
+    /// what was spent before; `f64::MIN` if that is known.
     pub assumed_spent_until: f64,
     /// Number of attempts that the retry budget has denied since the last call of
     /// [`Router::quota_demand`](super::Router::quota_demand).
--- a/crates/dunepond-routing/src/state/shutdown.rs
+++ b/crates/dunepond-routing/src/state/shutdown.rs
@@ -6,6 +6,6 @@
 pub struct Shutdown {
     /// Earliest instant at which the signal may have arrived, in seconds on the transport's clock.
     pub(crate) signalled_at: f64,
-    /// Seconds from that instant to the last answers.
+    /// Seconds from `signalled_at` to the instant at which the last answers are due.
     pub(crate) last_answers_after: f64,
 }
--- a/crates/dunepond-routing/src/transport.rs
+++ b/crates/dunepond-routing/src/transport.rs
@@ -21,7 +21,8 @@
     /// Answers a query with the parts received. For a query with two steps, the first call ends the first step,
     /// and [`Router::on_second_step`](crate::Router::on_second_step) then receives the parts of the second one.
     fn answer(&mut self, query: QueryId, is_complete: bool);
-    /// Rejects a query that the client may safely retry, after `retry_after` seconds if that is greater than 0.
+    /// Rejects a query that the client may safely retry. If `retry_after` is greater than 0, the rejection
+    /// tells the client to retry after that number of seconds.
     fn reject_retriable(&mut self, query: QueryId, retry_after: f64);
     /// Fails a query with an unknown outcome: parts of it may have run.
     fn fail_unknown_outcome(&mut self, query: QueryId);
--- a/crates/dunepond-routing/tests/admission.rs
+++ b/crates/dunepond-routing/tests/admission.rs
@@ -6,8 +6,8 @@
 use rstest::rstest;
 use support::*;
 
-/// Returns a cluster in which the replicas of segment 0 answer after more than half a latency objective. The replicas of segment
-/// 3 are not overloaded.
+/// Returns a cluster in which the replicas of segment 0 answer after 1.2 s, which is more than half of the latency objective of
+/// most classes, and those of segment 3 after 0.2 s.
 fn overloaded_cluster() -> Cluster {
     let mut cluster = Cluster::new(deployment());
     for wait in [0.6, 1.2] {
@@ -65,9 +65,9 @@
     assert_eq!(rejected(&mut cluster), 0);
 }
 
-/// All nodes were slow and have recovered. Guards against a broker that sends nothing because of a high wait estimate and so
-/// never gets a sample that corrects it: it rejected all queries, with no attempt in flight, for twice the longest latency
-/// objective (40 s here), and for four times as long where samples of a zone replace those of a node.
+/// All nodes were slow and have recovered. Guards against a broker that rejects all queries because of a high wait estimate,
+/// and so never gets a sample that corrects the estimate. With no attempt in flight, it rejected all queries for twice the
+/// longest latency objective (40 s here), and for four times as long where samples of a zone replace those of a node.
 #[rstest]
 #[case::zones(3, 30)]
 #[case::one_zone(1, 3)]
@@ -96,7 +96,8 @@
     assert!(served >= min_served, "{served}");
 }
 
-/// Nodes are silent during a garbage collection, and all replicas of a segment may collect at the same time.
+/// All replicas of a segment are silent for a moment, as they may be if they collect garbage at the same time. The queries that
+/// arrive then wait and are answered.
 #[test]
 fn briefly_paused_replicas_cause_no_rejection() {
     let mut cluster = Cluster::new(deployment());
@@ -131,7 +132,7 @@
 #[test]
 fn traffic_beyond_quota_is_shed_first() {
     let mut cluster = Cluster::new(Deployment { quotas: vec![0.3, 3000.0], ..deployment() });
-    // The wait is just above the start of load shedding: most queries within the quota are still admitted.
+    // The expected wait is just above that at which load shedding starts: most queries within the quota are still admitted.
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.75)); 6];
     (0..80).for_each(|_| {
         cluster.query_with(PATIENT, &[0], 1, 30.0, false);
@@ -145,7 +146,8 @@
     assert!(rejected(0) >= 16);
 }
 
-/// The expected wait is the same in both cases. Admitted queries that ended late show that the estimate is too low.
+/// The expected wait is the same in both cases. In one of them most admitted queries end after their latency objective. This
+/// shows that the estimate is too low, so more queries are rejected.
 #[rstest]
 #[case::most_on_time(false, 0..8)]
 #[case::most_late(true, 8..21)]
@@ -155,7 +157,7 @@
     let first: Vec<_> =
         (0..12).map(|turn| cluster.query_with(query_class, &[turn % 6], 0, 30.0, false)).collect();
     cluster.run(0.5);
-    // The wait is just above the start of load shedding.
+    // The expected wait is just above that at which load shedding starts.
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 0.75)); 6];
     (0..80).for_each(|turn| {
         cluster.query_with(PATIENT, &[0], 0, 30.0, false);
@@ -223,7 +225,8 @@
     let now = cluster.transport.now;
     cluster.update_list(false, &[row(1, EndpointState::Active, now - 1.0)]);
     assert_eq!(cluster.router.prefilter_candidates(0).collect::<Vec<_>>(), [2]);
-    // With any seed, the node in slow start has budget for a part after half a second; it is ejected last.
+    // With any seed, the node in slow start has budget for a part after half a second. It is ejected after the other nodes,
+    // because its silence is scaled by its capacity.
     cluster.run(0.5);
     cluster.transport.nodes = vec![Some((AttemptOutcome::Served, 1.5)); 6];
     for i in 0..4 {
--- a/crates/dunepond-routing/tests/bodies.rs
+++ b/crates/dunepond-routing/tests/bodies.rs
@@ -1,5 +1,5 @@
-//! Queries whose body is available only on arrival, or has been discarded since: which attempts, hedges and retries are
-//! still possible.
+//! Queries whose body is available on arrival only, or is discarded later: which attempts, hedges and retries are still
+//! possible.
 
 mod support;
 
@@ -18,7 +18,7 @@
     assert!(matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { .. }]));
 }
 
-/// Neither a silent node nor an overdue part causes a hedge, because there is no body to send.
+/// Neither a silent node nor an overdue part causes a hedge, because the body is no longer available.
 #[test]
 fn single_shot_query_is_not_hedged() {
     let mut cluster = Cluster::new(deployment());
@@ -41,8 +41,8 @@
     assert_eq!(cluster.answers(query), [COMPLETE]);
 }
 
-/// The only node is draining, and the body of the query is available on arrival only: a part that is not sent then never can
-/// be. Guards against waiting for a replica while the client sends that body.
+/// The only node is draining, and the body of the query is available on arrival only: a part that is not sent on arrival can
+/// never be sent. Guards against waiting for a replica while the client sends the body.
 #[test]
 fn single_shot_query_without_replica_is_rejected() {
     let mut cluster = Cluster::new(deployment());
@@ -83,7 +83,7 @@
     assert!(matches!(cluster.answers(query)[..], [FinalAnswer::Rejected { .. }]));
 }
 
-/// A body must be retained for parts that have not run or may run again, and not for other parts.
+/// The body must be retained while a part has not run yet or may run again. Otherwise it need not be.
 #[rstest]
 #[case::may_have_run(NON_IDEMPOTENT, AttemptOutcome::Error, false)]
 #[case::rejected(NON_IDEMPOTENT, AttemptOutcome::Rejected, true)]
--- a/crates/dunepond-routing/tests/dispatch.rs
+++ b/crates/dunepond-routing/tests/dispatch.rs
@@ -36,7 +36,8 @@
     assert_eq!(cluster.answers(query), [COMPLETE, COMPLETE]);
 }
 
-/// 56 weights of 0.017857 sum to 0.999992: all of the parts make the answer complete, and one less does not.
+/// The weights are rounded, so that their sum is not exactly 1: 56 weights of 0.017857 sum to 0.999992. The answer is complete
+/// once all of the parts have been served, and not before.
 #[rstest]
 #[case::rounded_down(56, 0.017857)]
 #[case::rounded_up(7, 0.142858)]
--- a/crates/dunepond-routing/tests/endpoint_list.rs
+++ b/crates/dunepond-routing/tests/endpoint_list.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use support::*;
 
-/// How discovery treats polls, and how often it notifies the broker without a poll.
+/// How discovery, which serves the endpoint list, responds to polls, and how often it notifies the broker without a poll.
 #[derive(Clone, Copy, Default)]
 struct Discovery {
     /// Only one in this many consecutive polls is answered, and the others are refused; 0 if all are answered.
@@ -20,7 +20,7 @@
     changes: Option<f64>,
 }
 
-/// Longest interval in seconds between two polls of the endpoint list.
+/// Longest allowed interval in seconds between two polls of the endpoint list.
 const POLL_DEADLINE: f64 = 10.0;
 
 /// Returns a cluster whose endpoint list is only sent on request.
@@ -101,7 +101,7 @@
 }
 
 /// The first poll after a refused one follows soon, at a random time. Guards against many brokers that start at the same time
-/// and fill the queue of the server of the endpoint list with their polls.
+/// and whose polls then fill the queue of the server that sends the endpoint list.
 #[test]
 fn failed_polls_are_spread_out() {
     let first = |seed| {
@@ -115,7 +115,7 @@
     assert!(times[39] - times[0] > 0.1, "{times:?}");
 }
 
-/// Guards against calls of `on_wake` for polling and for queries that each request another call.
+/// Guards against two series of calls of `on_wake`, one for polling and one for queries, in which each call requests the next.
 #[test]
 fn polling_adds_few_wakes() {
     let wakes = |mut cluster: Cluster| {
--- a/crates/dunepond-routing/tests/fleet/harness.rs
+++ b/crates/dunepond-routing/tests/fleet/harness.rs
@@ -13,8 +13,8 @@
 const TICK: f64 = 0.005;
 const START_TIME: f64 = 100.0;
 
-/// How much work each part of a query is: a query is heavy or light, and all its parts are alike. The unit is the mean work
-/// of a part.
+/// Distribution of work over the queries: a query is heavy or light, and all parts of a query have the same work. The unit is
+/// the mean work of a part.
 #[derive(Clone, Copy)]
 pub struct WorkDistribution {
     /// Share of the queries whose parts are heavy.
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Returns the number of queries that arrive at each broker, on average `expected` in total.
+    /// Returns a random number of queries that arrive at each broker. The sum over all brokers is `expected` on average.
     fn arrivals(&mut self, expected: f64) -> Vec<usize> {
         let mut counts = vec![0; self.brokers.len()];
         let mut remaining = expected;
@@ -191,7 +191,8 @@
         found.unwrap_or(last)
     }
 
-    /// Returns the second with the highest load of a node; see [`Nodes::busiest_second`].
+    /// Returns the second in which the load of a node is highest in relation to the allowed load; see
+    /// [`Nodes::busiest_second`].
     pub fn busiest_second(&self, node: NodeId, started_at: f64, until: f64) -> SecondOfLoad {
         self.nodes.borrow().busiest_second(node, started_at, until)
     }
--- a/crates/dunepond-routing/tests/fleet/lost_zone.rs
+++ b/crates/dunepond-routing/tests/fleet/lost_zone.rs
@@ -1,4 +1,5 @@
-//! A zone with a third of the nodes becomes silent: what all brokers together send there, before and after it recovers.
+//! A zone with a third of the nodes becomes silent: the attempts that all brokers together send to that zone, before and after
+//! it recovers.
 
 use dunepond_routing::{NodeId, RetryBudget};
 use rstest::rstest;
--- a/crates/dunepond-routing/tests/fleet/main.rs
+++ b/crates/dunepond-routing/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Limits that many brokers keep together without communicating: slow start, probation attempts, retries and closed
-//! connections, summed over all brokers of a fleet in simulated time.
+//! Limits that many brokers respect in sum without communicating: slow start, probation attempts, retries and closed
+//! connections, added up over all brokers of a fleet in simulated time.
 
 mod harness;
 mod lost_zone;
--- a/crates/dunepond-routing/tests/fleet/nodes.rs
+++ b/crates/dunepond-routing/tests/fleet/nodes.rs
@@ -109,7 +109,7 @@
     pub received: f64,
     /// Work that the node received from brokers that knew of its start.
     pub informed: f64,
-    /// Work that the slow start settings allow at that age.
+    /// Work that the slow start settings allow at the node's age at the start of the second.
     pub allowed: f64,
 }
 
@@ -119,9 +119,9 @@
         self.received > overload_limit(self.allowed) && self.informed * 3.0 > self.received * 2.0
     }
 
-    /// Returns the work relative to the overload limit. Work from brokers that do not know of the node's start does not
-    /// violate the slow start limit: it counts only up to half of the work from the other brokers, which is a third of the
-    /// sum.
+    /// Returns the received work as a ratio of the overload limit. Brokers that do not know of the node's start cannot respect
+    /// the slow start limit, so their work counts only up to half of that from the brokers that know of it, which is a third of
+    /// the sum.
     fn overload_ratio(&self) -> f64 {
         self.received.min(1.5 * self.informed) / overload_limit(self.allowed)
     }
--- a/crates/dunepond-routing/tests/fleet/slow_start_events.rs
+++ b/crates/dunepond-routing/tests/fleet/slow_start_events.rs
@@ -8,7 +8,7 @@
 use crate::harness::{Fleet, WorkDistribution};
 use crate::nodes::SecondOfLoad;
 
-/// How queries are distributed over the brokers, and work over the queries.
+/// How queries are distributed over the brokers, and how work is distributed over the queries.
 #[derive(Clone, Copy, Debug)]
 enum Load {
     /// All brokers get the same number of queries, and all parts have the same work.
@@ -41,7 +41,7 @@
 /// The nodes that started, and how long they ran.
 struct Starts {
     nodes: Vec<NodeId>,
-    /// Instants of each start and of the next start or the end of the test.
+    /// For each start, its instant and the instant until which the nodes ran: the next start or the end of the test.
     spans: Vec<(f64, f64)>,
 }
 
@@ -70,7 +70,7 @@
         Starts { nodes, spans: starts.into_iter().zip(ends).collect() }
     }
 
-    /// Starts the nodes; the brokers are informed of it unless the event delays that.
+    /// Starts the nodes and informs the brokers, unless the event is that they are informed late.
     fn start_nodes(self, fleet: &mut Fleet, nodes: &[NodeId]) {
         let starts = starts_at(nodes, fleet.now);
         if matches!(self, Self::InformedLate) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Simulates what follows the start; returns the instant of a second start if there is one.
+    /// Simulates what follows the start of the nodes. Returns the instant of their second start if there is one.
     fn run(self, fleet: &mut Fleet, nodes: &[NodeId]) -> Option<f64> {
         let brokers = fleet.brokers.len();
         let mut second_start = None;
@@ -147,7 +147,8 @@
     event: Event,
 ) {
     let mut fleet = Fleet::new(brokers, 12, None);
-    // Of sixteen seeds, the one with which an earlier limit, based on rates and turns, failed most often.
+    // Of the sixteen seeds that were tried, this is the one with which an earlier slow start limit, based on rates and turns,
+    // failed most often.
     fleet.rng = Pcg64Mcg::seed_from_u64(9);
     if matches!(load, Load::Uneven) {
         fleet.load_shares = (0..brokers).map(|id| if id % 6 == 0 { 5.0 } else { 0.6 }).collect();
--- a/crates/dunepond-routing/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -16,9 +16,9 @@
 const START: f64 = 1000.0;
 const REPLICA_GROUPS: usize = 9;
 const ZONES: usize = 3;
-/// The router's present state is added to the digest each time this number of events has passed.
+/// Interval, in events, at which the router's present state is added to the digest.
 const RECORD_EVERY_EVENTS: usize = 40;
-/// The router's learned state and spent budgets are added to the digest each time this number of events has passed.
+/// Interval, in events, at which the router's learned state and spent budgets are added to the digest.
 const RECORD_LEARNED_EVERY_EVENTS: usize = 600;
 /// Number of digests that are compared for each scenario.
 const CHECKPOINTS: usize = 4;
@@ -99,7 +99,7 @@
     Active,
     Draining,
     Removed,
-    /// The router has been told to forget the node.
+    /// The node has been passed to [`Router::remove_node`].
     Forgotten,
 }
 
@@ -549,7 +549,7 @@
     router: Router,
     transport: Recorder,
     rng: Pcg64Mcg,
-    /// Number of queries so far; the last one has this id.
+    /// Number of queries so far, which is also the id of the last one.
     query_count: QueryId,
     shutdown: Option<Shutdown>,
     checkpoints: Vec<u64>,
@@ -799,8 +799,8 @@
         ];
         let id = self.rng.random_range(0..self.scenario.nodes);
         let faulty = self.transport.nodes.iter().filter(|n| n.mode != Mode::Healthy).count();
-        // If the chosen node is faulty or more than a third of all nodes are, no fault begins: the chosen node recovers, or
-        // the first faulty one if the chosen node is healthy.
+        // If the chosen node is faulty, it recovers. If it is healthy but more than a third of all nodes are faulty, the first
+        // faulty node recovers. In both cases no fault begins.
         if self.transport.nodes[id].mode != Mode::Healthy || 3 * faulty > self.scenario.nodes {
             let first = self.transport.nodes.iter().position(|n| n.mode != Mode::Healthy).unwrap_or(id);
             let recovered = if self.transport.nodes[id].mode == Mode::Healthy { first } else { id };
@@ -1064,7 +1064,7 @@
     assert_eq!((digests.as_slice(), calls), (golden.digests.as_slice(), golden.calls), "{digests:#018x?}");
 }
 
-/// Guards against scenarios that do not cover some kind of call.
+/// Guards against scenarios in which some kind of call occurs rarely or never, so that the digests would not cover it.
 #[test]
 fn scenarios_reach_every_call() {
     for kind in 0..CALL_KINDS {
--- a/crates/dunepond-routing/tests/idle_reset.rs
+++ b/crates/dunepond-routing/tests/idle_reset.rs
@@ -21,11 +21,12 @@
     cluster.transport.closed.clear();
     let query = cluster.query(NON_IDEMPOTENT, &[0]);
     assert_eq!(cluster.sent(query).first().is_some_and(|s| cluster.transport.closed == [s.node]), reconnects);
-    // Connections that break otherwise count as faults, and a replica with two such attempts may be ejected.
+    // Breaks that are not idle resets count as faults, so in the other cases a replica that lost two attempts may be ejected.
     assert!(!reconnects || (0..6).all(|n| !cluster.is_ejected(n)));
 }
 
-/// Some connections break for other reasons: most attempts after the same idle time are served.
+/// After the same idle time, few attempts break and most are served. The breaks have another cause than the idle time, so no
+/// connection is closed before it is used.
 #[test]
 fn rare_resets_cause_no_reconnect() {
     let mut cluster = Cluster::new(deployment());
--- a/crates/dunepond-routing/tests/outlier_detection.rs
+++ b/crates/dunepond-routing/tests/outlier_detection.rs
@@ -14,7 +14,7 @@
     let silent_since = cluster.transport.now;
     cluster.run_traffic(FULL, 2.0, 0.05);
     assert!(cluster.is_ejected(2));
-    // Perhaps only the connection is silent, so it is closed.
+    // Perhaps only the connection has failed and not the node, so the connection is closed.
     assert!(cluster.transport.closed.contains(&2));
     let ejected_by = cluster.transport.now;
     cluster.run_traffic(FULL, 3.0, 0.05);
@@ -148,7 +148,8 @@
     assert!(cluster.sent_count(2, restart) >= 2);
 }
 
-/// Guards against memory that grows with every node that was ever listed.
+/// The id of a removed node is given to another node. Guards against memory that grows with every node that was ever listed, as
+/// it would if ids were not reused.
 #[test]
 fn removed_node_id_is_reused_in_another_group() {
     let mut cluster = Cluster::new(deployment());
--- a/crates/dunepond-routing/tests/placement.rs
+++ b/crates/dunepond-routing/tests/placement.rs
@@ -15,8 +15,8 @@
     assert_ne!(cluster.sent(first)[0].node, cluster.sent(second)[0].node);
 }
 
-/// Six nodes are in three zones. With three replicas each segment has one in the broker's zone. With two replicas a third of the
-/// segments have none, and a preference would only bias the choice between equal replicas.
+/// Six nodes are in three zones. With three replicas, each segment has one in the broker's zone, which is preferred. With two
+/// replicas, a third of the segments have none there; a preference would then only bias the choice between equal replicas.
 #[rstest]
 #[case::each_segment_has_a_near_replica(3, 45..75)]
 #[case::some_segments_have_none(2, 30..60)]
@@ -44,7 +44,8 @@
     assert!((45..75).contains(&near), "{near}");
 }
 
-/// The near node is a quarter slower than the others: an expensive crossing of zones outweighs that, a cheap one does not.
+/// The node in the broker's zone is a quarter slower than the other replicas. It is still preferred if the cross-zone cost is
+/// high, but not if the cost is low.
 #[rstest]
 #[case::cheap(0.01, 0..30)]
 #[case::expensive(0.06, 45..75)]
@@ -63,9 +64,9 @@
     assert!(expected.contains(&near), "{near}");
 }
 
-/// A rejection as full counts for a median latency; a broker that sends to a node only once a second does so after that time.
-/// The node answered at once and has no outstanding attempts, so without a sample of the rejection it would seem the least
-/// loaded.
+/// A node that rejects an attempt as full counts as full for one median latency. A broker that sends to the node only once a
+/// second sends the next attempt after that time. Because the node rejects at once and has no outstanding attempts, it would
+/// seem the least loaded if the rejection were not kept as a sample.
 #[test]
 fn full_node_is_avoided_by_infrequent_brokers() {
     let mut cluster = Cluster::new(deployment());
--- a/crates/dunepond-routing/tests/prefilter.rs
+++ b/crates/dunepond-routing/tests/prefilter.rs
@@ -26,7 +26,7 @@
     assert_eq!((cluster.sent(query).len(), cluster.answers(query)), (0, vec![COMPLETE]));
 }
 
-/// The pruning of one part is revoked while the other part of the query is outstanding.
+/// The pruning of one part is revoked while the other part of the query is outstanding: the part is sent after all.
 #[test]
 fn part_with_stale_pruning_is_sent() {
     let mut cluster = Cluster::new(deployment());
@@ -91,6 +91,6 @@
     cluster.transport.nodes = vec![Some((AttemptOutcome::Error, 0.1)); 6];
     let query = cluster.query(FULL, &[1]);
     cluster.run(3.0);
-    // With a ratio of 1, the query and its part allow two retries.
+    // With a ratio of 1, the arrival of the query and of its part allows two retries.
     assert_eq!(cluster.sent(query).len(), 3);
 }
--- a/crates/dunepond-routing/tests/probing.rs
+++ b/crates/dunepond-routing/tests/probing.rs
@@ -6,7 +6,8 @@
 use rstest::rstest;
 use support::*;
 
-/// Returns a cluster of sixty nodes, each of which is rarely sent a part; a third of them have become slow.
+/// Returns a cluster of sixty nodes, a third of which have become slow. A query of one part is sent every `gap` seconds, so
+/// each node is rarely sent a part.
 fn unequally_loaded_cluster(gap: f64) -> Cluster {
     let plain = deployment();
     let query_classes = plain.query_classes[..PARTIAL].to_vec();
--- a/crates/dunepond-routing/tests/quota_shares.rs
+++ b/crates/dunepond-routing/tests/quota_shares.rs
@@ -6,14 +6,14 @@
 use rstest::rstest;
 use support::*;
 
-/// Returns the largest number of attempts sent to a node in any window of this many seconds.
+/// Returns the largest number of attempts sent to a node in any period of `window` seconds.
 fn max_sent_in_window(cluster: &Cluster, node: NodeId, window: f64) -> usize {
     let times: Vec<f64> = cluster.transport.sent.iter().filter(|s| s.node == node).map(|s| s.at).collect();
     times.iter().map(|t| times.iter().filter(|u| **u >= *t && **u < t + window).count()).max().unwrap_or(0)
 }
 
-/// A warm node completes ten parts a second. A node that started three seconds ago may be sent 2.5 times its capacity, which
-/// is 0.36 to 0.43 of that of a warm node.
+/// A warm node completes ten parts a second, of which this broker is given `rate`. A node that started three seconds ago may be
+/// sent 2.5 times its capacity, which is 0.36 to 0.43 of that of a warm node.
 #[rstest]
 #[case::all(10.0, 10)]
 #[case::half(5.0, 5)]
@@ -31,7 +31,8 @@
     assert!(sent <= max_sent && sent * 4 >= max_sent * 3, "{sent} of {max_sent}");
 }
 
-/// Three brokers are always allowed four retries each, twelve in all; this broker's share applies to these twelve.
+/// The deployment allows each of three brokers four retries regardless of the load, twelve in all. This broker's share is a
+/// fraction of these twelve.
 #[rstest]
 #[case::as_stated_by_the_deployment(None, 4)]
 #[case::even(Some(1.0 / 3.0), 4)]
@@ -70,8 +71,8 @@
     assert_eq!(retries(&cluster, &after), 0);
 }
 
-/// Under overload, traffic beyond the tenant's quota share is shed first: if this broker has all of the quota, more is
-/// served.
+/// Under overload, traffic beyond this broker's share of the tenant's quota is shed first. If the broker has the whole quota,
+/// it serves more.
 #[test]
 fn tenant_quota_respects_the_share() {
     let served = |share: Option<f64>| {
--- a/crates/dunepond-routing/tests/retry.rs
+++ b/crates/dunepond-routing/tests/retry.rs
@@ -114,7 +114,7 @@
     assert_eq!(cluster.sent(query).len(), 2);
 }
 
-/// In an uncongested fleet the part is hedged after 0.8 s.
+/// In an uncongested fleet the part is hedged after 0.8 s, which is 0.4 of the latency objective.
 #[rstest]
 #[case::uncongested(0.2, 2)]
 #[case::congested(0.5, 1)]
@@ -129,8 +129,8 @@
     assert_eq!(cluster.sent(query).len(), sent);
 }
 
-/// A node with a long queue may seem silent, so the hedge of a part there is sent only after the 95th percentile latency, but
-/// then at once.
+/// A part at an ejected node is hedged as soon as its attempt is older than the 95th percentile latency, and not before,
+/// because a node that seems silent may only have a long queue.
 #[rstest]
 fn part_at_ejected_node_is_hedged_after_p95(#[values(1, 2, 3)] seed: u64) {
     let mut cluster = Cluster::new(Deployment { seed, ..deployment() });
@@ -170,8 +170,8 @@
     assert_ne!(nodes[0], nodes[1]);
 }
 
-/// Each replica is tried again after a median latency, for which it counts as full. At the attempt cap the query ends at
-/// once.
+/// A replica that rejects an attempt counts as full for one median latency and is then tried again. Once the attempt cap is
+/// reached, the query ends at once.
 #[test]
 fn part_rejected_by_all_replicas_ends_its_query() {
     let mut cluster = Cluster::new(Deployment { replicas: 2, ..deployment() });
--- a/crates/dunepond-routing/tests/rules.rs
+++ b/crates/dunepond-routing/tests/rules.rs
@@ -82,8 +82,8 @@
 
 // ---- Rules that change while queries are in flight
 
-/// Returns a cluster with the old rules in force, and the new rules. The laxer ones are those that the deployment states;
-/// `change` makes the others stricter: the new rules if `stricter_now` is set, otherwise the old rules.
+/// Returns a cluster in which the old rules are in force, and the new rules. One of the two is what the deployment states; the
+/// other has been made stricter by `change`. The new rules are the stricter ones if `stricter_now` is set.
 fn cluster_and_new_rules(
     deployment: Deployment,
     change: impl Fn(&mut Rules),
@@ -98,8 +98,8 @@
     (cluster, new)
 }
 
-/// Two of four parts have been served at the deadline; a partial answer needs half of them under one set of rules, and all
-/// under the other.
+/// Two of four parts have been served at the deadline. A partial answer needs half of the parts under one set of rules, and all
+/// of them under the other.
 #[rstest]
 fn partial_answer_needs_the_greater_share(#[values(true, false)] stricter_now: bool) {
     let (mut cluster, new_rules) =
@@ -168,8 +168,8 @@
     assert_eq!(cluster.transport.sent.len() - queries.len(), 1);
 }
 
-/// Before the change there was no retry budget, or one with a shorter window, so the retries sent in the longer window are
-/// not known.
+/// The new retry budget has a longer window than the one before, or there was none before. The retries sent earlier in the
+/// longer window are not known, so the new budget counts as spent until the window has passed.
 #[rstest]
 #[case::none(None)]
 #[case::shorter(Some(RetryBudget { window: 0.5, min_retries: 50.0, ratio: 0.0 }))]
--- a/crates/dunepond-routing/tests/shutdown.rs
+++ b/crates/dunepond-routing/tests/shutdown.rs
@@ -47,7 +47,8 @@
 }
 
 /// The deadline of a query whose body was being received at the signal is the instant of the last answers. Guards against a
-/// rejection caused by rounding, because the time left is computed from that instant and then added to the clock again.
+/// rejection caused by rounding: the time left until that instant is computed from the clock, and is then added to the clock
+/// again.
 #[test]
 fn query_up_to_the_last_answers_is_served() {
     for step in 0..200 {
--- a/crates/dunepond-routing/tests/slow_start.rs
+++ b/crates/dunepond-routing/tests/slow_start.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use support::*;
 
-/// Returns the largest number of attempts sent to a node in any window of this many seconds.
+/// Returns the largest number of attempts sent to a node in any period of `window` seconds.
 fn max_sent_in_window(cluster: &Cluster, node: NodeId, window: f64) -> usize {
     let times: Vec<f64> = cluster.transport.sent.iter().filter(|s| s.node == node).map(|s| s.at).collect();
     times.iter().map(|t| times.iter().filter(|u| **u >= *t && **u < t + window).count()).max().unwrap_or(0)
@@ -64,8 +64,8 @@
     assert!((4..=8).contains(&sent), "{sent}");
 }
 
-/// Six parts are answered before the first call of `on_wake`, and no such call follows for a while. Guards against
-/// attributing them all to one node, as a rate of hundreds of parts a second.
+/// Six nodes answer one part each before the first call of `on_wake`, and no such call follows for a while. Guards against
+/// counting the six parts as completions of a single node, at a rate of hundreds of parts a second.
 #[test]
 fn first_completions_do_not_raise_the_budget() {
     let mut cluster = Cluster::new(Deployment { broker_count: 40.0, replicas: 1, ..deployment() });
--- a/crates/dunepond-routing/tests/stalls.rs
+++ b/crates/dunepond-routing/tests/stalls.rs
@@ -1,6 +1,6 @@
-//! Margins against stalls of the broker: 0.15 s may pass between a decision and the last byte of its frame, so a part that is
-//! idempotent by key is not retried within that time before the end of its idempotency window. For the client's deadline
-//! there is only the usual margin of seven ticks.
+//! Margins against stalls of the broker: 0.15 s may pass between a decision and the last byte of the frame that is sent. In the
+//! last 0.15 s of its idempotency window, a part that is idempotent by key is therefore not retried. Before the client's
+//! deadline there is only the usual margin of seven ticks.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use support::*;
 
 /// Repeats are dropped within the idempotency window, which ends one second after the first attempt. Guards against a retry
-/// that reaches the node after that.
+/// that reaches the node after the end of the window.
 #[rstest]
 #[case::in_time(0.8, 2)]
 #[case::too_late_in_the_window(0.9, 1)]
@@ -33,7 +33,7 @@
     assert_eq!(cluster.answers(query).len(), 1);
 }
 
-/// Nodes answer in 20 ms.
+/// Nodes answer in 20 ms. A query that expires after 100 ms is admitted, and one that expires after 20 ms is rejected.
 #[rstest]
 #[case::enough_time(0.1, true)]
 #[case::less_than_the_nodes_need(0.02, false)]
--- a/crates/dunepond-routing/tests/support/cluster.rs
+++ b/crates/dunepond-routing/tests/support/cluster.rs
@@ -9,7 +9,7 @@
 pub struct Cluster {
     pub router: Router,
     pub transport: RecordingTransport,
-    /// Number of queries sent so far; the last one has this id.
+    /// Number of queries sent so far, which is also the id of the last one.
     queries: QueryId,
 }
 
--- a/crates/dunepond-routing/tests/support/deployment.rs
+++ b/crates/dunepond-routing/tests/support/deployment.rs
@@ -10,14 +10,14 @@
 pub const NON_IDEMPOTENT: usize = 2;
 /// Index of the class whose parts are idempotent by key: a repeat is safe within an idempotency window of one second.
 pub const KEYED: usize = 3;
-/// Index of the class whose queries have a second step: the answer to the first step contains its parts.
+/// Index of the class whose queries have a second step: the answer to the first step contains the parts of the second.
 pub const TWO_STEP: usize = 4;
 /// Index of the class for which parts with half of the weight are enough for a partial answer.
 pub const PARTIAL: usize = 5;
 /// Index of the class with a latency objective of 20 s.
 pub const PATIENT: usize = 6;
 
-/// Returns a deployment of six nodes; the replicas of each segment are the node of its number and the next two, modulo six.
+/// Returns a deployment of six nodes; the replicas of segment n are the nodes n, n + 1 and n + 2, modulo six.
 pub fn deployment() -> Deployment {
     let full = QueryClass {
         latency_objective: 2.0,
--- a/crates/dunepond-sim-adapter/src/main.rs
+++ b/crates/dunepond-sim-adapter/src/main.rs
@@ -1,9 +1,9 @@
-//! Hosts the router on the simulator's wire, so that the simulator tests the same decisions that the broker makes on sockets.
-//! Each line of standard input is a batch of events as JSON; each line of standard output is the batch of orders that they led
-//! to.
+//! Runs routers behind the simulator's JSON wire protocol, so that the simulator tests the same decisions that the broker makes
+//! on sockets. Each line of standard input is a batch of events; each line of standard output is the batch of orders to which
+//! those events led.
 //!
-//! No decision is made here. The wire's names are mapped to the router's terms in `wire`, and nowhere else. An invalid line is
-//! reported on standard error, and the program exits with a failure.
+//! No decision is made here. Only the module `wire` knows the names of the wire protocol and maps them to the router's terms.
+//! An invalid line is reported on standard error, and the program exits with a failure.
 
 mod process;
 mod session;
--- a/crates/dunepond-sim-adapter/src/process.rs
+++ b/crates/dunepond-sim-adapter/src/process.rs
@@ -16,7 +16,7 @@
 }
 
 impl Process {
-    /// Handles a batch of events and returns the batch of orders that they led to.
+    /// Handles a batch of events and returns the batch of orders to which those events led.
     pub fn handle_batch(&mut self, line: &str) -> Result<Value, ConfigError> {
         let batch: Value =
             serde_json::from_str(line).map_err(|e| ConfigError(format!("batch: not JSON: {e}")))?;
--- a/crates/dunepond-sim-adapter/src/session.rs
+++ b/crates/dunepond-sim-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! One broker on the wire: converts its events to calls of its router.
+//! One simulated broker: converts its events on the wire to calls of its router.
 
 use dunepond_config::{ConfigError, Fields, deployment};
 use dunepond_routing::{AttemptEnded, Endpoint, Part, Query, QueryId, Router};
@@ -81,8 +81,8 @@
         Ok(())
     }
 
-    /// Passes the query that is being received, or the parts of its second step, to the router, once no more of its rows can
-    /// follow.
+    /// Passes the query that is being received, or the parts of its second step, to the router. Called once no more rows of
+    /// that query can follow.
     pub fn flush_incoming(&mut self) -> Result<(), ConfigError> {
         let Some(incoming) = self.incoming.take() else { return Ok(()) };
         let Some(announced) = incoming.query else {
--- a/crates/dunepond-sim-adapter/src/transport.rs
+++ b/crates/dunepond-sim-adapter/src/transport.rs
@@ -25,8 +25,8 @@
     Part(QueryId, usize),
 }
 
-/// The clock, the names, and the orders that have not been taken yet. No order is written for a query whose names have been
-/// dropped.
+/// The simulator's clock, the wire's names of nodes, queries and parts, and the orders that have not been passed to the
+/// simulator yet. No order is written for a query whose names have been dropped.
 #[derive(Default)]
 pub struct WireTransport {
     /// The instant of the batch of events that is being handled, in seconds on the simulator's clock.
--- a/crates/dunepond-sim-adapter/src/wire.rs
+++ b/crates/dunepond-sim-adapter/src/wire.rs
@@ -66,7 +66,7 @@
     pub parameters: Fields<'a>,
 }
 
-/// A row of an arriving query: the query itself or one of its parts.
+/// A row of a query that arrives: the query itself or one of its parts.
 pub struct Arrival<'a> {
     pub name: &'a str,
     pub query: QueryId,
@@ -185,7 +185,7 @@
         self.event.text(field::NODE)
     }
 
-    /// Returns the seconds since the attempt was sent.
+    /// Returns the seconds from sending the attempt to its end.
     pub fn elapsed(&self) -> Result<f64, ConfigError> {
         delay(&self.event)
     }
@@ -215,8 +215,8 @@
     Ok(event.number_or(field::DELAY, 0.0)? / MS_PER_SECOND)
 }
 
-/// Reads the row of a query, without its parts. The simulator holds the bodies and the wire contains only the names of
-/// parts, so a body is always available again and no frame takes long to send.
+/// Reads the row of a query, without its parts. The simulator holds the bodies and the wire contains only the names of parts,
+/// so each body is available for retries and no frame takes long to send.
 pub fn read_query(event: &Fields, id: QueryId, query_class_count: usize) -> Result<Query, ConfigError> {
     Ok(Query {
         id,
@@ -244,7 +244,8 @@
     Ok((number, rows.map_err(|e| event.error("rowsIn", &e.to_string()))?))
 }
 
-/// Reads the form of the endpoint list in an event.
+/// Reads what an event says about the form of the endpoint list: changes, a complete list, or none because the poll was
+/// refused.
 pub fn list_form(event: &Fields) -> Result<ListForm, ConfigError> {
     match event.text("form")? {
         "changes" => Ok(ListForm::Changes),
