--- a/crates/dunepond-routing/src/learned.rs
+++ b/crates/dunepond-routing/src/learned.rs
@@ -71,8 +71,8 @@
     pub broke: bool,
 }
 
-/// What a router has spent of its budgets. A restart does not renew the budgets, so the successor counts this
-/// as spent.
+/// What a router has spent of its budgets. A restart does not renew the budgets, so the successor counts
+/// these amounts as spent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SpentBudgets {
     /// For each retry or hedged request, the seconds since it was sent.
--- a/crates/dunepond-routing/src/policy/clock.rs
+++ b/crates/dunepond-routing/src/policy/clock.rs
@@ -22,8 +22,8 @@
 const EARLY_WAKE_TICKS: f64 = 0.5;
 
 impl Router {
-    /// Reads the clock. After a stall of this process, moves the nodes' timestamps forward by its length, so
-    /// that the stall does not count as silence of the nodes.
+    /// Reads the clock. After a stall of this process, moves the nodes' timestamps forward by the length of
+    /// the stall, so that it does not count as silence of the nodes.
     pub(super) fn sync_clock(&mut self, transport: &dyn Transport) {
         self.now = transport.now();
         let stalled = self.now - self.wake_due_at;
--- a/crates/dunepond-routing/src/policy/completion.rs
+++ b/crates/dunepond-routing/src/policy/completion.rs
@@ -1,9 +1,9 @@
 //! Completion: whether the parts received are enough for an answer, whether enough of them can still arrive,
 //! and how a query ends without an answer.
 //!
-//! Inputs: the parts' weights (shares of the step), the shares that the query class needs (k of the (n, k)
-//! fork-join), and the attempts of each part. As soon as enough parts have been served, the remaining attempts
-//! are cancelled.
+//! Inputs: the parts' weights (shares of the step), the shares that the query class needs (the k of an (n, k)
+//! fork-join, in which k of n parts are enough for an answer), and the attempts of each part. As soon as
+//! enough parts have been served, the remaining attempts are cancelled.
 
 use std::ops::Range;
 
@@ -14,7 +14,7 @@
 use crate::state::{Attempt, InFlightQuery, PartState, PartStatus, Router};
 use crate::{AttemptEnded, AttemptOutcome, Deployment, Idempotency, QueryId, Transport};
 
-/// Tolerance for sums of rounded weights.
+/// Tolerance when a sum of part weights, which are rounded, is compared with a required share.
 const WEIGHT_ROUNDING: f64 = 1e-6;
 /// Range from which the Retry-After of a rejection is drawn, as ratios of the longest one, so that rejected
 /// clients do not return at the same time.
@@ -81,7 +81,8 @@
         let first_possible_run = part.attempts.iter().find(|attempt| !attempt.never_ran());
         match self.class(query).idempotency {
             Idempotency::Idempotent => true,
-            // The margin keeps an attempt that a stall delays from running after the idempotency window.
+            // The margin keeps an attempt that is delayed by a stall of this process from running after the
+            // idempotency window.
             Idempotency::Keyed { window_seconds } => first_possible_run
                 .is_none_or(|first| self.now - first.sent_at < window_seconds - MAX_STALL_SECONDS),
             Idempotency::NonIdempotent => first_possible_run.is_none(),
--- a/crates/dunepond-routing/src/policy/hedging.rs
+++ b/crates/dunepond-routing/src/policy/hedging.rs
@@ -9,12 +9,13 @@
 use crate::Idempotency;
 use crate::state::{Attempt, InFlightQuery, PartState, Router};
 
-/// An attempt is overdue after this multiple of the 95th percentile latency.
+/// An attempt becomes overdue, so that its part may be hedged, after this multiple of the 95th percentile
+/// latency.
 const OVERDUE_P95_RATIO: f64 = 1.25;
 /// Cap on the 95th percentile latency from which the overdue time is computed, as a multiple of the median:
 /// overloaded replicas would inflate the percentile.
 const MAX_P95_MEDIAN_RATIO: f64 = 3.0;
-/// An attempt is not overdue before this ratio of the latency objective.
+/// An attempt becomes overdue after this ratio of the latency objective at the earliest.
 const MIN_OVERDUE_OBJECTIVE_RATIO: f64 = 0.4;
 /// The fleet is congested if the median latency exceeds this multiple of the baseline latency.
 const CONGESTED_BASELINE_RATIO: f64 = 1.5;
--- a/crates/dunepond-routing/src/policy/idle_reset.rs
+++ b/crates/dunepond-routing/src/policy/idle_reset.rs
@@ -8,7 +8,7 @@
 use super::latency::FRESH_OBJECTIVES;
 use crate::state::{IdleReset, OutstandingAttempt, Router, keep_last};
 
-/// Number of samples of attempts after long idle times that are kept.
+/// Number of kept samples of attempts on connections that had been idle for long.
 const RESET_SAMPLE_COUNT: usize = 8;
 /// Smallest number of resets among the samples at which idle connections are closed instead of used. It is
 /// more than one, because a single connection may break for another reason.
--- a/crates/dunepond-routing/src/policy/latency.rs
+++ b/crates/dunepond-routing/src/policy/latency.rs
@@ -11,13 +11,14 @@
 
 /// Number of samples of served attempts that are kept for the whole fleet.
 const FLEET_SAMPLE_COUNT: usize = 64;
-/// Number of recent served attempts that are needed to compute a quantile.
+/// Number of recent served attempts that are needed to compute a quantile of the latency; with fewer, a
+/// default is used.
 const MIN_QUANTILE_SAMPLE_COUNT: usize = 8;
 /// Number of recent served attempts that are needed to update the baseline.
 const MIN_BASELINE_SAMPLE_COUNT: usize = 16;
 /// Number of samples of attempts that are kept for each zone.
 const ZONE_SAMPLE_COUNT: usize = 16;
-/// Number of fresh attempts that are needed to compute the median of a zone.
+/// Number of fresh samples (see [`FRESH_OBJECTIVES`]) that are needed to compute the median of a zone.
 const MIN_ZONE_SAMPLE_COUNT: usize = 4;
 /// Age, in multiples of the longest latency objective, up to which samples are recent, that is, describe the
 /// present load.
@@ -27,7 +28,8 @@
 pub(super) const FRESH_OBJECTIVES: f64 = 8.0;
 /// A latency above this multiple of the fleet's median latency counts as slow.
 pub(super) const SLOW_RATIO: f64 = 2.5;
-/// With too few samples, quantile q is assumed to be this ratio times q times the shortest latency objective.
+/// If there are too few samples, quantile q of the latency is assumed to be this ratio times q times the
+/// shortest latency objective.
 const DEFAULT_QUANTILE_RATIO: f64 = 0.4;
 /// The quantile that is stored as `p95`.
 const HIGH_QUANTILE: f64 = 0.95;
--- a/crates/dunepond-routing/src/policy/outlier_detection.rs
+++ b/crates/dunepond-routing/src/policy/outlier_detection.rs
@@ -9,7 +9,7 @@
 use crate::state::{Ejection, Node, NodeSample, OutstandingAttempt, Router, SampleOutcome, keep_last};
 use crate::{AttemptEnded, AttemptOutcome, NodeId, Transport};
 
-/// Number of samples that are kept for each node.
+/// Number of samples of the last attempts that are kept for each node.
 const NODE_SAMPLE_COUNT: usize = 8;
 /// A node counts as silent if a response has been due for longer than this multiple of the 95th percentile
 /// latency.
--- a/crates/dunepond-routing/src/policy/placement.rs
+++ b/crates/dunepond-routing/src/policy/placement.rs
@@ -79,8 +79,8 @@
         self.less_loaded_of_two(&choices, query.class, candidates.replica_count)
     }
 
-    /// Groups the replicas of a part by eligibility, as far as they have answered a probe since the given
-    /// instant.
+    /// Groups the replicas of a part by eligibility, and leaves out those that have not answered a probe
+    /// since the given instant.
     fn candidates(&self, query: &InFlightQuery, part: &PartState, answered_since: f64) -> Candidates {
         let mut candidates = Candidates::default();
         for (id, node) in self.replicas(part.segment, part.required_node) {
--- a/crates/dunepond-routing/src/policy/rules.rs
+++ b/crates/dunepond-routing/src/policy/rules.rs
@@ -63,7 +63,8 @@
     }
 }
 
-/// Returns the share for a query class; a share that the rules do not state has the strictest value, 1.
+/// Returns the entry of a query class in a list of shares by class. A missing entry counts as 1, the
+/// strictest value.
 fn share_of(shares: &[f64], class: usize) -> f64 {
     shares.get(class).copied().unwrap_or(1.0)
 }
--- a/crates/dunepond-routing/src/policy/shutdown.rs
+++ b/crates/dunepond-routing/src/policy/shutdown.rs
@@ -44,7 +44,7 @@
     /// The listener and idle connections close; a new request whose client waits longer than the process runs
     /// is rejected.
     Refusing,
-    /// Connections on which no request has arrived by now close.
+    /// Connections on which no request has arrived before this stage close.
     ClosingWithoutRequest,
     /// All requests in flight are answered.
     LastAnswers,
--- a/crates/dunepond-routing/src/query.rs
+++ b/crates/dunepond-routing/src/query.rs
@@ -29,7 +29,7 @@
     /// Tenant, an index into [`Deployment::quotas`](crate::Deployment::quotas); a tenant that is not in that
     /// list has no quota.
     pub tenant: usize,
-    /// Seconds until the client stops waiting.
+    /// Seconds from the query's arrival until its client stops waiting.
     pub expires_in: f64,
     /// Whether the client marked the query as a retry of an earlier one.
     pub is_retry: bool,
@@ -43,8 +43,8 @@
     /// Whether no part is sent before [`Router::on_prefilter_result`](crate::Router::on_prefilter_result) has
     /// reported which parts are pruned.
     pub awaits_prefilter: bool,
-    /// Whether the query is an audit, for which no client waits: each part has at most one attempt, the query
-    /// is rejected at any overload, and it adds nothing to the retry budget.
+    /// Whether the query is an audit, for which no client waits: each part has at most one attempt, and the
+    /// query is rejected at any overload and adds nothing to the retry budget.
     pub audit: bool,
     /// The parts of the query's first step.
     pub parts: Vec<Part>,
@@ -57,7 +57,7 @@
     pub query: QueryId,
     /// The part, by its position among the parts of all steps of the query.
     pub part: usize,
-    /// The attempt, counted from 0 for each part.
+    /// Number of the attempt, counted from 0 for each part.
     pub index: usize,
 }
 
@@ -89,7 +89,7 @@
     pub query: QueryId,
     /// The part, by its position among the parts of all steps of the query.
     pub part: usize,
-    /// The attempt, counted from 0 for each part.
+    /// Number of the attempt, counted from 0 for each part.
     pub attempt: usize,
     /// The node to which the attempt was sent.
     pub node: NodeId,
--- a/crates/dunepond-routing/src/state/node.rs
+++ b/crates/dunepond-routing/src/state/node.rs
@@ -12,14 +12,14 @@
     /// When the node's process last started.
     pub started_at: f64,
     pub slow_start_tokens: TokenBucket,
-    /// Instant at which the node last answered or rejected an attempt; `f64::MIN` before that.
+    /// Instant at which the node last answered or rejected an attempt; `f64::MIN` if it has not done so yet.
     pub last_response_at: f64,
-    /// Instant of the last traffic with the node; `f64::MAX` before any, so that the computed idle time is not
-    /// positive.
+    /// Instant at which an attempt was last sent to the node or ended there; `f64::MAX` if there was none
+    /// yet, so that the computed idle time is not positive.
     pub last_used_at: f64,
-    /// Instant at which the node last rejected an attempt as full; `f64::MIN` before that.
+    /// Instant at which the node last rejected an attempt as full; `f64::MIN` if it has not done so yet.
     pub last_full_at: f64,
-    /// Instant at which the node last answered a probe; `f64::MIN` before that.
+    /// Instant at which the node last answered a probe; `f64::MIN` if it has not done so yet.
     pub last_probe_at: f64,
     /// Attempts that have not ended, ordered by `sent_at`.
     pub outstanding: Vec<OutstandingAttempt>,
--- a/crates/dunepond-routing/src/state/query.rs
+++ b/crates/dunepond-routing/src/state/query.rs
@@ -11,7 +11,8 @@
     pub tenant: usize,
     /// Whether admission has already decided on this query; it decides only once.
     pub admission_checked: bool,
-    /// Whether the query arrived during a shutdown and its client would wait until after the last answers.
+    /// Whether the query arrived during a shutdown and its client would wait beyond the last answers, so that
+    /// the query is rejected.
     pub exceeds_shutdown: bool,
     /// Instant up to which an answer has its full value.
     pub objective_at: f64,
--- a/crates/dunepond-routing/tests/deadline.rs
+++ b/crates/dunepond-routing/tests/deadline.rs
@@ -45,7 +45,7 @@
     assert_eq!(cluster.answers(query), [FinalAnswer::Answer { complete: false }]);
 }
 
-/// The only replica of segment 0 is dead: three of four parts can still be served, and two are enough for an answer.
+/// The only replica of segment 0 is dead. Three of the four parts can still be served, and two are enough for a partial answer.
 #[test]
 fn partially_answerable_query_is_admitted() {
     let mut cluster = Cluster::new(Deployment { replicas: 1, ..deployment() });
--- a/crates/dunepond-routing/tests/fleet/slow_start_events.rs
+++ b/crates/dunepond-routing/tests/fleet/slow_start_events.rs
@@ -34,7 +34,7 @@
     SameIds,
     /// The load rises by a factor of fifteen three seconds after the start.
     Burst,
-    /// Two of three replicas are removed four seconds after the start.
+    /// Two of the three replicas of some segments are removed four seconds after the start.
     ReplicasLost,
 }
 
--- a/crates/dunepond-routing/tests/slow_start.rs
+++ b/crates/dunepond-routing/tests/slow_start.rs
@@ -44,8 +44,9 @@
     assert!((1..=12).contains(&max_sent.unwrap_or(0)), "{max_sent:?}");
 }
 
-/// This broker is one of six, and a warm node completes some sixteen parts a second for it, so it may send eight parts a
-/// second to a cold node. Guards against a cap on unspent tokens that is too small for several parts at once.
+/// This broker is one of six. A warm node completes some sixteen parts a second for it, so it may send 2.5 (`rate_multiple`) x
+/// 0.2 (the capacity of a cold node relative to a warm one) of that, which is eight parts a second, to a cold node. Guards
+/// against a cap on unspent tokens that is too small for several parts at once.
 #[test]
 fn simultaneous_parts_use_unspent_tokens() {
     let mut cluster = Cluster::new(Deployment { broker_count: 6.0, ..deployment() });
--- a/crates/dunepond-sim-adapter/src/session.rs
+++ b/crates/dunepond-sim-adapter/src/session.rs
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Returns the orders since the last call.
+    /// Returns the orders that the router has given since the last call of this method.
     pub fn take_orders(&mut self) -> Vec<Value> {
         self.transport.take_orders()
     }
--- a/crates/dunepond-sim-adapter/src/transport.rs
+++ b/crates/dunepond-sim-adapter/src/transport.rs
@@ -43,7 +43,7 @@
         Self { now, ..Self::default() }
     }
 
-    /// Returns the orders since the last call.
+    /// Returns the orders that the router has given since the last call of this method.
     pub fn take_orders(&mut self) -> Vec<Value> {
         std::mem::take(&mut self.orders)
     }
--- a/crates/dunepond-sim-adapter/src/wire.rs
+++ b/crates/dunepond-sim-adapter/src/wire.rs
@@ -38,7 +38,7 @@
     pub const LIST_NUMBER: &str = "setId";
 }
 
-/// The outcome of an attempt or a probe that succeeded.
+/// Wire name of the outcome of an attempt or a probe that succeeded.
 const GOOD: &str = "GOOD";
 
 /// The latest endpoint list registered under each number, shared by all brokers of the process.
