--- a/crates/dunepond-routing/src/policy/hedging.rs
+++ b/crates/dunepond-routing/src/policy/hedging.rs
@@ -1,18 +1,21 @@
 //! Hedging: when an outstanding part is late enough for a hedged attempt at another replica.
 //!
 //! Inputs: median and 95th percentile latency (seconds), the latency objective of the class, and whether the
-//! rules allow hedged requests. A hedge only has to be answered within the latency objective; sending it sooner
-//! than that requires wastes work. If all attempts are slow, hedges would add to the load that makes them slow.
+//! rules allow hedged requests. A hedge only has to be answered within the latency objective. It is not sent
+//! sooner than that requires, because a hedge of a part that would soon have been answered is wasted work. If
+//! all attempts are slow, no hedges are sent, because they would add to the load that makes the attempts
+//! slow.
 
 use crate::Idempotency;
 use crate::state::{Attempt, InFlightQuery, PartState, Router};
 
-/// An attempt is overdue after this multiple of the 95th percentile latency.
+/// An attempt becomes overdue, so that its part may be hedged, after this multiple of the 95th percentile
+/// latency.
 const OVERDUE_P95_RATIO: f64 = 1.25;
 /// Cap on the 95th percentile latency from which the overdue time is computed, as a multiple of the median:
 /// overloaded replicas would inflate the percentile.
 const MAX_P95_MEDIAN_RATIO: f64 = 3.0;
-/// An attempt is not overdue before this ratio of the latency objective.
+/// An attempt becomes overdue after this ratio of the latency objective at the earliest.
 const MIN_OVERDUE_OBJECTIVE_RATIO: f64 = 0.4;
 /// The fleet is congested if the median latency exceeds this multiple of the baseline latency.
 const CONGESTED_BASELINE_RATIO: f64 = 1.5;
--- a/crates/dunepond-routing/src/query.rs
+++ b/crates/dunepond-routing/src/query.rs
@@ -15,7 +15,7 @@
     /// Weight of the part relative to the other parts of its step (the first or second step of its query).
     pub weight: f64,
     /// The only node that the part may be sent to; `None` if any replica of the segment may serve it. Set for
-    /// a non-idempotent part of a segment with an agreed owner.
+    /// a non-idempotent part if the brokers have agreed on one node as the owner of the segment.
     pub required_node: Option<NodeId>,
 }
 
@@ -29,11 +29,12 @@
     /// Tenant, an index into [`Deployment::quotas`](crate::Deployment::quotas); a tenant that is not in that
     /// list has no quota.
     pub tenant: usize,
-    /// Seconds until the client stops waiting.
+    /// Seconds from the query's arrival until its client stops waiting.
     pub expires_in: f64,
     /// Whether the client marked the query as a retry of an earlier one.
     pub is_retry: bool,
-    /// Whether the query's body is kept for retries; otherwise its parts are sent on arrival or never.
+    /// Whether the query's body is kept for retries. If not, the body is available on arrival only, and a
+    /// part that is not sent then is never sent.
     pub body_retained: bool,
     /// Whether sending the query's frames may take long;
     /// [`Router::on_frame_written`](crate::Router::on_frame_written) then reports when each frame has been sent
@@ -42,8 +43,8 @@
     /// Whether no part is sent before [`Router::on_prefilter_result`](crate::Router::on_prefilter_result) has
     /// reported which parts are pruned.
     pub awaits_prefilter: bool,
-    /// Whether the query is an audit, for which no client waits: each part has at most one attempt, the query
-    /// is rejected at any overload, and it adds nothing to the retry budget.
+    /// Whether the query is an audit, for which no client waits: each part has at most one attempt, and the
+    /// query is rejected at any overload and adds nothing to the retry budget.
     pub audit: bool,
     /// The parts of the query's first step.
     pub parts: Vec<Part>,
@@ -56,7 +57,7 @@
     pub query: QueryId,
     /// The part, by its position among the parts of all steps of the query.
     pub part: usize,
-    /// The attempt, counted from 0 for each part.
+    /// Number of the attempt, counted from 0 for each part.
     pub index: usize,
 }
 
@@ -88,7 +89,7 @@
     pub query: QueryId,
     /// The part, by its position among the parts of all steps of the query.
     pub part: usize,
-    /// The attempt, counted from 0 for each part.
+    /// Number of the attempt, counted from 0 for each part.
     pub attempt: usize,
     /// The node to which the attempt was sent.
     pub node: NodeId,
--- a/crates/dunepond-routing/src/state/query.rs
+++ b/crates/dunepond-routing/src/state/query.rs
@@ -11,15 +11,17 @@
     pub tenant: usize,
     /// Whether admission has already decided on this query; it decides only once.
     pub admission_checked: bool,
-    /// Whether the query arrived during a shutdown and its client would wait until after the last answers.
+    /// Whether the query arrived during a shutdown and its client would wait beyond the last answers, so that
+    /// the query is rejected.
     pub exceeds_shutdown: bool,
     /// Instant up to which an answer has its full value.
     pub objective_at: f64,
     /// Instant at which the client stops waiting, or the last answers of a shutdown if those are earlier.
     pub deadline_at: f64,
     pub arrived_at: f64,
-    /// Instant at which the request stages must run even if no event occurs;
-    /// [`Router::on_wake`](super::Router::on_wake) runs them for queries whose instant has come.
+    /// Instant at which the request stages must run even if no event occurs.
+    /// [`Router::on_wake`](super::Router::on_wake) runs them for the queries for which this instant has been
+    /// reached.
     pub due_at: f64,
     /// The parts of all steps so far.
     pub parts: Vec<PartState>,
--- a/crates/dunepond-sim-adapter/src/transport.rs
+++ b/crates/dunepond-sim-adapter/src/transport.rs
@@ -25,8 +25,8 @@
     Part(QueryId, usize),
 }
 
-/// The clock, the names, and the orders that have not been taken yet. No order is written for a query whose names have been
-/// dropped.
+/// The simulator's clock, the wire's names of nodes, queries and parts, and the orders that have not been passed to the
+/// simulator yet. No order is written for a query whose names have been dropped.
 #[derive(Default)]
 pub struct WireTransport {
     /// The instant of the batch of events that is being handled, in seconds on the simulator's clock.
@@ -43,7 +43,7 @@
         Self { now, ..Self::default() }
     }
 
-    /// Returns the orders since the last call.
+    /// Returns the orders that the router has given since the last call of this method.
     pub fn take_orders(&mut self) -> Vec<Value> {
         std::mem::take(&mut self.orders)
     }
