--- a/crates/dunepond-testkit/src/fleet/clients.rs
+++ b/crates/dunepond-testkit/src/fleet/clients.rs
@@ -1,4 +1,5 @@
-//! Clients of a fleet, and what is to be said of what they and the nodes saw.
+//! Clients of a fleet, the audit of a fleet's records against what clients and nodes observed, and statistics of query
+//! outcomes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, TcpStream};
@@ -12,109 +13,121 @@
 use crate::processes::WAIT_TIMEOUT;
 use crate::stand_ins::{Client, Node, query_request};
 
-/// What two readings of the clock around one act may be apart on a machine that is busy.
-const SLACK: f64 = 0.1;
+/// Largest difference, in seconds, that the audit allows between two clock readings of the same event, to allow for a busy
+/// machine.
+const CLOCK_SLACK_SECONDS: f64 = 0.1;
 
 impl Fleet {
-    /// Fixes that came to nodes, as these counted them.
+    /// Returns the parts of non-idempotent queries that the nodes received, with the time of arrival on the monotonic clock.
     pub fn non_idempotent_runs(&self) -> Vec<NodeRun> {
-        let (now, steady) = (Instant::now(), dunepond_control_plane::monotonic_seconds());
-        let fix = |node: &Node| {
-            let came = |at: Instant| steady - now.saturating_duration_since(at).as_secs_f64();
-            let ran = |(at, id): (Instant, String)| {
-                let (call, seg) =
-                    id.rsplit_once('.').filter(|(call, _)| call.starts_with(NON_IDEMPOTENT_CLASS))?;
-                let (call, node) = (call.to_string(), node.name.clone());
-                Some(NodeRun { request_id: call, segment_id: seg.parse().ok()?, at: came(at), node })
+        let (now, now_seconds) = (Instant::now(), dunepond_control_plane::monotonic_seconds());
+        let runs_of = |node: &Node| {
+            let monotonic = |at: Instant| now_seconds - now.saturating_duration_since(at).as_secs_f64();
+            let non_idempotent_run = |(at, part_id): (Instant, String)| {
+                let (request_id, segment_id) = part_id
+                    .rsplit_once('.')
+                    .filter(|(request_id, _)| request_id.starts_with(NON_IDEMPOTENT_CLASS))?;
+                Some(NodeRun {
+                    request_id: request_id.to_string(),
+                    segment_id: segment_id.parse().ok()?,
+                    at: monotonic(at),
+                    node: node.name.clone(),
+                })
             };
-            node.part_arrivals().into_iter().filter_map(ran).collect::<Vec<_>>()
+            node.part_arrivals().into_iter().filter_map(non_idempotent_run).collect::<Vec<_>>()
         };
-        self.nodes.iter().flat_map(fix).collect()
+        self.nodes.iter().flat_map(runs_of).collect()
     }
 
-    /// What an auditor has to say, who knows from the lab what brokers do not tell.
+    /// Audits the brokers' records against what the clients, the nodes and the test know independently of the brokers, and
+    /// returns the findings.
     pub fn audit(&self) -> Vec<Finding> {
-        let known = GroundTruth {
-            clock_slack_seconds: SLACK,
+        let truth = GroundTruth {
+            clock_slack_seconds: CLOCK_SLACK_SECONDS,
             max_query_seconds: self.options.query_timeout_seconds,
             maps: self.maps.clone(),
             requested: self.requested.lock().unwrap().clone(),
             runs: self.non_idempotent_runs(),
             max_debt_bytes: self.known_debt_bytes,
         };
-        self.with_records(|records| audit(records, &known))
+        self.with_records(|records| audit(records, &truth))
     }
 
-    /// Asserts that nothing was found, and that there was something to look at.
+    /// Asserts that the audit has no findings and that the records contain at least one attempt of a non-idempotent part.
     pub fn assert_audit_clean(&self) {
-        let found = self.audit();
-        assert!(found.is_empty(), "{} findings, the first: {:#?}", found.len(), &found[..found.len().min(5)]);
+        let findings = self.audit();
         assert!(
-            self.any_event(|act| matches!(act, AuditEvent::AttemptSent { non_idempotent: true, .. })),
-            "no fix was ever sent"
+            findings.is_empty(),
+            "expected no audit findings, got {}, of which the first are {:#?}",
+            findings.len(),
+            &findings[..findings.len().min(5)]
+        );
+        assert!(
+            self.any_event(|event| matches!(event, AuditEvent::AttemptSent { non_idempotent: true, .. })),
+            "expected at least one attempt of a non-idempotent part in the records, got none"
         );
     }
 
-    /// Clients that ask each of these brokers for all kinds of scans, one after the other, `gap` apart.
-    pub fn clients(&self, brokers: impl IntoIterator<Item = usize>, gap: Duration) -> Clients {
+    /// Starts one client per broker and query class. Each client sends one query after the other, with a pause in between.
+    pub fn clients(&self, brokers: impl IntoIterator<Item = usize>, pause: Duration) -> Clients {
         let stop = Arc::new(AtomicBool::new(false));
         let mut threads = Vec::new();
         for broker in brokers {
-            for kind in 0..QUERY_CLASSES.len() {
+            for query_class_index in 0..QUERY_CLASSES.len() {
                 let client = QueryClient {
                     broker,
                     broker_name: broker_name(broker),
                     address: self.brokers[broker].address,
-                    kind,
+                    query_class_index,
                     segment_count: self.options.segment_count,
                     timeout_seconds: self.options.query_timeout_seconds,
                     requested: self.requested.clone(),
                     connection: None,
                 };
                 let stop = stop.clone();
-                threads.push(thread::spawn(move || client.run(gap, &stop)));
+                threads.push(thread::spawn(move || client.run(pause, &stop)));
             }
         }
         Clients { stop, threads }
     }
 }
 
-/// What became of one scan.
+/// Outcome of one query.
 #[derive(Clone, Debug)]
 pub struct QueryOutcome {
-    /// The broker that was asked.
+    /// Index of the broker that the query was for.
     pub broker: usize,
-    /// Its place in [`QUERY_CLASSES`].
+    /// Index of the query class in [`QUERY_CLASSES`].
     pub kind: usize,
-    /// The first that it asked for.
+    /// Id of the first segment that the query asked for.
     pub segment: u64,
-    /// When the client connected or sent.
+    /// Time at which the client began to connect or, on an open connection, to send.
     pub started_at: Instant,
-    /// Until its answer or the end of its connection.
+    /// Time from `started_at` until the answer came, the connection ended, or the attempt to connect failed; in seconds.
     pub latency_seconds: f64,
-    /// None where nobody listened, or the connection ended without an answer.
+    /// HTTP status of the answer; `None` if the client could not connect or the connection ended without an answer.
     pub status: Option<u16>,
-    /// It was sent.
+    /// Whether the client had a connection on which it sent the query.
     pub sent: bool,
 }
 
 impl QueryOutcome {
-    /// Whether its parts may run twice.
+    /// Returns whether the query is idempotent, so that its parts may run more than once.
     pub fn is_idempotent(&self) -> bool {
         QUERY_CLASSES[self.kind] != NON_IDEMPOTENT_CLASS
     }
 }
 
-/// The segments that each request asked for, by its id.
+/// Ids of the segments that each request asked for, by the request's id.
 type RequestedSegments = Mutex<BTreeMap<String, BTreeSet<u64>>>;
 
-/// Asks one broker for one kind of queries.
+/// A client that sends queries of one class to one broker.
 struct QueryClient {
     broker: usize,
     broker_name: String,
     address: SocketAddr,
-    /// Its place in [`QUERY_CLASSES`].
-    kind: usize,
+    /// Index of the query class in [`QUERY_CLASSES`].
+    query_class_index: usize,
     segment_count: usize,
     timeout_seconds: f64,
     requested: Arc<RequestedSegments>,
@@ -122,34 +135,36 @@
 }
 
 impl QueryClient {
-    fn run(mut self, gap: Duration, stop: &AtomicBool) -> Vec<QueryOutcome> {
+    /// Sends queries, with a pause after each, until `stop` is set, and returns their outcomes.
+    fn run(mut self, pause: Duration, stop: &AtomicBool) -> Vec<QueryOutcome> {
         let mut outcomes = Vec::new();
         while !stop.load(Ordering::Relaxed) {
-            outcomes.push(self.ask());
-            thread::sleep(gap);
+            outcomes.push(self.send_query());
+            thread::sleep(pause);
         }
         outcomes
     }
 
-    fn ask(&mut self) -> QueryOutcome {
-        static NUMBER: AtomicUsize = AtomicUsize::new(0);
-        let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let query_class = QUERY_CLASSES[self.kind];
-        let segments = self.segments(number);
+    /// Sends the next query, over a new connection if none is open, and returns its outcome.
+    fn send_query(&mut self) -> QueryOutcome {
+        static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+        let query_class = QUERY_CLASSES[self.query_class_index];
+        let segments = self.segments_for(number);
         let id = format!("{query_class}-{}-{number}", self.broker_name);
         let requested = segments.iter().map(|segment| *segment as u64).collect();
         self.requested.lock().unwrap().insert(id.clone(), requested);
         let started_at = Instant::now();
         let connection = self.connection.take().or_else(|| connect(self.address));
         let sent = connection.is_some();
-        // All for one tenant, so that its partner comes to owe the other.
+        // All queries are for the first tenant, so that its partner comes to owe the other partner.
         let caller = format!("X-Caller: {}\r\nX-Budget", TENANTS[0]);
         let budget = format!("{:.3}", self.timeout_seconds);
         let request = query_request(query_class, &id, &segments, &budget).replacen("X-Budget", &caller, 1);
         let status = connection.and_then(|connection| self.exchange(connection, &request));
         QueryOutcome {
             broker: self.broker,
-            kind: self.kind,
+            kind: self.query_class_index,
             segment: segments[0] as u64,
             started_at,
             latency_seconds: started_at.elapsed().as_secs_f64(),
@@ -158,7 +173,8 @@
         }
     }
 
-    /// The status of the answer; the connection is kept unless it is to close.
+    /// Sends a request and returns the status of the answer. Keeps the connection for the next request unless the answer says
+    /// that it closes.
     fn exchange(&mut self, mut connection: Client, request: &str) -> Option<u16> {
         let answer = connection.try_request(request)?;
         let closes = answer.head.to_ascii_lowercase().contains("connection: close");
@@ -166,8 +182,9 @@
         Some(answer.status)
     }
 
-    fn segments(&self, number: usize) -> Vec<usize> {
-        match self.kind {
+    /// Returns the segments that the query with this number asks for.
+    fn segments_for(&self, number: usize) -> Vec<usize> {
+        match self.query_class_index {
             0 => vec![number % self.segment_count, (number + 1) % self.segment_count],
             1 => (0..self.segment_count).collect(),
             _ => vec![number % self.segment_count],
@@ -175,21 +192,22 @@
     }
 }
 
-fn connect(to: SocketAddr) -> Option<Client> {
-    let stream = TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok()?;
+/// Connects to a broker; `None` if the connection cannot be opened.
+fn connect(address: SocketAddr) -> Option<Client> {
+    let stream = TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
     stream.set_nodelay(true).ok()?;
     Some(Client::from_stream(stream))
 }
 
-/// Clients at work; they end when this is dropped.
+/// Running clients of a fleet. Dropping it stops them.
 pub struct Clients {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<Vec<QueryOutcome>>>,
 }
 
 impl Clients {
-    /// Ends them; what became of each scan, by its beginning.
+    /// Stops the clients and returns the outcomes of their queries, ordered by start time.
     pub fn stop(mut self) -> Vec<QueryOutcome> {
         self.stop.store(true, Ordering::Relaxed);
         let threads = std::mem::take(&mut self.threads);
@@ -206,31 +224,41 @@
     }
 }
 
-/// Of those that it is about, the share of which it is so.
+/// Returns the fraction of the selected outcomes that satisfy a condition.
+///
+/// # Panics
+/// Panics if at most 10 outcomes are selected, since the fraction would mean little.
 pub fn outcome_ratio(
     outcomes: &[QueryOutcome],
-    of: impl Fn(&QueryOutcome) -> bool,
-    is: impl Fn(&QueryOutcome) -> bool,
+    is_selected: impl Fn(&QueryOutcome) -> bool,
+    satisfies: impl Fn(&QueryOutcome) -> bool,
 ) -> f64 {
-    let all: Vec<_> = outcomes.iter().filter(|one| of(one)).collect();
-    assert!(all.len() > 10, "only {} scans", all.len());
-    all.iter().filter(|one| is(one)).count() as f64 / all.len() as f64
+    let selected: Vec<_> = outcomes.iter().filter(|outcome| is_selected(outcome)).collect();
+    assert!(selected.len() > 10, "expected more than 10 selected queries, got {}", selected.len());
+    selected.iter().filter(|outcome| satisfies(outcome)).count() as f64 / selected.len() as f64
 }
 
-/// Share of all that was served within the target time; fixes do not count at brokers that are cut off.
-pub fn served_ratio(outcomes: &[QueryOutcome], target: f64, cut_off: &[usize]) -> f64 {
-    let counts = |one: &QueryOutcome| one.is_idempotent() || !cut_off.contains(&one.broker);
-    outcome_ratio(outcomes, counts, |one| one.status == Some(200) && one.latency_seconds <= target)
+/// Returns the fraction of queries that were answered with status 200 within the target latency, in seconds. Non-idempotent
+/// queries to the brokers in `isolated` are left out.
+pub fn served_ratio(outcomes: &[QueryOutcome], target: f64, isolated: &[usize]) -> f64 {
+    let is_selected = |outcome: &QueryOutcome| outcome.is_idempotent() || !isolated.contains(&outcome.broker);
+    let is_served = |outcome: &QueryOutcome| outcome.status == Some(200) && outcome.latency_seconds <= target;
+    outcome_ratio(outcomes, is_selected, is_served)
 }
 
-/// Seconds below which so much of what was answered with 200 was answered.
-pub fn latency_quantile(outcomes: &[QueryOutcome], of: impl Fn(&QueryOutcome) -> bool, share: f64) -> f64 {
-    let mut took: Vec<f64> = outcomes
+/// Returns a quantile of the latency, in seconds, of the selected queries that were answered with status 200. `quantile` is
+/// between 0 and 1. Returns NaN if there are no such queries.
+pub fn latency_quantile(
+    outcomes: &[QueryOutcome],
+    is_selected: impl Fn(&QueryOutcome) -> bool,
+    quantile: f64,
+) -> f64 {
+    let mut latencies: Vec<f64> = outcomes
         .iter()
-        .filter(|one| of(one) && one.status == Some(200))
-        .map(|one| one.latency_seconds)
+        .filter(|outcome| is_selected(outcome) && outcome.status == Some(200))
+        .map(|outcome| outcome.latency_seconds)
         .collect();
-    took.sort_by(f64::total_cmp);
-    let place = ((took.len() as f64 * share) as usize).min(took.len().saturating_sub(1));
-    took.get(place).copied().unwrap_or(f64::NAN)
+    latencies.sort_by(f64::total_cmp);
+    let index = ((latencies.len() as f64 * quantile) as usize).min(latencies.len().saturating_sub(1));
+    latencies.get(index).copied().unwrap_or(f64::NAN)
 }
--- a/crates/dunepond-testkit/src/fleet/filler.rs
+++ b/crates/dunepond-testkit/src/fleet/filler.rs
@@ -1,4 +1,7 @@
-//! The operator's service that fills holders. It knows an id again, moves bytes at a pace, and fails as it is told to.
+//! A stand-in for the operator's service that fills replicas.
+//!
+//! A fill is identified by its id: a repeated order for the same id moves only the bytes that are still missing. A test sets how
+//! long fills take and which of them fail.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -11,41 +14,47 @@
 
 use crate::processes::WAIT_TIMEOUT;
 
-/// Between two looks at whether an order may go on, and two steps of one.
-const STEP: Duration = Duration::from_millis(5);
-/// Steps of a fill that takes time.
+/// Interval at which a paused order checks whether it may continue.
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of equal steps in which a fill moves its bytes.
 const STEPS: u64 = 20;
 
+/// State of the fill service.
 #[derive(Default)]
 struct FillState {
+    /// All orders received, in the order of arrival.
     orders: Vec<Value>,
+    /// Whether the service is paused, so that orders wait before they are carried out.
     paused: bool,
-    /// Seconds that a fill takes.
+    /// Duration of a fill, in seconds.
     fill_seconds: f64,
-    /// So many of the next orders break off when half of the bytes are there.
+    /// Number of upcoming orders that fail after half of the steps.
     failures_left: usize,
-    /// Broken off for good: an order for this node is answered by a closed connection.
+    /// Name of a node whose fills, both to it and from it, all fail after half of the steps.
     failed_node: Option<String>,
+    /// Progress of each fill, by its id.
     progress: BTreeMap<String, Progress>,
 }
 
-/// How far the fill of an id is.
+/// Progress of the fill with one id, over all orders for it.
 #[derive(Default)]
 struct Progress {
-    /// Bytes that are there.
+    /// Bytes of the segment that are present at the replica.
     present_bytes: u64,
-    /// Bytes that were ever moved for it.
+    /// Bytes that all orders for this id moved.
     moved_bytes: u64,
 }
 
-/// The operator's service that fills replicas.
+/// A running stand-in for the operator's service that fills replicas, on loopback.
 pub struct FillService {
-    /// Where it takes orders.
+    /// Address at which the service takes orders over HTTP.
     pub address: SocketAddr,
+    /// State that all connections share.
     state: Arc<Mutex<FillState>>,
 }
 
 impl FillService {
+    /// Starts the service, with fills that complete at once.
     pub(super) fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let service = Self { address: listener.local_addr().unwrap(), state: Arc::default() };
@@ -59,42 +68,45 @@
         service
     }
 
-    /// Orders are taken, and not answered as long as this is so.
+    /// Pauses or resumes the service. While it is paused, it accepts orders but does not carry them out or answer them. An
+    /// order waits for at most [`WAIT_TIMEOUT`].
     pub fn set_paused(&self, paused: bool) {
         self.state.lock().unwrap().paused = paused;
     }
 
-    /// How long each fill takes from now on.
+    /// Sets the duration of each following fill, in seconds.
     pub fn set_fill_seconds(&self, seconds: f64) {
         self.state.lock().unwrap().fill_seconds = seconds;
     }
 
-    /// So many of the next orders break off half way, and keep what they have.
+    /// Has the next `count` orders fail halfway. The bytes moved until then stay present, so that a repeated order resumes
+    /// from there.
     pub fn fail_next(&self, count: usize) {
         self.state.lock().unwrap().failures_left = count;
     }
 
-    /// Orders for this node, or from it, come to nothing half way from now on.
+    /// Has all following fills to or from this node fail halfway; `None` ends the fault.
     pub fn fail_node(&self, node: Option<&str>) {
         self.state.lock().unwrap().failed_node = node.map(str::to_string);
     }
 
-    /// How many orders have come.
+    /// Returns the number of orders received so far.
     pub fn order_count(&self) -> usize {
         self.state.lock().unwrap().orders.len()
     }
 
-    /// All orders that came, as they were sent.
+    /// Returns all orders received so far, as the JSON documents that the brokers sent.
     pub fn orders(&self) -> Vec<Value> {
         self.state.lock().unwrap().orders.clone()
     }
 
-    /// Bytes that were moved, of all ids.
+    /// Returns the number of bytes moved so far by all orders.
     pub fn moved_bytes(&self) -> u64 {
         self.state.lock().unwrap().progress.values().map(|progress| progress.moved_bytes).sum()
     }
 }
 
+/// Serves the orders of one connection. Closes the connection without an answer if an order fails.
 fn serve(mut stream: TcpStream, state: &Mutex<FillState>) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     loop {
@@ -118,14 +130,14 @@
     }
 }
 
-/// Whether it was done.
+/// Carries out an order and returns whether the fill is complete.
 fn fill(order: &Value, state: &Mutex<FillState>) -> bool {
-    let began = Instant::now();
-    while state.lock().unwrap().paused && began.elapsed() < WAIT_TIMEOUT {
-        thread::sleep(STEP);
+    let started_at = Instant::now();
+    while state.lock().unwrap().paused && started_at.elapsed() < WAIT_TIMEOUT {
+        thread::sleep(PAUSE_POLL_INTERVAL);
     }
-    let word = |key: &str| order[key].as_str().unwrap_or_default().to_string();
-    let (id, bytes) = (word("id"), order["bytes"].as_u64().unwrap_or(0));
+    let text_field = |key: &str| order[key].as_str().unwrap_or_default().to_string();
+    let (id, bytes) = (text_field("id"), order["bytes"].as_u64().unwrap_or(0));
     let fill_seconds = state.lock().unwrap().fill_seconds;
     let mut fail_at_step = None;
     for step in 1..=STEPS {
@@ -134,18 +146,18 @@
         }
         let mut state = state.lock().unwrap();
         if step == 1 {
-            let failed_node = state
+            let uses_failed_node = state
                 .failed_node
                 .as_ref()
-                .is_some_and(|node| [word("holder"), word("source")].contains(node));
-            fail_at_step = (failed_node || state.failures_left > 0).then_some(STEPS / 2);
-            state.failures_left = state.failures_left.saturating_sub(usize::from(!failed_node));
+                .is_some_and(|node| [text_field("holder"), text_field("source")].contains(node));
+            fail_at_step = (uses_failed_node || state.failures_left > 0).then_some(STEPS / 2);
+            state.failures_left = state.failures_left.saturating_sub(usize::from(!uses_failed_node));
         }
-        // What is there is not moved again: as many bytes as this step is ahead of it.
+        // Bytes that an earlier order for the same id moved are not moved again.
         let progress = state.progress.entry(id.clone()).or_default();
-        let more = (bytes * step / STEPS).saturating_sub(progress.present_bytes);
-        progress.present_bytes += more;
-        progress.moved_bytes += more;
+        let missing_bytes = (bytes * step / STEPS).saturating_sub(progress.present_bytes);
+        progress.present_bytes += missing_bytes;
+        progress.moved_bytes += missing_bytes;
         if progress.present_bytes >= bytes && fail_at_step.is_none() {
             return true;
         }
--- a/crates/dunepond-testkit/src/fleet/mod.rs
+++ b/crates/dunepond-testkit/src/fleet/mod.rs
@@ -1,5 +1,8 @@
-//! A fleet of real brokers, each with its own files, folder and record, that reach each other over relays only; before them
-//! nodes, a discovery server and a fill service, and clients that tell what became of each query.
+//! A fleet of broker processes for tests and experiments, with the nodes, the discovery server, the fill service and the
+//! clients that it needs.
+//!
+//! Each broker has its own operator's file, folder and audit record. Brokers reach each other only over relays, to which
+//! a test can apply link faults. The clients return the outcome of each query.
 
 mod clients;
 mod filler;
@@ -29,59 +32,67 @@
 use records::RecordReader;
 pub use records::RecordedPhase;
 
-/// Query classes of the fleet's settings: idempotent ones of part of the segments and of all, and one that is not idempotent.
+/// Query classes in the fleet's settings: an idempotent one whose queries ask for two segments, an idempotent one whose
+/// queries ask for all segments, and a non-idempotent one whose queries ask for one segment.
 pub const QUERY_CLASSES: [&str; 3] = ["quick-find", "full-search", "fix-request"];
-/// The query class whose parts must not run twice.
+/// Name of the non-idempotent query class: each part of its queries may run only once.
 pub const NON_IDEMPOTENT_CLASS: &str = QUERY_CLASSES[2];
-/// What one fill moves, by the files of these fleets.
+/// Size of a segment in bytes, as stated in the operator's files. A complete fill moves this many bytes.
 pub const SEGMENT_BYTES: u64 = 1 << 20;
-/// The secret of every fleet here.
+/// Secret that all brokers of a fleet share.
 pub const SHARED_KEY: &str = "a key of these fleets";
-/// Nodes are of one and the other in turn.
+/// Zones of the nodes. Consecutive nodes alternate between the two zones. Each zone belongs to the partner with the same
+/// index in [`PARTNERS`].
 const ZONES: [&str; 2] = ["a", "b"];
-/// Clients' queries are all of the first, so that it comes to owe the second.
+/// Names of the two partners. The clients' queries are all for the tenant of the first partner, so that the first partner
+/// comes to owe the second one.
 pub const PARTNERS: [&str; 2] = ["north", "south"];
+/// Names of the tenants. Each tenant belongs to the partner with the same index in [`PARTNERS`].
 const TENANTS: [&str; 2] = ["mill", "harbour"];
 
-/// A broker as the others know it.
+/// Name and own listening address of a broker.
 struct Peer {
     name: String,
     address: SocketAddr,
 }
 
-/// A fleet; all of it ends when this is dropped.
+/// A fleet of brokers with its nodes and services. Dropping it ends the brokers, removes their folders and, if the thread
+/// panics, prints the brokers' audit records.
 pub struct Fleet {
-    /// What it is made of.
+    /// Options that the fleet was started with.
     pub options: FleetOptions,
-    /// The relays between its brokers.
+    /// Relays between the brokers.
     pub links: Links,
-    /// Its brokers.
+    /// Processes of the brokers.
     pub brokers: Vec<BrokerProcess>,
-    /// Its nodes.
+    /// Simulated nodes that the brokers query.
     pub nodes: Vec<Node>,
-    /// The discovery server that all brokers ask.
+    /// Discovery server that all brokers watch for the list of nodes.
     pub discovery: DiscoveryServer,
-    /// The service that fills replicas.
+    /// Service that fills replicas at the brokers' request.
     pub filler: FillService,
-    /// What the second partner is owed by the first at most, where a test knows; in bytes.
+    /// Upper limit of the first partner's debt to the second, in bytes; `None` if the test knows no limit. The audit checks
+    /// settlements against it.
     pub known_debt_bytes: Option<u64>,
-    /// Where each broker listens for the others.
+    /// Address at which each broker listens for the other brokers, behind the relays.
     pub peer_addresses: Vec<SocketAddr>,
+    /// Folder of the files of all brokers.
     folder: PathBuf,
+    /// Reader of the brokers' audit records.
     record_reader: Mutex<RecordReader>,
-    /// The map of each version that was ever proposed.
+    /// Map of each version that the test has given to a broker or expects from a plan, by the version's number.
     maps: BTreeMap<u64, MapVersion>,
-    /// The segments that each request of its clients asked for.
+    /// Segments that each request of the fleet's clients asked for, by the request's id.
     requested: Arc<Mutex<BTreeMap<String, BTreeSet<u64>>>>,
 }
 
-/// The name of a broker by its place.
+/// Returns the name of the broker with this index.
 pub fn broker_name(broker: usize) -> String {
     format!("n{}", broker + 1)
 }
 
 impl Fleet {
-    /// Version 1 is in force at all of them.
+    /// Starts a fleet and waits until version 1 of the configuration is active at all brokers.
     pub fn start_with_version(options: FleetOptions) -> Self {
         let all = 0..options.brokers;
         let mut fleet = Self::start_ready(options);
@@ -91,28 +102,34 @@
         fleet
     }
 
-    /// All of them are started, which may not have come to anything yet.
+    /// Starts a fleet without waiting until its brokers are ready.
     pub fn start(options: FleetOptions) -> Self {
         let mut fleet = Self::prepare(options);
         fleet.brokers.iter_mut().for_each(BrokerProcess::start);
         fleet
     }
 
-    /// All of them serve.
+    /// Starts a fleet and waits until all brokers are ready.
+    ///
+    /// # Panics
+    /// Panics if a broker is not ready within [`crate::processes::WAIT_TIMEOUT`].
     pub fn start_ready(options: FleetOptions) -> Self {
         let fleet = Self::start(options);
-        assert!(wait_until(|| fleet.brokers.iter().all(BrokerProcess::ready)), "not all brokers serve");
+        assert!(
+            wait_until(|| fleet.brokers.iter().all(BrokerProcess::ready)),
+            "expected all brokers to be ready before the timeout"
+        );
         fleet
     }
 
-    /// The node to which the last non-idempotent part of a segment came.
+    /// Returns the name of the node that received the last non-idempotent part of this segment, if there was one.
     pub fn last_non_idempotent_node(&self, segment: u64) -> Option<String> {
         let mut runs = self.non_idempotent_runs();
         runs.retain(|run| run.segment_id == segment);
         runs.into_iter().max_by(|a, b| a.at.total_cmp(&b.at)).map(|run| run.node)
     }
 
-    /// Discovery says that these nodes have just started.
+    /// Has discovery report from now on that the nodes with these indices have just started.
     pub fn report_restarted(&self, nodes: &[usize]) {
         let mut endpoints = start::endpoints(&self.nodes, &[]);
         for node in nodes {
@@ -121,23 +138,27 @@
         self.discovery.publish(endpoints);
     }
 
-    /// Discovery says from now on that this node has just started.
+    /// Has discovery report from now on that the node with this name has just started.
+    ///
+    /// # Panics
+    /// Panics if the fleet has no such node.
     pub fn report_cold(&self, node: &str) {
-        let place = self.nodes.iter().position(|known| known.name == node).expect("a node of the fleet");
-        self.report_restarted(&[place]);
+        let index = self.nodes.iter().position(|known| known.name == node).expect("a node of the fleet");
+        self.report_restarted(&[index]);
     }
 
-    /// Discovery says from now on that these nodes drain.
+    /// Has discovery report from now on that exactly the nodes with these names are draining.
     pub fn drain_nodes(&self, nodes: &[&str]) {
         self.discovery.publish(start::endpoints(&self.nodes, nodes));
     }
 
-    /// What this broker's folder does from now on, as in [`crate::faulty_disk`], where the options say that disks fail.
+    /// Sets the disk fault of this broker's folder. [`crate::faulty_disk`] lists the faults. It has an effect only if
+    /// [`FleetOptions::faulty_disks`] is set.
     pub fn set_disk_fault(&self, broker: usize, fault: &str) {
         fs::write(self.folder.join(format!("{}.disk", broker_name(broker))), fault).unwrap();
     }
 
-    /// Partitions the brokers into groups; one that is in none is alone.
+    /// Partitions the brokers into groups, given by their indices. A broker that is in no group is isolated from all others.
     pub fn partition(&self, groups: &[&[usize]]) {
         let names: Vec<Vec<_>> =
             groups.iter().map(|group| group.iter().map(|i| broker_name(*i)).collect()).collect();
@@ -146,33 +167,39 @@
         self.links.partition(&names.iter().map(Vec::as_slice).collect::<Vec<_>>());
     }
 
-    /// Who leads, once all brokers' logs name the same.
+    /// Waits until the logs of all brokers name the same leader and returns the leader's index.
+    ///
+    /// # Panics
+    /// Panics if the logs do not agree within [`crate::processes::WAIT_TIMEOUT`].
     pub fn leader(&self) -> usize {
         self.leader_of(&(0..self.options.brokers).collect::<Vec<_>>())
     }
 
-    /// Who leads, once the logs of these brokers name the same.
+    /// Waits until the logs of these brokers name the same leader and returns the leader's index.
     ///
     /// # Panics
-    /// Where they do not in time.
+    /// Panics if the logs do not agree within [`crate::processes::WAIT_TIMEOUT`].
     pub fn leader_of(&self, brokers: &[usize]) -> usize {
-        let named_by = |broker: &BrokerProcess| {
+        let leader_logged_by = |broker: &BrokerProcess| {
             let log = broker.log_text();
             let (_, name) = log.lines().rev().find_map(|line| line.split_once("fleet: led by "))?;
             self.links.names().iter().position(|known| known == name.trim())
         };
         let mut leader = None;
         let agreed = wait_until(|| {
-            leader = named_by(&self.brokers[brokers[0]]);
-            leader.is_some() && brokers.iter().all(|i| named_by(&self.brokers[*i]) == leader)
+            leader = leader_logged_by(&self.brokers[brokers[0]]);
+            leader.is_some() && brokers.iter().all(|i| leader_logged_by(&self.brokers[*i]) == leader)
         });
-        assert!(agreed, "no leader that all name");
+        assert!(
+            agreed,
+            "expected the logs of brokers {brokers:?} to name the same leader before the timeout"
+        );
         leader.unwrap()
     }
 
-    /// Whether this broker's log has these words.
-    pub fn log_contains(&self, broker: usize, words: &str) -> bool {
-        self.brokers[broker].log_text().contains(words)
+    /// Returns whether this broker's log contains this text.
+    pub fn log_contains(&self, broker: usize, text: &str) -> bool {
+        self.brokers[broker].log_text().contains(text)
     }
 }
 
--- a/crates/dunepond-testkit/src/fleet/operator_file.rs
+++ b/crates/dunepond-testkit/src/fleet/operator_file.rs
@@ -1,4 +1,4 @@
-//! The operator's file of one broker.
+//! Writes the operator's file of one broker.
 
 use std::fmt::{self, Write as _};
 use std::net::SocketAddr;
@@ -7,27 +7,33 @@
 use super::{FleetOptions, PARTNERS, Peer, SEGMENT_BYTES, TENANTS, ZONES, broker_name};
 use crate::links::Links;
 
-/// What a broker's operator's file speaks of.
+/// The values that go into the operator's file of one broker.
 pub(super) struct OperatorFile<'a> {
+    /// Options of the fleet.
     pub options: &'a FleetOptions,
+    /// The broker that the file is for.
     pub broker: &'a Peer,
+    /// All brokers of the fleet, this one included.
     pub peers: &'a [Peer],
+    /// Relays over which the broker reaches the others.
     pub links: &'a Links,
+    /// Address of the service that fills replicas.
     pub fill_service: SocketAddr,
-    /// Where the files of all brokers are.
+    /// Folder of the files of all brokers.
     pub folder: &'a Path,
 }
 
 impl OperatorFile<'_> {
-    /// Its text: empty where the control plane is off.
+    /// Returns the text of the file. It is empty if the control plane is disabled.
     pub fn render(&self) -> String {
         let mut text = String::new();
         if self.options.control_plane_enabled {
-            self.write_fleet(&mut text).expect("a string takes all");
+            self.write_fleet(&mut text).expect("writing to a string does not fail");
         }
         text
     }
 
+    /// Writes the `fleet` node with all of its children.
     fn write_fleet(&self, text: &mut String) -> fmt::Result {
         let options = self.options;
         writeln!(
@@ -53,14 +59,15 @@
             options.fill_deadline_seconds,
             SEGMENT_BYTES >> 20
         )?;
-        let own = self.folder.join(&self.broker.name).display().to_string();
+        let own_prefix = self.folder.join(&self.broker.name).display().to_string();
         for line in &options.extra_lines {
-            writeln!(text, "  {}", line.replace("OWN", &own))?;
+            writeln!(text, "  {}", line.replace("OWN", &own_prefix))?;
         }
         writeln!(text, "  map least-holders=2 least-zones=1 most-changed=1.0\n}}")
     }
 
-    /// All brokers, the others where their relays listen.
+    /// Writes one line per broker: this broker with its own address, each other broker with the address of the relay that leads
+    /// to it.
     fn write_peers(&self, text: &mut String) -> fmt::Result {
         for (index, peer) in self.peers.iter().enumerate() {
             let kind = if index < self.options.voters { "voter" } else { "peer" };
@@ -74,6 +81,7 @@
         Ok(())
     }
 
+    /// Writes one line per partner with its zone, its tenant and its brokers.
     fn write_partners(&self, text: &mut String) -> fmt::Result {
         for (index, partner) in PARTNERS.iter().enumerate() {
             let (zone, tenant) = (ZONES[index], TENANTS[index]);
@@ -91,6 +99,7 @@
         Ok(())
     }
 
+    /// Returns the path of this broker's own file with this extension.
     fn own_path(&self, extension: &str) -> String {
         self.folder.join(format!("{}.{extension}", self.broker.name)).display().to_string()
     }
--- a/crates/dunepond-testkit/src/fleet/options.rs
+++ b/crates/dunepond-testkit/src/fleet/options.rs
@@ -1,63 +1,66 @@
-//! What a fleet is made of.
+//! Options of a fleet.
 
 use std::path::{Path, PathBuf};
 
-/// How large a fleet is, and at which pace it goes.
+/// Options of a fleet: its size, its timeouts and its configuration.
 #[derive(Clone)]
 pub struct FleetOptions {
-    /// The testkit's own program, which hosts brokers.
+    /// Path of the testkit's own executable, which runs each broker as a subcommand.
     pub program: PathBuf,
-    /// Brokers that vote: the first ones.
+    /// Number of voters. The first brokers are the voters.
     pub voters: usize,
-    /// All brokers.
+    /// Number of brokers, voters included.
     pub brokers: usize,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Segments of the key space.
+    /// Number of segments that the key space is divided into.
     pub segment_count: usize,
-    /// The lease of a voter on its vote, in seconds.
+    /// Duration of a lease, in seconds.
     pub lease_seconds: f64,
-    /// The longest that a change waits for leases, in seconds.
+    /// Longest time that a change of version waits for the leases on the previous version to end, in seconds.
     pub lease_bound_seconds: f64,
-    /// The query timeout of all query classes, in seconds.
+    /// Query timeout of all query classes, in seconds.
     pub query_timeout_seconds: f64,
-    /// A change whose fills are not done by then is withdrawn; in seconds.
+    /// Time, in seconds, after which a change is withdrawn if its fills are not complete.
     pub fill_deadline_seconds: f64,
-    /// Of all that the links draw.
+    /// Seed of all random draws of the links.
     pub seed: u64,
-    /// Brokers of each partner; the rest belong to none.
+    /// Indices of the brokers that belong to each partner. A broker that is in neither list belongs to no partner.
     pub partner_brokers: [Vec<usize>; 2],
-    /// Cold replicas are filled by each broker, and debts split in advance; a node is cold for so many seconds.
+    /// Duration of a node's slow start, in seconds. If set, the brokers also have the replicas on cold nodes filled, and they
+    /// split the debts between partners in advance so that each can do so on its own.
     pub slow_start_seconds: Option<f64>,
-    /// Both partners count what their own nodes carry.
+    /// Whether each partner's brokers also count the work of its own nodes.
     pub metered: bool,
-    /// Whether the operator's files name a fleet at all.
+    /// Whether the operator's files configure the control plane. If not, the files are empty.
     pub control_plane_enabled: bool,
-    /// Whether brokers record what they do.
+    /// Whether brokers write audit records.
     pub audit_enabled: bool,
-    /// More lines for `fleet` in the operator's files; `OWN` stands for a path of each broker's own.
+    /// Additional lines for the `fleet` node of the operator's files. In each line `OWN` is replaced by a path that is unique
+    /// to the broker: the fleet's folder followed by the broker's name.
     pub extra_lines: Vec<String>,
-    /// How many brokers the settings speak of.
+    /// Number of brokers that the settings state.
     pub balancers: usize,
-    /// The quota of each tenant, in queries a second.
+    /// Quota of each tenant, in queries per second.
     pub tenant_quota: f64,
-    /// Retries that versions allow.
+    /// Retry budget in the versions of the configuration.
     pub retry_budget: RetryBudget,
-    /// Whether folders fail as [`super::Fleet::set_disk_fault`] says. Copies of such a folder do not.
+    /// Whether the brokers' folders fail as [`super::Fleet::set_disk_fault`] says. Copies of such a folder do not fail.
     pub faulty_disks: bool,
 }
 
-/// Retries and hedged requests that versions allow.
+/// Limit on retries and hedged requests in the versions of the configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// As a share of the requests that are admitted.
+    /// Number of retries and hedged requests allowed for each query and each part that arrives in a budget window, in addition
+    /// to `min_retries`.
     pub ratio: f64,
-    /// Beside that share.
+    /// Number of retries and hedged requests allowed in each budget window regardless of the load.
     pub min_retries: f64,
 }
 
 impl FleetOptions {
-    /// A small fleet with short times.
+    /// Returns the options of a small fleet with short timeouts.
     pub fn new(program: &Path, voters: usize, brokers: usize) -> Self {
         Self {
             program: program.to_path_buf(),
--- a/crates/dunepond-testkit/src/fleet/records.rs
+++ b/crates/dunepond-testkit/src/fleet/records.rs
@@ -1,4 +1,4 @@
-//! What the brokers of a fleet recorded, and waiting for it.
+//! Reads the audit records that the brokers of a fleet write, and waits for recorded phases.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -9,41 +9,43 @@
 use crate::auditor::{AuditEvent, AuditPhase, AuditRecord, Records};
 use crate::processes::wait_until;
 
-/// A phase as a broker recorded it.
+/// A phase of the configuration and the versions that apply in it, as a broker recorded them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecordedPhase {
-    /// The phase.
+    /// Phase of the configuration.
     pub phase: AuditPhase,
-    /// The version that it goes from.
+    /// Lowest number of the versions that apply; 0 if none applies.
     pub first_version: u64,
-    /// The version that it goes to.
+    /// Highest number of the versions that apply; 0 if none applies.
     pub last_version: u64,
 }
 
-/// Reads the brokers' files, each from where it stopped before.
+/// Reads the audit files of all brokers incrementally and keeps the records read so far.
 pub(super) struct RecordReader {
     files: Vec<RecordFile>,
     records: Records,
 }
 
+/// The audit file of one broker and the position up to which it was read.
 struct RecordFile {
     path: PathBuf,
-    /// Bytes that were read.
+    /// Number of bytes read so far.
     position: u64,
 }
 
 impl RecordReader {
+    /// Creates a reader of the audit files that the brokers write into the fleet's folder. No file needs to exist yet.
     pub fn new(folder: &Path, brokers: usize) -> Self {
         let path = |broker| folder.join(format!("{}.acts", broker_name(broker)));
         let files = (0..brokers).map(|broker| RecordFile { path: path(broker), position: 0 });
         Self { files: files.collect(), records: Records::default() }
     }
 
-    /// All that is recorded so far.
+    /// Reads the lines added since the last call and returns all records so far, ordered by time.
     fn read(&mut self) -> &Records {
         let mut changed = false;
         for file in &mut self.files {
-            let lines = file.read_whole_lines();
+            let lines = file.read_complete_lines();
             if !lines.is_empty() {
                 changed = true;
                 let text = String::from_utf8_lossy(&lines);
@@ -58,66 +60,79 @@
 }
 
 impl RecordFile {
-    /// What has come since the last time, up to the end of its last whole line.
-    fn read_whole_lines(&mut self) -> Vec<u8> {
+    /// Returns the bytes added since the last call, up to the end of the last complete line. Returns nothing if the file does not
+    /// exist.
+    fn read_complete_lines(&mut self) -> Vec<u8> {
         let mut bytes = Vec::new();
         let Ok(mut file) = File::open(&self.path) else { return bytes };
         file.seek(SeekFrom::Start(self.position)).and_then(|_| file.read_to_end(&mut bytes)).unwrap();
-        let whole = bytes.iter().rposition(|byte| *byte == b'\n').map_or(0, |at| at + 1);
-        bytes.truncate(whole);
-        self.position += whole as u64;
+        let complete_length = bytes.iter().rposition(|byte| *byte == b'\n').map_or(0, |at| at + 1);
+        bytes.truncate(complete_length);
+        self.position += complete_length as u64;
         bytes
     }
 }
 
 impl Fleet {
-    /// All that is recorded so far.
+    /// Returns all records that the brokers have written so far, ordered by time.
     pub fn records(&self) -> Records {
         self.with_records(Records::clone)
     }
 
-    pub(super) fn with_records<T>(&self, look: impl FnOnce(&Records) -> T) -> T {
-        look(self.record_reader.lock().unwrap().read())
+    /// Calls a function with all records that the brokers have written so far, without copying them.
+    pub(super) fn with_records<T>(&self, use_records: impl FnOnce(&Records) -> T) -> T {
+        use_records(self.record_reader.lock().unwrap().read())
     }
 
-    /// The phase that a broker recorded last.
+    /// Returns the phase that this broker recorded last, if any.
     pub fn phase(&self, broker: usize) -> Option<RecordedPhase> {
         let name = broker_name(broker);
         self.with_records(|records| {
-            let own = records.lines.iter().rev().filter(|record| record.broker == name);
-            own.map(|record| &record.event).find_map(phase_of)
+            let own_records = records.lines.iter().rev().filter(|record| record.broker == name);
+            own_records.map(|record| &record.event).find_map(phase_of)
         })
     }
 
-    /// Waits until these brokers all act on this version alone.
+    /// Waits until this version is the only active one at all of these brokers.
     ///
     /// # Panics
-    /// Where they do not in time.
+    /// Panics if it is not within [`crate::processes::WAIT_TIMEOUT`].
     pub fn wait_active(&self, brokers: impl IntoIterator<Item = usize> + Clone, number: u64) {
         let is_active = |broker| {
             let recorded = self.phase(broker);
-            recorded.is_some_and(|it| it.phase == AuditPhase::Active && it.last_version == number)
+            recorded.is_some_and(|recorded| {
+                recorded.phase == AuditPhase::Active && recorded.last_version == number
+            })
         };
         let active = wait_until(|| brokers.clone().into_iter().all(is_active));
         let phases: Vec<_> = brokers.into_iter().map(|i| (broker_name(i), self.phase(i))).collect();
-        assert!(active, "version {number} is not in force at all of {phases:?}");
+        assert!(
+            active,
+            "expected version {number} to be active at all brokers before the timeout, got {phases:?}"
+        );
     }
 
-    /// Waits until this broker is in this phase, whichever version.
+    /// Waits until this broker is in this phase, whatever the version.
     ///
     /// # Panics
-    /// Where it is not in time.
+    /// Panics if it is not within [`crate::processes::WAIT_TIMEOUT`].
     pub fn wait_for_phase(&self, broker: usize, phase: AuditPhase) {
         let reached = wait_until(|| self.phase(broker).is_some_and(|recorded| recorded.phase == phase));
-        assert!(reached, "{} is in {:?}", broker_name(broker), self.phase(broker));
+        assert!(
+            reached,
+            "expected {} to be in phase {phase:?} before the timeout, got {:?}",
+            broker_name(broker),
+            self.phase(broker)
+        );
     }
 
-    /// Whether any broker recorded such an event.
+    /// Returns whether any broker recorded an event that matches.
     pub fn any_event(&self, matches: impl Fn(&AuditEvent) -> bool) -> bool {
         self.with_records(|records| records.lines.iter().any(|record| matches(&record.event)))
     }
 
-    /// Prints what brokers recorded beside queries; a phase once, not with each renewal of its lease.
+    /// Prints the records of all brokers, except those of single queries. Consecutive records of the same phase, which a broker
+    /// writes at each renewal of its lease, are printed once.
     pub(super) fn print_records(&self) {
         self.with_records(|records| {
             let mut last_phases = BTreeMap::new();
@@ -140,6 +155,7 @@
     }
 }
 
+/// Returns the phase that an event records, if it records one.
 fn phase_of(event: &AuditEvent) -> Option<RecordedPhase> {
     match *event {
         AuditEvent::Phase { phase, first_version, last_version, .. } => {
--- a/crates/dunepond-testkit/src/fleet/start.rs
+++ b/crates/dunepond-testkit/src/fleet/start.rs
@@ -1,4 +1,5 @@
-//! Starts a fleet: files and folder of each broker, relays between all, nodes, discovery and the fill service.
+//! Prepares a fleet: the files and the folder of each broker, the relays between brokers, the nodes, the discovery server and the
+//! fill service.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -18,7 +19,7 @@
 use crate::stand_ins::{self, DiscoveryServer, Node};
 
 impl Fleet {
-    /// All but the brokers is started.
+    /// Starts everything but the brokers' processes.
     pub fn prepare(options: FleetOptions) -> Self {
         let folder = stand_ins::scratch_path("fleet");
         fs::create_dir(&folder).unwrap();
@@ -64,11 +65,11 @@
     }
 }
 
-/// Writes a broker's files; its process is not started yet.
+/// Writes a broker's files and returns its process, which is not started yet.
 fn prepare_broker(file: &OperatorFile, mut config: Value) -> BrokerProcess {
     let name = &file.broker.name;
     let own_path = |extension: &str| file.folder.join(format!("{name}.{extension}"));
-    let text = |path: &Path| path.display().to_string();
+    let to_text = |path: &Path| path.display().to_string();
     let (operator_file, config_file) = (own_path("kdl"), own_path("json"));
     fs::write(&operator_file, file.render()).unwrap();
     let address = unique_loopback_address();
@@ -76,45 +77,49 @@
     config["listen"] = json!(address.to_string());
     config["log"] = json!("info");
     fs::write(&config_file, config.to_string()).unwrap();
-    let (operator_file, disk) = (text(&operator_file), text(&file.folder.join("disk")));
+    let (operator_file, disk) = (to_text(&operator_file), to_text(&file.folder.join("disk")));
     let mut arguments = vec!["broker", "--operator", &operator_file, "--disk", &disk];
-    let faults = text(&own_path("disk"));
+    let disk_faults_file = to_text(&own_path("disk"));
     if file.options.faulty_disks {
-        arguments.extend(["--fleet-disk", &faults]);
+        arguments.extend(["--fleet-disk", &disk_faults_file]);
     }
     BrokerProcess::new(&file.options.program, name, address, &own_path("state"))
         .arguments(&arguments)
-        .environment("GW_CONFIG", &text(&config_file))
+        .environment("GW_CONFIG", &to_text(&config_file))
 }
 
-/// The list of discovery, in which these nodes drain.
+/// Returns the list of nodes that discovery publishes. The nodes named in `draining` are listed as draining, the others as ready.
 pub(super) fn endpoints(nodes: &[Node], draining: &[&str]) -> Vec<Value> {
     let endpoint = |(i, node): (usize, &Node)| {
-        let drains = draining.contains(&node.name.as_str());
-        let mut endpoint = node.endpoint(if drains { "draining" } else { "ready" });
+        let is_draining = draining.contains(&node.name.as_str());
+        let mut endpoint = node.endpoint(if is_draining { "draining" } else { "ready" });
         endpoint["site"] = json!(ZONES[i % 2]);
         endpoint
     };
     nodes.iter().enumerate().map(endpoint).collect()
 }
 
-fn settings(plan: &FleetOptions) -> Value {
+/// Returns the settings of the stand-ins, with the fleet's query classes, tenants, segments and slow start.
+fn settings(options: &FleetOptions) -> Value {
     let mut settings = stand_ins::settings();
-    let mut service = settings["services"][0].clone();
-    let services = QUERY_CLASSES.map(|name| {
-        (service["name"], service["aimMs"]) = (json!(name), json!(1000.0 * plan.query_timeout_seconds / 2.0));
-        service["deadlineMs"] = json!(1000.0 * plan.query_timeout_seconds);
-        service["semantics"] = json!(if name == NON_IDEMPOTENT_CLASS { "side_effect" } else { "pure" });
-        service.clone()
+    let mut query_class = settings["services"][0].clone();
+    let query_classes = QUERY_CLASSES.map(|name| {
+        (query_class["name"], query_class["aimMs"]) =
+            (json!(name), json!(1000.0 * options.query_timeout_seconds / 2.0));
+        query_class["deadlineMs"] = json!(1000.0 * options.query_timeout_seconds);
+        query_class["semantics"] = json!(if name == NON_IDEMPOTENT_CLASS { "side_effect" } else { "pure" });
+        query_class.clone()
     });
-    settings["services"] = json!(services);
-    settings["projects"] = json!(TENANTS.map(|name| json!({"name": name, "quotaPerS": plan.tenant_quota})));
-    settings["balancers"] = json!(plan.balancers);
-    let family = &mut settings["familyInfo"];
-    (family["slabs"], family["secondStep"]) = (json!(plan.segment_count), json!([0, 0, 0]));
-    (family["leastShare"], family["wholeAt"]) = (json!([0.5, 1.0, 1.0]), json!([1.0, 1.0, 1.0]));
-    if let Some(cold) = plan.slow_start_seconds {
-        settings["rules"]["coldMs"] = json!(1000.0 * cold);
+    settings["services"] = json!(query_classes);
+    settings["projects"] =
+        json!(TENANTS.map(|name| json!({"name": name, "quotaPerS": options.tenant_quota})));
+    settings["balancers"] = json!(options.balancers);
+    let replica_group = &mut settings["familyInfo"];
+    (replica_group["slabs"], replica_group["secondStep"]) = (json!(options.segment_count), json!([0, 0, 0]));
+    (replica_group["leastShare"], replica_group["wholeAt"]) =
+        (json!([0.5, 1.0, 1.0]), json!([1.0, 1.0, 1.0]));
+    if let Some(slow_start_seconds) = options.slow_start_seconds {
+        settings["rules"]["coldMs"] = json!(1000.0 * slow_start_seconds);
     }
     settings
 }
--- a/crates/dunepond-testkit/src/fleet/versions.rs
+++ b/crates/dunepond-testkit/src/fleet/versions.rs
@@ -1,4 +1,4 @@
-//! Versions of the configuration, plans and operator's requests that a test puts before brokers.
+//! Versions of the configuration, plans and operator's requests that a test gives to brokers.
 
 use std::fs;
 
@@ -8,12 +8,13 @@
 use crate::auditor::MapVersion;
 
 impl Fleet {
-    /// A version in which each segment is held by two nodes, of which the first owns it; of the segments in `moved` the second.
-    /// Those in `filled` get a third replica that has to be filled first.
+    /// Returns version `number` of the configuration. Each segment has replicas on two nodes and is owned by the first of them.
+    /// The segments in `moved` are owned by the second one instead. The segments in `filled` get a third replica, which has to be
+    /// filled before the version can become active.
     pub fn config_version(&self, number: u64, moved: &[u64], filled: &[u64]) -> Value {
         let count = self.options.segment_count as u64;
         let segments: Vec<_> =
-            (0..count).map(|id| self.segment(id, moved.contains(&id), filled.contains(&id))).collect();
+            (0..count).map(|id| self.segment_entry(id, moved.contains(&id), filled.contains(&id))).collect();
         let budget = self.options.retry_budget;
         json!({
             "number": number,
@@ -27,25 +28,27 @@
         })
     }
 
-    fn segment(&self, id: u64, moved: bool, filled: bool) -> Value {
+    /// Returns the entry of one segment in the map of a version, as [`Fleet::config_version`] describes it.
+    fn segment_entry(&self, id: u64, moved: bool, add_replica: bool) -> Value {
         let count = self.options.segment_count as u64;
-        let width = u64::MAX / count;
-        let to = if id + 1 == count { Value::Null } else { json!((id + 1) * width) };
-        let node = |number: u64| number as usize % self.nodes.len();
+        let segment_width = u64::MAX / count;
+        let end = if id + 1 == count { Value::Null } else { json!((id + 1) * segment_width) };
+        let node_index = |number: u64| number as usize % self.nodes.len();
         let replica = |number: u64, filled: bool, share: f64| {
-            let node = node(number);
+            let node = node_index(number);
             json!({"node": self.nodes[node].name, "partner": PARTNERS[node % 2], "filled": filled, "share": share})
         };
-        let second_share = if filled { 0.25 } else { 0.5 };
+        let second_share = if add_replica { 0.25 } else { 0.5 };
         let mut replicas = vec![replica(id, true, 0.5), replica(id + 1, true, second_share)];
-        if filled {
+        if add_replica {
             replicas.push(replica(id + 2, false, 0.25));
         }
-        let owner = &self.nodes[node(id + u64::from(moved))].name;
-        json!({"id": id, "keys": {"from": id * width, "to": to}, "owner": owner, "holders": replicas})
+        let owner = &self.nodes[node_index(id + u64::from(moved))].name;
+        json!({"id": id, "keys": {"from": id * segment_width, "to": end}, "owner": owner, "holders": replicas})
     }
 
-    /// Puts this version's file before a broker without telling it.
+    /// Writes a version to the file that a broker reads versions from, without having the broker read it. Also remembers the
+    /// version's map for the audit.
     pub fn place_version(&mut self, broker: usize, version: &Value) {
         let number = version["number"].as_u64().unwrap();
         let epoch = version["map"]["epoch"].as_u64().unwrap_or(0);
@@ -56,50 +59,52 @@
         self.write_file(broker, "version", version);
     }
 
-    /// Has a broker propose a version.
+    /// Writes a version to the broker's version file and has the broker propose it.
     pub fn propose(&mut self, broker: usize, version: &Value) {
         self.place_version(broker, version);
         self.brokers[broker].reload_config();
     }
 
-    /// Has a broker propose a plan, where the options have the line `moves "OWN.plan"`.
+    /// Writes a plan to the broker's plan file and has the broker propose it. Needs the line `moves "OWN.plan"` in
+    /// [`super::FleetOptions::extra_lines`].
     pub fn propose_plan(&self, broker: usize, plan: &Value) {
         self.write_file(broker, "plan", plan);
         self.brokers[broker].reload_config();
     }
 
-    /// Has a broker read an operator's request that is no version, where versions are read.
+    /// Writes an operator's request that is not a version to the broker's version file and has the broker read it.
     pub fn send_operator_request(&self, broker: usize, request: &Value) {
         self.write_file(broker, "version", request);
         self.brokers[broker].reload_config();
     }
 
-    /// Writes into the operator's file of a broker, which is to be restarted, who votes.
+    /// Changes in a broker's operator's file which brokers are voters. The change takes effect when the broker restarts.
     pub fn set_voters(&self, broker: usize, voters: &[&str]) {
         let path = self.folder.join(format!("{}.kdl", broker_name(broker)));
-        let line = |line: &str| {
-            let words: Vec<_> = line.split('"').collect();
-            match words[..] {
+        let with_voters = |line: &str| {
+            let fields: Vec<_> = line.split('"').collect();
+            match fields[..] {
                 [kind, peer, rest, ..] if ["voter", "peer"].contains(&kind.trim()) => {
                     let kind = if voters.contains(&peer) { "voter" } else { "peer" };
-                    format!("  {kind} \"{peer}\"{rest}\"{}\"\n", words[3])
+                    format!("  {kind} \"{peer}\"{rest}\"{}\"\n", fields[3])
                 }
                 _ => format!("{line}\n"),
             }
         };
-        let text: String = fs::read_to_string(&path).unwrap().lines().map(line).collect();
+        let text: String = fs::read_to_string(&path).unwrap().lines().map(with_voters).collect();
         fs::write(path, text).unwrap();
     }
 
-    /// Replaces a file of a broker's own at once.
+    /// Replaces a broker's own file atomically: writes a temporary file and renames it.
     fn write_file(&self, broker: usize, extension: &str, value: &Value) {
         let path = self.folder.join(format!("{}.{extension}", broker_name(broker)));
-        let aside = path.with_extension("aside");
-        fs::write(&aside, value.to_string()).unwrap();
-        fs::rename(aside, path).unwrap();
+        let temporary_path = path.with_extension("aside");
+        fs::write(&temporary_path, value.to_string()).unwrap();
+        fs::rename(temporary_path, path).unwrap();
     }
 
-    /// Notes for the audit the version that a plan's step makes: like the one before it, but for these owners.
+    /// Tells the audit which map to expect in the version that a plan's step creates: the map of the previous version with the
+    /// next epoch and with these owners.
     pub fn expect_plan_step(&mut self, number: u64, owners: &[(u64, &str)]) {
         let mut map = self.maps[&(number - 1)].clone();
         map.epoch += 1;
