--- a/crates/dunepond-testkit/src/body_cluster/node.rs
+++ b/crates/dunepond-testkit/src/body_cluster/node.rs
@@ -1,4 +1,4 @@
-//! A node that takes bodies of any size and counts which parts ran.
+//! A stand-in node that accepts bodies of any size and counts which parts ran.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -11,79 +11,82 @@
 
 use crate::frames::{self, ANSWER, PART};
 
+/// Size of the read buffers.
 const BUFFER_BYTES: usize = 64 * 1024;
-/// How long [`BodyNodeBehavior::StopReading`] sleeps before each read.
-const STOPPED_READ_TIME: Duration = Duration::from_secs(60);
+/// Time that [`BodyNodeBehavior::StopReading`] sleeps before each read of a body.
+const STOPPED_READ_DELAY: Duration = Duration::from_secs(60);
+/// Interval at which [`BodyNodeBehavior::HoldThenFail`] checks whether the behavior was changed.
 const RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a node does with what it is sent.
+/// How a node treats the parts that a broker sends to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BodyNodeBehavior {
-    /// Takes all of it and answers with its length and checksum.
+    /// Reads the whole frame and answers with the length and the checksum of the body.
     Serve,
-    /// Takes all of it and answers nothing.
+    /// Reads the whole frame and never answers.
     Hang,
-    /// Takes all of it, waits until it is to behave otherwise, and says that it failed.
+    /// Reads the whole frame, waits until the node's behavior is changed, and then reports that the part failed.
     HoldThenFail,
-    /// Takes nothing behind the first line.
+    /// Reads the first line of a part and then pauses for a minute before each read of its body.
     StopReading,
-    /// Rejects a part as overloaded, when half of its frame has come.
+    /// Rejects a part as overloaded when half of its body has arrived.
     RefuseMidFrame,
-    /// Rejects a part as overloaded, all of it there.
+    /// Rejects a part as overloaded after reading its whole frame.
     Refuse,
-    /// Says that the part failed.
+    /// Reads the whole frame and reports that the part failed.
     Fault,
-    /// Closes, all of it there.
+    /// Closes the connection after reading the whole frame.
     Close,
-    /// Closes when half of the frame has come.
+    /// Closes the connection when half of the body has arrived.
     CloseMidFrame,
-    /// Takes so many bytes a second.
+    /// Serves, but reads bodies at most at this rate, in bytes per second.
     BytesPerSecond(u64),
 }
 
-/// What came to a node.
+/// Counts of the connections and the part frames that a node received.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FrameCounts {
-    /// Frames of parts that came whole.
+    /// Number of part frames that arrived whole.
     pub complete: usize,
-    /// Frames of parts that broke off, on either side.
+    /// Number of part frames that were cut off, by the node or by the broker.
     pub partial: usize,
-    /// Connections.
+    /// Number of connections that the node accepted.
     pub connections: usize,
 }
 
+/// The parts and connections that a node has seen.
 #[derive(Default)]
-struct Record {
-    /// How often all of each part's frame came and was not rejected.
+struct NodeRecord {
+    /// By part id, how often the part's frame arrived whole and was not rejected as overloaded.
     runs: HashMap<String, u32>,
     frames: FrameCounts,
 }
 
-/// A node on loopback.
+/// A stand-in node that listens on a loopback address.
 #[derive(Clone)]
 pub struct Node {
     name: String,
     address: SocketAddr,
     behavior: Arc<Mutex<BodyNodeBehavior>>,
-    record: Arc<Mutex<Record>>,
+    record: Arc<Mutex<NodeRecord>>,
 }
 
-/// A part's line and what follows it.
-struct PartHead {
+/// The first line of a part's frame, which is followed by the body.
+struct PartHeader {
     id: String,
     body_bytes: u64,
 }
 
-/// How a part's body ended.
-enum BodyEnd {
-    /// All of it came.
+/// Result of reading a part's body.
+enum BodyResult {
+    /// The whole body arrived; `checksum` is its CRC-32.
     Complete { checksum: u32 },
-    /// The connection is done with.
+    /// The body was cut off, so the connection has to be closed.
     Aborted,
 }
 
 impl Node {
-    /// Starts a node that behaves so.
+    /// Starts a node with this name in discovery and this behavior.
     pub fn start(name: &str, behavior: BodyNodeBehavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -93,10 +96,10 @@
             behavior: Arc::new(Mutex::new(behavior)),
             record: Arc::default(),
         };
-        let shared = node.clone();
+        let shared_node = node.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let node = shared.clone();
+                let node = shared_node.clone();
                 node.record.lock().unwrap().frames.connections += 1;
                 thread::spawn(move || node.serve(stream));
             }
@@ -104,14 +107,15 @@
         node
     }
 
+    /// Handles the frames of one connection until it ends.
     fn serve(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut out = stream.try_clone()?;
         let mut reader = BufReader::with_capacity(BUFFER_BYTES, stream);
         loop {
-            let part = read_part_head(&mut reader)?;
+            let part = read_part_header(&mut reader)?;
             let behavior = self.behavior();
-            let BodyEnd::Complete { checksum } = self.read_body(&mut reader, &mut out, &part, behavior)?
+            let BodyResult::Complete { checksum } = self.read_body(&mut reader, &mut out, &part, behavior)?
             else {
                 return Ok(());
             };
@@ -138,52 +142,54 @@
         *self.behavior.lock().unwrap()
     }
 
+    /// Reads a part's body as `behavior` prescribes and computes its checksum.
     fn read_body(
         &self,
         reader: &mut BufReader<TcpStream>,
         out: &mut TcpStream,
-        part: &PartHead,
+        part: &PartHeader,
         behavior: BodyNodeBehavior,
-    ) -> io::Result<BodyEnd> {
+    ) -> io::Result<BodyResult> {
         let started = Instant::now();
         let mut checksum = crc32fast::Hasher::new();
         let mut buffer = vec![0; BUFFER_BYTES];
-        let mut left = part.body_bytes;
-        while left > 0 {
-            let half_read = left <= part.body_bytes / 2;
+        let mut remaining = part.body_bytes;
+        while remaining > 0 {
+            let half_arrived = remaining <= part.body_bytes / 2;
             match behavior {
-                BodyNodeBehavior::StopReading => thread::sleep(STOPPED_READ_TIME),
-                BodyNodeBehavior::RefuseMidFrame if half_read => {
+                BodyNodeBehavior::StopReading => thread::sleep(STOPPED_READ_DELAY),
+                BodyNodeBehavior::RefuseMidFrame if half_arrived => {
                     self.record_partial();
                     let answer = format!("{} overload 0 -\n", part.id);
                     out.write_all(&frames::encode(ANSWER, &answer))?;
-                    // What still comes is taken and thrown away until the broker closes.
+                    // The rest of the stream is discarded until the broker closes the connection.
                     io::copy(reader, &mut io::sink())?;
-                    return Ok(BodyEnd::Aborted);
+                    return Ok(BodyResult::Aborted);
                 }
-                BodyNodeBehavior::CloseMidFrame if half_read => {
+                BodyNodeBehavior::CloseMidFrame if half_arrived => {
                     self.record_partial();
-                    return Ok(BodyEnd::Aborted);
+                    return Ok(BodyResult::Aborted);
                 }
                 BodyNodeBehavior::BytesPerSecond(rate) => {
-                    let due = (part.body_bytes - left) as f64 / rate as f64;
-                    let early = (due - started.elapsed().as_secs_f64()).max(0.0);
-                    thread::sleep(Duration::from_secs_f64(early));
+                    let due_seconds = (part.body_bytes - remaining) as f64 / rate as f64;
+                    let wait_seconds = (due_seconds - started.elapsed().as_secs_f64()).max(0.0);
+                    thread::sleep(Duration::from_secs_f64(wait_seconds));
                 }
                 _ => {}
             }
-            let limit = buffer.len().min(left as usize);
+            let limit = buffer.len().min(remaining as usize);
             let count = reader.read(&mut buffer[..limit])?;
             if count == 0 {
                 self.record_partial();
-                return Ok(BodyEnd::Aborted);
+                return Ok(BodyResult::Aborted);
             }
             checksum.update(&buffer[..count]);
-            left -= count as u64;
+            remaining -= count as u64;
         }
-        Ok(BodyEnd::Complete { checksum: checksum.finalize() })
+        Ok(BodyResult::Complete { checksum: checksum.finalize() })
     }
 
+    /// Counts a part frame that arrived whole, and a run of the part unless the node rejects it.
     fn record_complete(&self, id: &str, behavior: BodyNodeBehavior) {
         let mut record = self.record.lock().unwrap();
         record.frames.complete += 1;
@@ -192,46 +198,48 @@
         }
     }
 
+    /// Counts a part frame that was cut off.
     fn record_partial(&self) {
         self.record.lock().unwrap().frames.partial += 1;
     }
 
-    /// Behaves so from the next part on.
+    /// Sets the behavior from the next part on, also on open connections.
     pub fn set_behavior(&self, behavior: BodyNodeBehavior) {
         *self.behavior.lock().unwrap() = behavior;
     }
 
-    /// Its entry in the list of discovery.
+    /// Returns the node's entry in the endpoint list of discovery.
     pub fn endpoint(&self) -> Value {
         json!({"host": self.name, "dial": self.address.to_string(), "site": "a", "class": "m", "block": 0,
             "health": "ready", "share": 1.0, "born_ms": 0})
     }
 
-    /// How often each part ran here.
+    /// Returns, by part id, how often the part ran on this node.
     pub fn runs(&self) -> HashMap<String, u32> {
         self.record.lock().unwrap().runs.clone()
     }
 
-    /// What came so far.
+    /// Returns the counts of connections and part frames so far.
     pub fn frame_counts(&self) -> FrameCounts {
         self.record.lock().unwrap().frames
     }
 }
 
-/// Skips to the next part and reads its line.
-fn read_part_head(reader: &mut BufReader<TcpStream>) -> io::Result<PartHead> {
+/// Skips frames of other types up to the next part and reads the part's first line.
+fn read_part_header(reader: &mut BufReader<TcpStream>) -> io::Result<PartHeader> {
     loop {
-        let mut head = [0; 5];
-        reader.read_exact(&mut head)?;
-        let [length @ .., letter] = head;
-        if letter != PART {
-            let rest = u64::from(u32::from_be_bytes(length)) - 1;
-            io::copy(&mut reader.by_ref().take(rest), &mut io::sink())?;
+        let mut header = [0; 5];
+        reader.read_exact(&mut header)?;
+        let [length @ .., frame_type] = header;
+        if frame_type != PART {
+            // The length includes the byte of the frame type.
+            let content_bytes = u64::from(u32::from_be_bytes(length)) - 1;
+            io::copy(&mut reader.by_ref().take(content_bytes), &mut io::sink())?;
             continue;
         }
         let mut line = String::new();
         reader.read_line(&mut line)?;
-        let words: Vec<_> = line.trim_end().split(' ').collect();
-        return Ok(PartHead { id: words[0].to_string(), body_bytes: words[3].parse().unwrap() });
+        let fields: Vec<_> = line.trim_end().split(' ').collect();
+        return Ok(PartHeader { id: fields[0].to_string(), body_bytes: fields[3].parse().unwrap() });
     }
 }
--- a/crates/dunepond-testkit/src/body_cluster/request.rs
+++ b/crates/dunepond-testkit/src/body_cluster/request.rs
@@ -1,4 +1,4 @@
-//! Queries in the raw form, whose bodies may be large, and the clients that send them.
+//! Queries in the raw form, which carry the query's properties in header fields and a body of any size, and their clients.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -7,60 +7,61 @@
 
 use crate::stand_ins::{Answer, Client};
 
-/// The most that is written at a time.
+/// Maximum number of body bytes in one write.
 const BLOCK_BYTES: usize = 64 * 1024;
-/// A paced client writes so many blocks a second.
+/// Number of blocks per second into which a client with a limited rate divides its body.
 const BLOCKS_PER_SECOND: usize = 20;
-/// For each read and write.
+/// Timeout of each read and each write of a client.
 const IO_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time budget that [`body_request`] gives a query.
 const DEFAULT_BUDGET_SECONDS: f64 = 20.0;
 
 /// A query in the raw form.
 #[derive(Clone, Debug)]
 pub struct BodyRequest {
-    /// Its query class.
+    /// The query class, which is also the path of the request.
     pub query_class: &'static str,
-    /// Its id, which also draws its body.
+    /// The query's id, which also seeds the content of its body.
     pub id: String,
-    /// The tenant that asks.
+    /// The tenant that sends the query.
     pub tenant: &'static str,
-    /// The shards that it asks for.
+    /// The shards that the query covers, with equal shares.
     pub shards: Vec<usize>,
-    /// The time that its client gives it.
+    /// The time budget that the client states, in seconds.
     pub budget_seconds: f64,
-    /// The length of its body.
+    /// The length of the body, in bytes.
     pub body_bytes: u64,
-    /// Sent in chunks, its length not stated.
+    /// Whether the body is sent with chunked transfer encoding, without a stated length.
     pub chunked: bool,
-    /// The client's pace; as fast as it goes where none.
+    /// The rate at which the client sends the body, in bytes per second; `None` for no limit.
     pub bytes_per_second: Option<u64>,
-    /// The client disconnects after so many bytes.
+    /// Number of body bytes after which the client disconnects; `None` if it waits for the answer.
     pub disconnect_after_bytes: Option<u64>,
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug)]
 pub struct BodyOutcome {
-    /// `None` where the connection ended without one.
+    /// The answer; `None` if the connection ended without one or the client disconnected.
     pub answer: Option<Answer>,
-    /// From when it was connected to its answer.
+    /// Time from the established connection to the end of the request, in seconds.
     pub elapsed_seconds: f64,
 }
 
 impl BodyOutcome {
-    /// The status code; 0 without an answer.
+    /// Returns the HTTP status code, or 0 without an answer.
     pub fn status(&self) -> u16 {
         self.answer.as_ref().map_or(0, |answer| answer.status)
     }
 
-    /// The words of a rejection; empty where there are none.
+    /// Returns the error text of an answer that rejects the request; empty if there is none.
     pub fn error_text(&self) -> String {
-        let words = self.answer.as_ref().and_then(|answer| answer.body["error"].as_str());
-        words.unwrap_or_default().to_string()
+        let error = self.answer.as_ref().and_then(|answer| answer.body["error"].as_str());
+        error.unwrap_or_default().to_string()
     }
 }
 
-/// A request whose body is sent with its length stated, as fast as it goes.
+/// Returns a request of tenant `left` whose body is sent with a stated length and no rate limit.
 pub fn body_request(query_class: &'static str, id: &str, shards: &[usize], body_bytes: u64) -> BodyRequest {
     BodyRequest {
         query_class,
@@ -75,17 +76,18 @@
     }
 }
 
-/// Fills a block with the bytes of this id's body from `offset` on: no two blocks are alike, so that none can stand for another.
+/// Fills `block` with the bytes from `offset` of the body of request `id`. Blocks differ by id and by offset, so that a block
+/// that is swapped for another changes the checksum.
 fn fill_block(id: &str, offset: u64, block: &mut [u8]) {
     let seed = u64::from(crc32fast::hash(id.as_bytes()));
     for (i, byte) in block.iter_mut().enumerate() {
-        let place = offset + i as u64;
-        *byte = (place.wrapping_mul(31) ^ (place >> 8) ^ (place >> 16) ^ seed) as u8;
+        let position = offset + i as u64;
+        *byte = (position.wrapping_mul(31) ^ (position >> 8) ^ (position >> 16) ^ seed) as u8;
     }
 }
 
 impl BodyRequest {
-    /// What a node that got all of the body answers: its length and checksum.
+    /// Returns the value that a node answers after receiving the whole body: the body's length and CRC-32.
     pub fn expected_value(&self) -> String {
         let mut checksum = crc32fast::Hasher::new();
         let mut block = vec![0; BLOCK_BYTES];
@@ -99,7 +101,7 @@
         format!("{}:{:08x}", self.body_bytes, checksum.finalize())
     }
 
-    /// Request line and header fields.
+    /// Returns the request line and the header fields, with the empty line that ends them.
     pub fn head(&self) -> String {
         let share = 1.0 / self.shards.len() as f64;
         let buckets: Vec<_> = self.shards.iter().map(|shard| format!("{shard}={share:.6}")).collect();
@@ -117,15 +119,17 @@
         )
     }
 
-    /// Sends it on a connection of its own and waits for what becomes of it.
+    /// Sends the request on a new connection and waits for its outcome.
     pub fn send(&self, address: SocketAddr) -> BodyOutcome {
-        // Its time counts from when it can ask: hundreds that connect at once wait for each other in the system.
+        // Measured from the established connection: when hundreds of clients connect at once, they wait for each other in the
+        // operating system.
         let stream = TcpStream::connect(address);
         let started = Instant::now();
         let answer = stream.ok().and_then(|stream| self.exchange(stream, started));
         BodyOutcome { answer, elapsed_seconds: started.elapsed().as_secs_f64() }
     }
 
+    /// Sends the request and reads the answer. Returns `None` if the client disconnects or the connection fails.
     fn exchange(&self, mut stream: TcpStream, started: Instant) -> Option<Answer> {
         stream.set_nodelay(true).ok()?;
         stream.set_read_timeout(Some(IO_TIMEOUT)).ok()?;
@@ -139,12 +143,12 @@
             }
             let count = block.len().min((self.body_bytes - offset) as usize);
             fill_block(&self.id, offset, &mut block[..count]);
-            // It may have been answered already: the answer is still there to be read.
+            // A write may fail because the broker has answered early; that answer can still be read.
             if self.write_block(&mut stream, &block[..count]).is_err() {
                 break;
             }
             offset += count as u64;
-            self.keep_pace(offset, started);
+            self.wait_for_rate(offset, started);
         }
         if self.chunked {
             let _ = stream.write_all(b"0\r\n\r\n");
@@ -155,6 +159,7 @@
         Client::from_stream(stream).read_answer()
     }
 
+    /// Returns the number of body bytes per write.
     fn block_bytes(&self) -> usize {
         match self.bytes_per_second {
             Some(rate) => (rate as usize / BLOCKS_PER_SECOND).clamp(1, BLOCK_BYTES),
@@ -162,6 +167,7 @@
         }
     }
 
+    /// Writes a block of the body, as one chunk if the body is chunked.
     fn write_block(&self, stream: &mut TcpStream, block: &[u8]) -> std::io::Result<()> {
         if !self.chunked {
             return stream.write_all(block);
@@ -171,10 +177,11 @@
         stream.write_all(b"\r\n")
     }
 
-    fn keep_pace(&self, sent_bytes: u64, started: Instant) {
+    /// Sleeps until the time at which `sent_bytes` are due at the client's rate.
+    fn wait_for_rate(&self, sent_bytes: u64, started: Instant) {
         if let Some(rate) = self.bytes_per_second {
-            let due = sent_bytes as f64 / rate as f64;
-            thread::sleep(Duration::from_secs_f64((due - started.elapsed().as_secs_f64()).max(0.0)));
+            let due_seconds = sent_bytes as f64 / rate as f64;
+            thread::sleep(Duration::from_secs_f64((due_seconds - started.elapsed().as_secs_f64()).max(0.0)));
         }
     }
 }
