--- a/crates/dunepond-testkit/src/prefilter_cluster/corpus.rs
+++ b/crates/dunepond-testkit/src/prefilter_cluster/corpus.rs
@@ -1,4 +1,4 @@
-//! The text that segments hold, version by version, and bloom filters over it.
+//! The terms that each segment contains in each version of its content, and bloom filters over them.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -7,31 +7,33 @@
 
 use super::SEGMENT_COUNT;
 
-/// Terms of each frequency.
+/// Number of terms of each frequency.
 const TERMS_PER_FREQUENCY: usize = 40;
-/// How many of a hundred segments hold a term.
+/// Frequencies of terms: the average percentage of segments that contain a term.
 const FREQUENCIES_PERCENT: [u64; 4] = [1, 10, 50, 100];
 /// The size of a bloom filter, in bits.
 const FILTER_BITS: usize = 8192;
-/// Bits that a term sets.
+/// Number of bits that a term sets in a bloom filter.
 const FILTER_HASHES: u64 = 4;
 
-/// A term that so many of a hundred segments hold.
+/// Returns a term that about `frequency_percent` percent of the segments contain. There are 40 terms of each frequency; `number`
+/// wraps around at 40.
 pub fn term(frequency_percent: u64, number: usize) -> String {
     format!("r{frequency_percent}-{}", number % TERMS_PER_FREQUENCY)
 }
 
-fn hash(of: impl Hash) -> u64 {
+fn hash(value: impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
-    of.hash(&mut hasher);
+    value.hash(&mut hasher);
     hasher.finish()
 }
 
-/// A bloom filter over the terms of a segment in one version: it never denies what is there.
-struct Summary(Vec<u64>);
+/// A bloom filter over the terms of one version of a segment. It may report a term that is absent, but never misses one that is
+/// present.
+struct BloomFilter(Vec<u64>);
 
-impl Summary {
-    fn of(terms: &HashSet<String>) -> Self {
+impl BloomFilter {
+    fn from_terms(terms: &HashSet<String>) -> Self {
         let mut words = vec![0; FILTER_BITS / 64];
         for term in terms {
             for bit in Self::bits(term) {
@@ -50,14 +52,15 @@
     }
 }
 
-/// A segment's content in one version.
-struct Content {
+/// One version of a segment's content.
+struct ContentVersion {
+    /// Time from which this version is the current one.
     since: Instant,
     terms: HashSet<String>,
-    summary: Summary,
+    filter: BloomFilter,
 }
 
-impl Content {
+impl ContentVersion {
     fn new(segment: usize, version: usize) -> Self {
         let mut terms = HashSet::new();
         for percent in FREQUENCIES_PERCENT {
@@ -67,81 +70,83 @@
                 }
             }
         }
-        Self { since: Instant::now(), summary: Summary::of(&terms), terms }
+        Self { since: Instant::now(), filter: BloomFilter::from_terms(&terms), terms }
     }
 }
 
-/// What a segment's summaries say of a term.
-pub(super) struct Probed {
-    /// The present version.
+/// What the bloom filters of a segment's current and previous version report for a term.
+pub(super) struct ProbeResult {
+    /// Number of the current version.
     pub version: usize,
-    /// The version before, or the present one where there was none.
+    /// Number of the previous version, or of the current one if it is the first.
     pub previous_version: usize,
-    /// Whether the present version may hold the term.
+    /// Whether the current version may contain the term.
     pub may_match: bool,
-    /// Whether the version before may hold the term.
+    /// Whether the previous version may contain the term.
     pub previous_may_match: bool,
 }
 
-/// What each segment holds and has held, all versions from 1.
-pub struct Corpus(Mutex<Vec<Vec<Content>>>);
+/// All versions of the content of each segment, numbered from 1: the ground truth against which tests check answers.
+pub struct Corpus(Mutex<Vec<Vec<ContentVersion>>>);
 
 impl Corpus {
-    /// All segments in version 1.
+    /// Creates a corpus with all segments in version 1.
     pub fn new() -> Arc<Self> {
-        let segments = (0..SEGMENT_COUNT).map(|segment| vec![Content::new(segment, 1)]);
+        let segments = (0..SEGMENT_COUNT).map(|segment| vec![ContentVersion::new(segment, 1)]);
         Arc::new(Self(Mutex::new(segments.collect())))
     }
 
-    /// A segment's content changes.
+    /// Adds the next version of a segment's content.
     pub fn advance_version(&self, segment: usize) {
         let mut segments = self.0.lock().unwrap();
-        let next = Content::new(segment, segments[segment].len() + 1);
-        segments[segment].push(next);
+        let next_version = ContentVersion::new(segment, segments[segment].len() + 1);
+        segments[segment].push(next_version);
     }
 
-    /// Whether a segment holds a term now.
+    /// Returns whether the current version of a segment contains a term.
     pub fn matches(&self, segment: usize, term: &str) -> bool {
         self.search(segment, term).1
     }
 
-    /// The present version of a segment, and whether it holds a term.
+    /// Returns the number of a segment's current version, and whether it contains a term.
     pub(super) fn search(&self, segment: usize, term: &str) -> (usize, bool) {
         let segments = self.0.lock().unwrap();
         let versions = &segments[segment];
         (versions.len(), versions.last().is_some_and(|content| content.terms.contains(term)))
     }
 
-    /// What the summaries of these segments say of a term, all at one moment.
-    pub(super) fn probe(&self, segments: &[usize], term: &str) -> Vec<Probed> {
+    /// Returns what the bloom filters of these segments report for a term, from one snapshot of the corpus.
+    pub(super) fn probe(&self, segments: &[usize], term: &str) -> Vec<ProbeResult> {
         let contents = self.0.lock().unwrap();
         let probe = |segment: &usize| {
             let versions = &contents[*segment];
             let version = versions.len();
             let previous_version = version.saturating_sub(1).max(1);
-            Probed {
+            ProbeResult {
                 version,
                 previous_version,
-                may_match: versions[version - 1].summary.may_match(term),
-                previous_may_match: versions[previous_version - 1].summary.may_match(term),
+                may_match: versions[version - 1].filter.may_match(term),
+                previous_may_match: versions[previous_version - 1].filter.may_match(term),
             }
         };
         segments.iter().map(probe).collect()
     }
 
-    /// Whether a segment held a term in each version that it had at some time in between: leaving it out then is false.
+    /// Returns whether every version of a segment that was current at some time between `from` and `to` contains a term. If so,
+    /// a query that ran in this time must not prune the segment.
     pub fn matched_throughout(&self, segment: usize, term: &str, from: Instant, to: Instant) -> bool {
         let segments = self.0.lock().unwrap();
         let versions = &segments[segment];
-        let lasted_until_from = |at: usize| versions.get(at + 1).is_none_or(|next| next.since >= from);
+        let was_current_after_from =
+            |index: usize| versions.get(index + 1).is_none_or(|next| next.since >= from);
         versions
             .iter()
             .enumerate()
-            .filter(|(at, content)| content.since <= to && lasted_until_from(*at))
+            .filter(|(index, content)| content.since <= to && was_current_after_from(*index))
             .all(|(_, content)| content.terms.contains(term))
     }
 
-    /// Segments that hold a term, and those that do not.
+    /// Splits segments into those whose current version contains a term and those whose current version does not.
     pub fn partition_by_match(&self, term: &str, segments: &[usize]) -> (Vec<usize>, Vec<usize>) {
         segments.iter().partition(|segment| self.matches(**segment, term))
     }
--- a/crates/dunepond-testkit/src/prefilter_cluster/mod.rs
+++ b/crates/dunepond-testkit/src/prefilter_cluster/mod.rs
@@ -1,4 +1,5 @@
-//! Nodes that hold text and answer the probes of the prefilter from summaries of it, and the truth that answers are held to.
+//! Test harness for the prefilter: stand-in nodes that answer its probes from bloom filters over their segments, and the true
+//! content of the segments against which tests check answers.
 
 mod corpus;
 mod node;
@@ -18,30 +19,33 @@
 pub use node::{Node, ProbeBehavior};
 pub use query::{SegmentResults, parse_answer, query_request};
 
-/// Replica groups, each of one node.
+/// Number of replica groups, each with one node.
 pub const REPLICA_GROUP_COUNT: usize = 12;
-/// Segments of the settings.
+/// Number of segments in the broker's settings.
 pub const SEGMENT_COUNT: usize = 48;
+/// Number of replica groups that hold a replica of each segment.
 const REPLICAS_PER_SEGMENT: usize = 3;
 
-/// A broker in front of one node a replica group, and what the segments truly hold.
+/// A broker process in front of one stand-in node per replica group, and the true content of the segments.
 pub struct PrefilterCluster {
-    /// The broker.
+    /// The broker process.
     pub broker: stand_ins::Broker,
-    /// Its nodes.
+    /// The nodes behind the broker, one per replica group.
     pub nodes: Vec<Node>,
-    /// What the nodes hold.
+    /// The content of all segments, which the nodes share.
     pub corpus: Arc<Corpus>,
-    /// The discovery server.
+    /// The discovery server that lists the nodes.
     pub discovery: DiscoveryServer,
-    /// The operator's file.
+    /// The operator's file that the broker reads, in KDL.
     pub operator_file: PathBuf,
 }
 
 impl PrefilterCluster {
-    /// Starts it by `program`, the testkit's own, with this text of the operator's file; `behavior` says how each node begins.
+    /// Starts the nodes and a broker that is hosted by the testkit program at `program`. `operator_kdl` is the text of the
+    /// operator's file, `search_time` the duration of each search on a node, and `behavior` the initial behavior of each node.
     ///
-    /// Without `hedging` no part is ever sent twice for being late, so that counts do not hang on the machine's speed.
+    /// Without `hedging` the broker never sends a second copy of a late part, so that counts do not depend on the speed of the
+    /// machine.
     pub fn start(
         program: &Path,
         operator_kdl: &str,
@@ -69,28 +73,28 @@
         Self { broker, nodes, corpus, discovery, operator_file }
     }
 
-    /// Parts that were searched so far.
+    /// Returns the number of parts that the nodes have searched so far.
     pub fn searches(&self) -> usize {
         self.nodes.iter().map(Node::searches).sum()
     }
 
-    /// Probes that came to nodes so far.
+    /// Returns the number of probes that the nodes have received so far.
     pub fn probes(&self) -> usize {
         self.nodes.iter().map(Node::probes).sum()
     }
 
-    /// Bytes of probes and their answers so far.
+    /// Returns the total size of the probes and their answers so far, in bytes.
     pub fn probe_bytes(&self) -> u64 {
         self.nodes.iter().map(|node| node.counters.probe_bytes.load(Ordering::Relaxed)).sum()
     }
 
-    /// How many parts ran more than once, over all nodes.
+    /// Returns the number of parts that ran more than once over all nodes.
     pub fn repeated_parts(&self) -> usize {
         let counts = self.nodes.iter().flat_map(|node| node.counters.runs.lock().unwrap().clone());
         part_runs::repeated(counts).len()
     }
 
-    /// Replaces the operator's file and has it read again.
+    /// Replaces the operator's file and makes the broker reload it (SIGHUP).
     pub fn reload_config(&self, operator_kdl: &str) {
         std::fs::write(&self.operator_file, operator_kdl).unwrap();
         self.broker.signal("HUP");
--- a/crates/dunepond-testkit/src/prefilter_cluster/node.rs
+++ b/crates/dunepond-testkit/src/prefilter_cluster/node.rs
@@ -1,4 +1,4 @@
-//! A node that answers probes from the summaries of its segments, and searches them.
+//! A stand-in node that searches its segments and answers the prefilter's probes from bloom filters over them.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -10,82 +10,83 @@
 
 use serde_json::{Value, json};
 
-use super::corpus::{Corpus, Probed};
+use super::corpus::{Corpus, ProbeResult};
 use super::{REPLICA_GROUP_COUNT, REPLICAS_PER_SEGMENT, SEGMENT_COUNT};
 use crate::frames::{self, ANSWER, PART, PROBE, PROBE_ANSWER, PROTOCOL_ERROR};
 
-/// How far from the present version [`ProbeBehavior::FutureVersion`] is.
+/// Number of versions by which the answers of [`ProbeBehavior::FutureVersion`] are ahead of the current version.
 const VERSIONS_AHEAD: usize = 5;
-/// How far from the segment that was asked about [`ProbeBehavior::OtherSegments`] is.
-const OTHER_SEGMENT_DISTANCE: usize = 7;
+/// Offset from the probed segment to the one about which [`ProbeBehavior::OtherSegments`] answers.
+const OTHER_SEGMENT_OFFSET: usize = 7;
 
-/// What a node does with the probes of the prefilter.
+/// How a node treats the probes of the prefilter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProbeBehavior {
-    /// Answers by the summaries of its segments.
+    /// Answers from the bloom filters of its segments' current versions.
     Honest,
-    /// Answers nothing.
+    /// Never answers a probe.
     Stall,
-    /// Answers honestly, so many milliseconds late.
+    /// Answers like [`ProbeBehavior::Honest`] after a delay in milliseconds.
     ReplyAfterMillis(u64),
-    /// Says of all segments that they cannot match.
+    /// Reports that no segment can match.
     DenyAll,
-    /// Says of all segments that they may match.
+    /// Reports that every segment may match.
     MatchAll,
-    /// Says of all segments that it does not know.
+    /// Reports for every segment that the result is unknown.
     UnknownAll,
-    /// Denies one segment, whatever it holds.
+    /// Reports that one segment cannot match, whatever its content, and is honest about the others.
     DenySegment(usize),
-    /// Speaks of the version before, by its number.
+    /// Reports the previous version's result under the previous version's number.
     PreviousVersion,
-    /// Says what the version before held, and that it is the present one.
+    /// Reports the previous version's result under the current version's number.
     StaleContent,
-    /// Denies all, in a version that there is not yet.
+    /// Reports that no segment can match, under the number of a version that does not exist yet.
     FutureVersion,
-    /// Does not know the letter: says so and closes.
+    /// Treats the probe's frame type as unknown: reports a protocol error and closes the connection.
     RejectProbe,
-    /// Closes the connection.
+    /// Closes the connection without an answer.
     Close,
-    /// Answers with a line that has no such form.
+    /// Answers with a line that is not in the format of a probe answer.
     Malformed,
-    /// Answers about segments that it was not asked about.
+    /// Reports that segments which the probe did not ask about cannot match.
     OtherSegments,
 }
 
+/// Counts of the probes and parts that a node received.
 #[derive(Default)]
 pub(super) struct Counters {
     probes: AtomicUsize,
     searches: AtomicUsize,
-    /// Bytes of probes and their answers.
+    /// Total size of probes and their answers, in bytes.
     pub probe_bytes: AtomicU64,
-    /// How often each part was searched.
+    /// By part id, how often the part was searched.
     pub runs: Mutex<BTreeMap<String, u32>>,
 }
 
-/// A node on loopback.
+/// A stand-in node that listens on a loopback address.
 #[derive(Clone)]
 pub struct Node {
-    /// Its place among the nodes, which says its replica group.
+    /// The node's index in the cluster, which determines its replica group.
     pub number: usize,
     address: SocketAddr,
     corpus: Arc<Corpus>,
     behavior: Arc<Mutex<ProbeBehavior>>,
-    /// One search at a time, each for so long.
+    /// Duration of a search. The lock is held during a search, so that a node runs one at a time.
     search_time: Arc<Mutex<Duration>>,
-    /// Searches are lied about too: nothing is found.
+    /// Whether searches, too, report no match, whatever the segment contains.
     pub hides_matches: Arc<Mutex<bool>>,
     pub(super) counters: Arc<Counters>,
 }
 
-/// Whether a connection goes on.
+/// What to do with a connection after a probe.
 #[derive(PartialEq)]
-enum Next {
-    Continue,
+enum ConnectionAction {
+    KeepOpen,
     Close,
 }
 
 impl Node {
-    /// Starts a node that searches one part at a time, each for so long.
+    /// Starts a node that searches one part at a time and takes `search_time` for each.
     pub fn start(
         number: usize,
         corpus: &Arc<Corpus>,
@@ -102,31 +103,33 @@
             hides_matches: Arc::default(),
             counters: Arc::default(),
         };
-        let shared = node.clone();
+        let shared_node = node.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let node = shared.clone();
+                let node = shared_node.clone();
                 thread::spawn(move || node.serve(stream));
             }
         });
         node
     }
 
+    /// Handles the frames of one connection until it ends.
     fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         loop {
             let frame = frames::read(&mut stream)?;
             let text = frame.text_lossy();
             let Some((line, term)) = text.split_once('\n') else { continue };
-            let words: Vec<_> = line.split(' ').collect();
+            let fields: Vec<_> = line.split(' ').collect();
             match frame.letter {
-                PART => self.search(&mut stream, words[0], words[1].parse().unwrap(), term)?,
+                PART => self.search(&mut stream, fields[0], fields[1].parse().unwrap(), term)?,
                 PROBE => {
                     self.counters.probes.fetch_add(1, Ordering::Relaxed);
                     self.counters.probe_bytes.fetch_add(text.len() as u64, Ordering::Relaxed);
                     let segments: Vec<usize> =
-                        words[2].split(',').map(|segment| segment.parse().unwrap()).collect();
-                    if self.answer_probe(&mut stream, words[0], &segments, term)? == Next::Close {
+                        fields[2].split(',').map(|segment| segment.parse().unwrap()).collect();
+                    if self.answer_probe(&mut stream, fields[0], &segments, term)? == ConnectionAction::Close
+                    {
                         return Ok(());
                     }
                 }
@@ -135,11 +138,12 @@
         }
     }
 
+    /// Searches a segment for a term and answers the part.
     fn search(&self, stream: &mut TcpStream, id: &str, segment: usize, term: &str) -> std::io::Result<()> {
         self.counters.searches.fetch_add(1, Ordering::Relaxed);
         *self.counters.runs.lock().unwrap().entry(id.to_string()).or_default() += 1;
         {
-            // Held while it sleeps: one search at a time.
+            // The lock is held during the sleep, so that the node runs one search at a time.
             let search_time = self.search_time.lock().unwrap();
             thread::sleep(*search_time);
         }
@@ -150,81 +154,82 @@
         stream.write_all(&frames::encode(ANSWER, &text))
     }
 
+    /// Treats a probe as the node's behavior prescribes.
     fn answer_probe(
         &self,
         stream: &mut TcpStream,
         id: &str,
         segments: &[usize],
         term: &str,
-    ) -> std::io::Result<Next> {
+    ) -> std::io::Result<ConnectionAction> {
         let behavior = *self.behavior.lock().unwrap();
         match behavior {
-            ProbeBehavior::Stall => return Ok(Next::Continue),
+            ProbeBehavior::Stall => return Ok(ConnectionAction::KeepOpen),
             ProbeBehavior::ReplyAfterMillis(delay) => thread::sleep(Duration::from_millis(delay)),
             ProbeBehavior::RejectProbe => {
                 stream.write_all(&frames::encode(PROTOCOL_ERROR, "an unknown letter"))?;
-                return Ok(Next::Close);
+                return Ok(ConnectionAction::Close);
             }
-            ProbeBehavior::Close => return Ok(Next::Close),
+            ProbeBehavior::Close => return Ok(ConnectionAction::Close),
             ProbeBehavior::Malformed => {
                 stream.write_all(&frames::encode(PROBE_ANSWER, &format!("{id}\n1 perhaps 2")))?;
-                return Ok(Next::Continue);
+                return Ok(ConnectionAction::KeepOpen);
             }
             _ => {}
         }
-        let probed = self.corpus.probe(segments, term);
+        let results = self.corpus.probe(segments, term);
         let lines =
-            segments.iter().zip(&probed).map(|(segment, probed)| probe_line(behavior, *segment, probed));
+            segments.iter().zip(&results).map(|(segment, result)| probe_line(behavior, *segment, result));
         let text = format!("{id}\n{}", lines.collect::<Vec<_>>().join("\n"));
         self.counters.probe_bytes.fetch_add(text.len() as u64, Ordering::Relaxed);
         stream.write_all(&frames::encode(PROBE_ANSWER, &text))?;
-        Ok(Next::Continue)
+        Ok(ConnectionAction::KeepOpen)
     }
 
-    /// Answers probes so from now on.
+    /// Sets how the node treats probes from now on.
     pub fn set_behavior(&self, behavior: ProbeBehavior) {
         *self.behavior.lock().unwrap() = behavior;
     }
 
-    /// Whether it has a replica of a segment.
+    /// Returns whether the node has a replica of a segment.
     pub fn holds_segment(&self, segment: usize) -> bool {
         let group = self.number % REPLICA_GROUP_COUNT;
         (0..REPLICAS_PER_SEGMENT).any(|replica| (segment + replica) % REPLICA_GROUP_COUNT == group)
     }
 
-    /// Probes that came.
+    /// Returns the number of probes received so far.
     pub fn probes(&self) -> usize {
         self.counters.probes.load(Ordering::Relaxed)
     }
 
-    /// Parts that were searched.
+    /// Returns the number of parts searched so far.
     pub fn searches(&self) -> usize {
         self.counters.searches.load(Ordering::Relaxed)
     }
 
-    /// Its entry in the list of discovery, with this health.
+    /// Returns the node's entry in the endpoint list of discovery, with this health.
     pub fn endpoint(&self, health: &str) -> Value {
         json!({"host": format!("s-{}", self.number), "dial": self.address.to_string(), "site": "a", "class": "m",
             "block": self.number % REPLICA_GROUP_COUNT, "health": health, "share": 1.0, "born_ms": 0})
     }
 }
 
-/// The line of an answer that speaks of one segment.
-fn probe_line(behavior: ProbeBehavior, segment: usize, probed: &Probed) -> String {
-    let word = |may_match: bool| if may_match { "may" } else { "no" };
-    let (present, previous) = (word(probed.may_match), word(probed.previous_may_match));
-    let version = probed.version;
+/// Returns the line of a probe answer for one segment: its number, the result and the version of its content.
+fn probe_line(behavior: ProbeBehavior, segment: usize, result: &ProbeResult) -> String {
+    let result_text = |may_match: bool| if may_match { "may" } else { "no" };
+    let (current, previous) = (result_text(result.may_match), result_text(result.previous_may_match));
+    let version = result.version;
     match behavior {
         ProbeBehavior::DenyAll => format!("{segment} no {version}"),
         ProbeBehavior::MatchAll => format!("{segment} may {version}"),
         ProbeBehavior::UnknownAll => format!("{segment} unknown {version}"),
         ProbeBehavior::DenySegment(denied) if denied == segment => format!("{segment} no {version}"),
-        ProbeBehavior::PreviousVersion => format!("{segment} {previous} {}", probed.previous_version),
+        ProbeBehavior::PreviousVersion => format!("{segment} {previous} {}", result.previous_version),
         ProbeBehavior::StaleContent => format!("{segment} {previous} {version}"),
         ProbeBehavior::FutureVersion => format!("{segment} no {}", version + VERSIONS_AHEAD),
         ProbeBehavior::OtherSegments => {
-            format!("{} no {version}", (segment + OTHER_SEGMENT_DISTANCE) % SEGMENT_COUNT)
+            format!("{} no {version}", (segment + OTHER_SEGMENT_OFFSET) % SEGMENT_COUNT)
         }
-        _ => format!("{segment} {present} {version}"),
+        _ => format!("{segment} {current} {version}"),
     }
 }
--- a/crates/dunepond-testkit/src/prefilter_cluster/query.rs
+++ b/crates/dunepond-testkit/src/prefilter_cluster/query.rs
@@ -1,4 +1,4 @@
-//! Queries for a term, and what their answers say segment by segment.
+//! Queries that search segments for a term, and the results that their answers state for each segment.
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 use super::Corpus;
 use crate::stand_ins::Answer;
 
-/// The text of a query of these segments for a term; `budget` is the time that the client gives it, in seconds.
+/// Returns the HTTP request of a query that searches these segments for a term; `budget` is its time budget, in seconds.
 pub fn query_request(query_class: &str, id: &str, segments: &[usize], budget: f64, term: &str) -> String {
     let share = 1.0 / segments.len() as f64;
     let buckets: Vec<_> = segments.iter().map(|segment| json!({"bucket": segment, "part": share})).collect();
@@ -18,22 +18,22 @@
     )
 }
 
-/// What an answer says, segment by segment.
+/// The results that an answer states for its segments.
 #[derive(Debug, Default)]
 pub struct SegmentResults {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// Whether the answer calls itself complete.
+    /// Whether the answer states that it is complete.
     pub complete: bool,
-    /// Segments that were searched.
+    /// The segments that were searched.
     pub searched: Vec<usize>,
-    /// Segments in which something was found.
+    /// The segments in which the term was found.
     pub found: Vec<usize>,
-    /// Segments that the prefilter left out.
+    /// The segments that were left out because a probe reported that they cannot match.
     pub pruned: Vec<usize>,
 }
 
-/// Reads an answer.
+/// Extracts the results for each segment from an answer.
 pub fn parse_answer(answer: &Answer) -> SegmentResults {
     let segment = |entry: &Value| entry["bucket"].as_u64().unwrap_or(u64::MAX) as usize;
     let list = |key: &str| answer.body[key].as_array().cloned().unwrap_or_default();
@@ -48,8 +48,8 @@
 }
 
 impl SegmentResults {
-    /// Whether it says complete and is not: a segment is missing, counted twice, or pruned though it matched all the while
-    /// between these times.
+    /// Returns whether the answer states that it is complete although a requested segment is missing, a segment is counted twice,
+    /// or a pruned segment contained the term throughout the time between `from` and `to`.
     pub fn is_falsely_complete(
         &self,
         corpus: &Corpus,
@@ -65,7 +65,7 @@
         covered.sort_unstable();
         let mut requested = segments.to_vec();
         requested.sort_unstable();
-        let pruned_falsely = |segment: &usize| corpus.matched_throughout(*segment, term, from, to);
-        covered != requested || self.pruned.iter().any(pruned_falsely)
+        let wrongly_pruned = |segment: &usize| corpus.matched_throughout(*segment, term, from, to);
+        covered != requested || self.pruned.iter().any(wrongly_pruned)
     }
 }
