--- a/crates/dunepond-testkit/src/restart_cluster.rs
+++ b/crates/dunepond-testkit/src/restart_cluster.rs
@@ -1,4 +1,4 @@
-//! One broker's incarnations, one after the other, in front of the same nodes and on the same folder.
+//! Test harness for broker restarts: starts successive incarnations of one broker on the same nodes and the same state folder.
 
 use std::collections::HashSet;
 use std::path::{Path, PathBuf};
@@ -9,53 +9,57 @@
 
 use crate::stand_ins::{self, Broker, DiscoveryServer, Node, NodeBehavior};
 
+/// Number of replica groups in the broker's settings.
 const REPLICA_GROUP_COUNT: usize = 12;
+/// Number of replica groups that hold a replica of each segment.
 const REPLICAS_PER_SEGMENT: usize = 4;
-/// Segments of the settings.
+/// Number of segments in the broker's settings.
 pub const SEGMENT_COUNT: usize = 48;
 
-/// The most parts and queries that the broker may hold.
+/// Maximum number of parts and queries that the broker holds at a time.
 const MAX_HELD: usize = 8000;
-/// What a query of two parts counts for in the retry budget.
-const BUDGET_PER_REQUEST: f64 = 3.0;
+/// Number of arrivals that the retry budget counts for a query of two parts: the query and each part.
+const BUDGET_PER_QUERY: f64 = 3.0;
 
-/// Nodes, discovery, and the folder that outlasts the broker.
+/// Stand-in nodes, a discovery server, and the state folder that is kept when the broker restarts.
 pub struct RestartCluster {
+    /// The testkit program, which hosts the broker.
     program: PathBuf,
-    /// Its nodes.
+    /// The nodes behind the broker.
     pub nodes: Vec<Node>,
-    /// The discovery server.
+    /// The discovery server that lists the nodes.
     pub discovery: DiscoveryServer,
-    /// The folder that outlasts the broker.
+    /// The broker's state folder, which is kept between incarnations.
     pub folder: PathBuf,
-    /// Says how the folder fails.
+    /// The file that selects the fault of the state folder's disk; see [`crate::faulty_disk`].
     pub faults_file: PathBuf,
     operator_file: PathBuf,
+    /// Start time of each node's process as discovery states it, in milliseconds since the Unix epoch.
     started_at_ms: Vec<u64>,
-    /// Changes the configuration of each broker that is started.
+    /// Adjusts the configuration of each broker before it starts.
     pub adjust_config: fn(&mut Value),
 }
 
-/// A part that came to a node.
+/// An attempt of a part, as the node received it.
 #[derive(Clone, Debug)]
 pub struct NodeAttempt {
-    /// When it came.
+    /// Time at which the node received the attempt.
     pub at: Instant,
-    /// The part's id.
+    /// Id of the part.
     pub part_id: String,
-    /// The node's place.
+    /// Index of the node in the cluster.
     pub node: usize,
 }
 
-/// Milliseconds since the Unix epoch.
+/// Returns the current time in milliseconds since the Unix epoch.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
 impl RestartCluster {
-    /// So many nodes, and no broker yet.
-    pub fn new(program: &Path, count: usize) -> Self {
-        let nodes: Vec<_> = (0..count).map(|i| Node::start(&format!("s-{i}"))).collect();
+    /// Starts `node_count` nodes and the discovery server, but no broker. `program` is the testkit program, which hosts brokers.
+    pub fn new(program: &Path, node_count: usize) -> Self {
+        let nodes: Vec<_> = (0..node_count).map(|i| Node::start(&format!("s-{i}"))).collect();
         let folder = stand_ins::scratch_path("state");
         std::fs::create_dir(&folder).unwrap();
         let mut cluster = Self {
@@ -72,7 +76,7 @@
         cluster
     }
 
-    /// The list of discovery.
+    /// Returns the current endpoint list, as discovery publishes it.
     pub fn endpoints(&self) -> Vec<Value> {
         let mut endpoints = Vec::new();
         for (index, node) in self.nodes.iter().enumerate() {
@@ -84,13 +88,15 @@
         endpoints
     }
 
-    /// Discovery says from now on that a node's process started at this time, in milliseconds since the Unix epoch.
+    /// Publishes a new start time of a node's process, in milliseconds since the Unix epoch, so that the node appears to have
+    /// restarted. The stand-in itself keeps running.
     pub fn restart_node(&mut self, node: usize, started_at_ms: u64) {
         self.started_at_ms[node] = started_at_ms;
         self.discovery.publish(self.endpoints());
     }
 
-    /// Starts an incarnation with this text of the operator's file, in which `FOLDER` stands for the folder that outlasts it.
+    /// Starts the next incarnation of the broker. `operator_kdl` is the text of the operator's file, in which each `FOLDER` is
+    /// replaced by the path of the state folder.
     pub fn start_broker(&self, operator_kdl: &str) -> Broker {
         let text = operator_kdl.replace("FOLDER", self.folder.to_str().unwrap());
         std::fs::write(&self.operator_file, text).unwrap();
@@ -109,19 +115,20 @@
         broker
     }
 
-    /// What the folder does from now on; see [`crate::faulty_disk`].
+    /// Sets the fault that the state folder's disk shows from now on; [`crate::faulty_disk`] lists the values.
     pub fn set_disk_fault(&self, fault: &str) {
-        let aside = self.faults_file.with_extension("aside");
-        std::fs::write(&aside, fault).unwrap();
-        std::fs::rename(&aside, &self.faults_file).unwrap();
+        // Written to a second file and renamed, so that the broker never reads a partly written file.
+        let temporary_file = self.faults_file.with_extension("aside");
+        std::fs::write(&temporary_file, fault).unwrap();
+        std::fs::rename(&temporary_file, &self.faults_file).unwrap();
     }
 
-    /// Every `n`th node behaves so.
+    /// Sets the behavior of every `n`th node, from the first node on.
     pub fn set_behavior_of_every(&self, n: usize, behavior: NodeBehavior) {
         self.nodes.iter().step_by(n).for_each(|node| node.set_behavior(behavior));
     }
 
-    /// All parts that came to nodes, in their order.
+    /// Returns all attempts that the nodes received, in order of arrival.
     pub fn attempts(&self) -> Vec<NodeAttempt> {
         let mut attempts = Vec::new();
         for (node, stand_in) in self.nodes.iter().enumerate() {
@@ -132,9 +139,11 @@
         attempts
     }
 
-    /// The least by which the retry budget was kept in any window that ends with a retry; below 0 it was broken.
+    /// Returns the smallest number of retries that the retry budget still allowed in any window that ends with a retry. A
+    /// negative result means that the broker exceeded the budget.
     ///
-    /// `min_retries` and `ratio` are as in the settings; `request_times` are the times at which queries of two parts were sent.
+    /// `min_retries`, `ratio` and `window_seconds` are those of the broker's settings. `request_times` are the times at which
+    /// queries were sent, each of two parts. Every attempt of a part after its first counts as a retry.
     pub fn retry_budget_margin(
         &self,
         request_times: &[Instant],
@@ -142,19 +151,19 @@
         ratio: f64,
         window_seconds: f64,
     ) -> f64 {
-        let (mut seen, mut retries, mut least) = (HashSet::new(), Vec::new(), min_retries);
+        let (mut seen_parts, mut retries, mut smallest_margin) = (HashSet::new(), Vec::new(), min_retries);
         for attempt in self.attempts() {
-            if seen.insert(attempt.part_id) {
+            if seen_parts.insert(attempt.part_id) {
                 continue;
             }
             let at = attempt.at;
             retries.push(at);
-            let in_window = |then: &&Instant| **then <= at && (at - **then).as_secs_f64() <= window_seconds;
+            let in_window = |time: &&Instant| **time <= at && (at - **time).as_secs_f64() <= window_seconds;
             let spent = retries.iter().filter(in_window).count() as f64;
-            let earned = BUDGET_PER_REQUEST * request_times.iter().filter(in_window).count() as f64;
-            least = least.min(min_retries + ratio * earned - spent);
+            let earned = BUDGET_PER_QUERY * request_times.iter().filter(in_window).count() as f64;
+            smallest_margin = smallest_margin.min(min_retries + ratio * earned - spent);
         }
-        least
+        smallest_margin
     }
 }
 
--- a/crates/dunepond-testkit/src/search_cluster/documents.rs
+++ b/crates/dunepond-testkit/src/search_cluster/documents.rs
@@ -1,22 +1,22 @@
-//! The documents of each segment and a node's answer to a search of one.
+//! The documents of each segment, and a stand-in node's response to a search of one segment.
 
 use serde_json::{Value, json};
 
 use super::SearchNodeBehavior;
 
-/// Segments of the settings.
+/// Number of segments in the broker's settings.
 pub const SEGMENT_COUNT: usize = 6;
-/// Documents of each segment.
+/// Number of documents in each segment.
 pub const DOCUMENTS_PER_SEGMENT: usize = 5;
-/// Hits that are returned where a search names no size.
+/// Number of hits that are returned if a search does not state a `size`.
 const DEFAULT_SIZE: u64 = 10;
 
-/// How well a document matches: no two alike, and the best of each segment spread over all ranks.
+/// Returns the score of a document. All scores differ, and the best documents of each segment are spread over all ranks.
 pub fn score(segment: usize, document: usize) -> f64 {
     ((segment * 7 + document * 13) % 31) as f64 + segment as f64 / 100.0
 }
 
-/// The ids of all documents, the best first.
+/// Returns the ids of all documents, in descending order of score.
 pub fn ranked_documents() -> Vec<String> {
     let mut documents = Vec::new();
     for segment in 0..SEGMENT_COUNT {
@@ -28,7 +28,8 @@
     documents.into_iter().map(|(_, id)| id).collect()
 }
 
-/// A node's document: hits as they were asked for, and beside them what an update answers.
+/// Returns a node's JSON response to a search of one segment: the requested hits, and also the fields that an update by query
+/// returns, so that one response serves both. `behavior` may spoil the response.
 pub(super) fn search_response(segment: usize, request: &str, behavior: SearchNodeBehavior) -> String {
     let request: Value = serde_json::from_str(request).unwrap_or(Value::Null);
     let sorted = request.get("sort").is_some();
@@ -58,13 +59,13 @@
     text
 }
 
-/// Scores and numbers of the documents to be returned, in their order.
+/// Returns the score and the number of each document to return, in the requested order.
 fn scored_hits(segment: usize, request: &Value, behavior: SearchNodeBehavior) -> Vec<(f64, usize)> {
     let size = request["size"].as_u64().unwrap_or(DEFAULT_SIZE) as usize;
     let mut hits: Vec<_> =
         (0..DOCUMENTS_PER_SEGMENT).map(|document| (score(segment, document), document)).collect();
     hits.sort_by(|a, b| b.0.total_cmp(&a.0));
-    // The one order that is asked for beside the usual is the other way round.
+    // The only sort order that tests request is ascending by score.
     if request.get("sort").is_some() {
         hits.reverse();
     }
--- a/crates/dunepond-testkit/src/search_cluster/node.rs
+++ b/crates/dunepond-testkit/src/search_cluster/node.rs
@@ -1,4 +1,4 @@
-//! A node that answers searches in frames or over HTTP, or misbehaves as it is told.
+//! A stand-in node that answers searches in frames or over HTTP, with configurable faults.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Write};
@@ -11,74 +11,76 @@
 use super::documents::search_response;
 use crate::frames::{self, ANSWER, PART};
 
-/// Nodes that speak the API stand at this address, others at 127.0.0.1: by that the broker tells them apart.
+/// Listen address of nodes that use the search API. The broker recognizes them by the IP address, which its `search-nodes`
+/// setting names.
 const API_ADDRESS: &str = "127.0.0.2:0";
+/// Listen address of nodes that use frames.
 const FRAMES_ADDRESS: &str = "127.0.0.1:0";
 
-/// What a node does with the parts that it is sent.
+/// How a node treats the parts that a broker sends to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SearchNodeBehavior {
     /// Answers each part.
     Serve,
-    /// Answers nothing.
+    /// Never answers.
     Hang,
-    /// Answers the even segments alone.
+    /// Answers parts of even-numbered segments and never those of odd-numbered ones.
     HangOddSegments,
-    /// Says that the part failed.
+    /// Reports that the part failed.
     Fault,
-    /// Rejects the part as overloaded; it does not run.
+    /// Rejects the part as overloaded, without running it.
     Refuse,
-    /// Closes, the whole frame read.
+    /// Closes the connection after reading the whole part, without an answer.
     Close,
-    /// Closes in the middle of an answer's head.
+    /// Over the search API, closes the connection in the middle of a response's header; in frames, without an answer.
     CloseInHeader,
-    /// Closes behind each answer, without having said so.
+    /// Over the search API, closes the connection after each response without announcing it.
     CloseAfterReply,
-    /// States no length in the API: its answer ends with the connection.
+    /// Over the search API, sends a response without a length and ends it by closing the connection.
     NoContentLength,
-    /// Sends half of a document.
+    /// Sends only the first half of the JSON response.
     TruncatedDocument,
-    /// Names another index in its hits.
+    /// Names a different index in its hits.
     WrongIndex,
-    /// Returns one hit more than was asked for.
+    /// Returns one hit more than requested.
     TooManyHits,
-    /// Says that it ran out of time.
+    /// Reports that the search timed out.
     TimedOut,
-    /// Says that it has found fewer than it names.
+    /// Reports a total of zero matches together with its hits.
     WrongTotal,
 }
 
-/// What a node speaks.
+/// The protocol in which a node receives parts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeProtocol {
-    /// The broker's own frames.
+    /// The broker's own frame protocol.
     Frames,
     /// The search API over HTTP.
     Api,
 }
 
-/// A node on loopback.
+/// A stand-in node that listens on a loopback address.
 #[derive(Clone)]
 pub struct Node {
     name: String,
     address: SocketAddr,
     behavior: Arc<Mutex<SearchNodeBehavior>>,
-    /// How often each part ran.
+    /// By part id, how often the part ran.
     pub(super) runs: Arc<Mutex<HashMap<String, u32>>>,
 }
 
-/// What a node does about one part.
-enum Reaction {
-    Nothing,
+/// What a node does with one part.
+enum PartAction {
+    Ignore,
     Fault,
     Refuse,
     Close,
     CloseInHeader,
-    /// Answers with what was found.
+    /// Answers with the hits of the search.
     Serve,
 }
 
-/// A request of the API as far as a node looks at it.
+/// The properties of a search API request that a node uses.
 struct ApiRequest {
     id: String,
     segment: usize,
@@ -86,7 +88,7 @@
 }
 
 impl Node {
-    /// Starts a node that serves.
+    /// Starts a node with this name in discovery that answers each part.
     pub fn start(name: &str, protocol: NodeProtocol) -> Self {
         let address = match protocol {
             NodeProtocol::Api => API_ADDRESS,
@@ -99,10 +101,10 @@
             behavior: Arc::new(Mutex::new(SearchNodeBehavior::Serve)),
             runs: Arc::default(),
         };
-        let shared = node.clone();
+        let shared_node = node.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let node = shared.clone();
+                let node = shared_node.clone();
                 thread::spawn(move || match protocol {
                     NodeProtocol::Api => node.serve_api(stream),
                     NodeProtocol::Frames => node.serve_frames(stream),
@@ -112,24 +114,26 @@
         node
     }
 
-    /// How it behaves now, and what that means for a part, which is counted as run unless it is rejected.
-    fn react(&self, id: &str, segment: usize) -> (SearchNodeBehavior, Reaction) {
+    /// Returns the node's current behavior and the action that follows from it for a part. Counts the part as run unless it is
+    /// rejected as overloaded.
+    fn decide(&self, id: &str, segment: usize) -> (SearchNodeBehavior, PartAction) {
         let behavior = *self.behavior.lock().unwrap();
         if behavior != SearchNodeBehavior::Refuse {
             *self.runs.lock().unwrap().entry(id.to_string()).or_default() += 1;
         }
-        let reaction = match behavior {
-            SearchNodeBehavior::Hang => Reaction::Nothing,
-            SearchNodeBehavior::HangOddSegments if segment % 2 == 1 => Reaction::Nothing,
-            SearchNodeBehavior::Fault => Reaction::Fault,
-            SearchNodeBehavior::Refuse => Reaction::Refuse,
-            SearchNodeBehavior::Close => Reaction::Close,
-            SearchNodeBehavior::CloseInHeader => Reaction::CloseInHeader,
-            _ => Reaction::Serve,
+        let action = match behavior {
+            SearchNodeBehavior::Hang => PartAction::Ignore,
+            SearchNodeBehavior::HangOddSegments if segment % 2 == 1 => PartAction::Ignore,
+            SearchNodeBehavior::Fault => PartAction::Fault,
+            SearchNodeBehavior::Refuse => PartAction::Refuse,
+            SearchNodeBehavior::Close => PartAction::Close,
+            SearchNodeBehavior::CloseInHeader => PartAction::CloseInHeader,
+            _ => PartAction::Serve,
         };
-        (behavior, reaction)
+        (behavior, action)
     }
 
+    /// Handles the frames of one connection until it ends.
     fn serve_frames(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         loop {
@@ -139,15 +143,15 @@
             }
             let text = frame.text_lossy();
             let (line, request) = text.split_once('\n').unwrap();
-            let words: Vec<_> = line.split(' ').collect();
-            let (id, segment) = (words[0], words[1].parse::<usize>().unwrap());
-            let (behavior, reaction) = self.react(id, segment);
-            let answer = match reaction {
-                Reaction::Nothing => continue,
-                Reaction::Close | Reaction::CloseInHeader => return Ok(()),
-                Reaction::Fault => format!("{id} fault 0 -\n"),
-                Reaction::Refuse => format!("{id} overload 0 -\n"),
-                Reaction::Serve => {
+            let fields: Vec<_> = line.split(' ').collect();
+            let (id, segment) = (fields[0], fields[1].parse::<usize>().unwrap());
+            let (behavior, action) = self.decide(id, segment);
+            let answer = match action {
+                PartAction::Ignore => continue,
+                PartAction::Close | PartAction::CloseInHeader => return Ok(()),
+                PartAction::Fault => format!("{id} fault 0 -\n"),
+                PartAction::Refuse => format!("{id} overload 0 -\n"),
+                PartAction::Serve => {
                     format!("{id} hit 1 -\n{}", search_response(segment, request, behavior))
                 }
             };
@@ -155,26 +159,28 @@
         }
     }
 
+    /// Handles the HTTP requests of one connection until it ends.
     fn serve_api(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut out = stream.try_clone()?;
         let mut reader = BufReader::new(stream);
         while let Some(request) = read_api_request(&mut reader)? {
-            let (behavior, reaction) = self.react(&request.id, request.segment);
-            match reaction {
-                Reaction::Nothing => {}
-                Reaction::Close => return Ok(()),
-                Reaction::CloseInHeader => return out.write_all(b"HTTP/1.1 200 OK\r\nContent-Le"),
-                Reaction::Fault => {
+            let (behavior, action) = self.decide(&request.id, request.segment);
+            match action {
+                PartAction::Ignore => {}
+                PartAction::Close => return Ok(()),
+                PartAction::CloseInHeader => return out.write_all(b"HTTP/1.1 200 OK\r\nContent-Le"),
+                PartAction::Fault => {
                     out.write_all(api_error(500, "search_phase_execution_exception").as_bytes())?;
                 }
-                Reaction::Refuse => {
+                PartAction::Refuse => {
                     out.write_all(api_error(429, "rejected_execution_exception").as_bytes())?;
                 }
-                Reaction::Serve => {
+                PartAction::Serve => {
                     out.write_all(api_answer(&request, behavior).as_bytes())?;
-                    let closes = [SearchNodeBehavior::CloseAfterReply, SearchNodeBehavior::NoContentLength];
-                    if closes.contains(&behavior) {
+                    let closing_behaviors =
+                        [SearchNodeBehavior::CloseAfterReply, SearchNodeBehavior::NoContentLength];
+                    if closing_behaviors.contains(&behavior) {
                         return Ok(());
                     }
                 }
@@ -183,45 +189,51 @@
         Ok(())
     }
 
-    /// How many parts it ran, each as often as it did.
+    /// Returns the total number of part runs on this node; a part that ran twice counts twice.
     pub fn runs(&self) -> u32 {
         self.runs.lock().unwrap().values().sum()
     }
 
-    /// Behaves so from now on, also on connections that are open.
+    /// Sets the behavior from now on, also on open connections.
     pub fn set_behavior(&self, behavior: SearchNodeBehavior) {
         *self.behavior.lock().unwrap() = behavior;
     }
 
+    /// Returns the node's entry in the endpoint list of discovery.
     pub(super) fn endpoint(&self) -> Value {
         json!({"host": self.name, "dial": self.address.to_string(), "site": "a", "class": "m", "block": 0,
             "health": "ready", "share": 1.0, "born_ms": 0})
     }
 }
 
-/// The next request; `None` where the connection has ended. Which segment is asked for stands in the target.
+/// Reads the next request, or returns `None` if the connection has ended. The segment is taken from the `_shards:` preference
+/// in the request target.
 fn read_api_request(reader: &mut impl BufRead) -> io::Result<Option<ApiRequest>> {
-    let mut head = String::new();
-    while !head.ends_with("\r\n\r\n") {
-        if reader.read_line(&mut head)? == 0 {
+    let mut header = String::new();
+    while !header.ends_with("\r\n\r\n") {
+        if reader.read_line(&mut header)? == 0 {
             return Ok(None);
         }
     }
-    let after = |name: &str| head.split_once(name).and_then(|(_, rest)| rest.split(['\r', '&', ' ']).next());
-    let length = after("Content-Length: ").and_then(|length| length.parse().ok()).unwrap_or(0);
-    let id = after("X-Opaque-Id: ").unwrap().to_string();
-    let segment = after("_shards:").unwrap().parse().unwrap();
+    let value_after =
+        |name: &str| header.split_once(name).and_then(|(_, rest)| rest.split(['\r', '&', ' ']).next());
+    let length = value_after("Content-Length: ").and_then(|length| length.parse().ok()).unwrap_or(0);
+    let id = value_after("X-Opaque-Id: ").unwrap().to_string();
+    let segment = value_after("_shards:").unwrap().parse().unwrap();
     let mut body = vec![0; length];
     reader.read_exact(&mut body)?;
     Ok(Some(ApiRequest { id, segment, body: String::from_utf8_lossy(&body).into_owned() }))
 }
 
-fn api_error(status: u16, kind: &str) -> String {
-    let body = json!({"error": {"type": kind, "reason": "as it was told"}, "status": status}).to_string();
+/// Returns an HTTP error response of the search API with this exception type.
+fn api_error(status: u16, exception_type: &str) -> String {
+    let body =
+        json!({"error": {"type": exception_type, "reason": "as it was told"}, "status": status}).to_string();
     format!("HTTP/1.1 {status} No\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// An answer with what was found: in chunks where the segment's number is odd, so that both forms of a body come.
+/// Returns the HTTP response to a search. It is chunked if the segment's number is odd, so that tests cover both encodings of a
+/// body.
 fn api_answer(request: &ApiRequest, behavior: SearchNodeBehavior) -> String {
     let document = search_response(request.segment, &request.body, behavior);
     if behavior == SearchNodeBehavior::NoContentLength {
