--- a/crates/dunepond-testkit/src/stand_ins/client.rs
+++ b/crates/dunepond-testkit/src/stand_ins/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection, its requests and their answers.
+//! A client that sends HTTP requests to a broker and reads the answers.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,28 +7,28 @@
 
 use super::{Broker, WAIT_TIMEOUT};
 
-/// An HTTP answer.
+/// An HTTP response.
 #[derive(Debug)]
 pub struct Answer {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// Status line and header fields, with the empty line that ends them.
+    /// The status line and the header fields, with the empty line that ends them.
     pub head: String,
-    /// The body; null where it is not JSON.
+    /// The body as JSON, or null if it is not JSON.
     pub body: Value,
 }
 
-/// A client's connection.
+/// A client with one connection.
 pub struct Client {
-    /// The connection, for what goes past requests and answers.
+    /// The underlying connection, for tests that read, write or close it directly.
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
-/// The text of a query of these shards; `budget` is the time that the client gives it, in seconds.
+/// Returns the HTTP request of a query of these shards, with equal shares; `budget` is its time budget, in seconds.
 pub fn query_request(query_class: &str, id: &str, shards: &[usize], budget: &str) -> String {
-    let part = 1.0 / shards.len() as f64;
-    let buckets: Vec<_> = shards.iter().map(|s| json!({"bucket": s, "part": part})).collect();
+    let share = 1.0 / shards.len() as f64;
+    let buckets: Vec<_> = shards.iter().map(|shard| json!({"bucket": shard, "part": share})).collect();
     let body = json!({"buckets": buckets, "body": "q1"}).to_string();
     format!(
         "POST /{query_class} HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: {id}\r\nX-Call-Class: {query_class}\r\n\
@@ -41,7 +41,7 @@
     /// Connects to a broker's client address.
     ///
     /// # Panics
-    /// Where nobody accepts.
+    /// If the connection fails.
     pub fn connect(broker: &Broker) -> Self {
         Self::connect_to(broker.address)
     }
@@ -49,7 +49,7 @@
     /// Connects to an address.
     ///
     /// # Panics
-    /// Where nobody accepts.
+    /// If the connection fails.
     pub fn connect_to(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
@@ -57,35 +57,38 @@
         Self::from_stream(stream)
     }
 
-    /// A client on a connection that is there, with the timeouts it has.
+    /// Creates a client on an open connection and leaves its timeouts unchanged.
     pub fn from_stream(stream: TcpStream) -> Self {
         Self { reader: BufReader::new(stream.try_clone().unwrap()), stream }
     }
 
-    /// Sends without waiting for an answer.
+    /// Sends a request without waiting for the answer.
     ///
     /// # Panics
-    /// Where the connection has ended.
+    /// If the request cannot be written.
     pub fn send(&mut self, request: &str) {
         self.stream.write_all(request.as_bytes()).unwrap();
     }
 
-    /// Sends and waits for the answer; `None` where the connection ends first.
+    /// Sends a request and waits for the answer; `None` if the connection ends first or the read times out.
     pub fn try_request(&mut self, request: &str) -> Option<Answer> {
         self.stream.write_all(request.as_bytes()).ok()?;
         self.read_answer()
     }
 
-    /// Sends and waits for the answer.
+    /// Sends a request and waits for the answer.
     ///
     /// # Panics
-    /// Where the connection ends first.
+    /// If the connection ends first or the read times out.
     pub fn request(&mut self, request: &str) -> Answer {
         self.send(request);
-        self.read_answer().expect("an answer")
+        self.read_answer().expect("expected an answer, but the connection ended or the read timed out")
     }
 
-    /// The next answer; `None` where the connection ends first.
+    /// Reads the next answer; `None` if the connection ends first or the read times out.
+    ///
+    /// # Panics
+    /// If the answer has no valid `Content-Length` or status code.
     pub fn read_answer(&mut self) -> Option<Answer> {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
--- a/crates/dunepond-testkit/src/stand_ins/config.rs
+++ b/crates/dunepond-testkit/src/stand_ins/config.rs
@@ -1,24 +1,24 @@
-//! Settings and configuration of a small deployment.
+//! Default settings and broker configuration for tests: a small deployment with one replica group.
 
 use std::net::SocketAddr;
 
 use serde_json::{Value, json};
 
-/// The connection timeout of the settings, in milliseconds.
+/// Connection timeout in the settings, in milliseconds.
 const CONNECT_TIMEOUT_MS: f64 = 250.0;
-/// The latency objective that [`set_timeouts`] gives, as a share of the query timeout.
+/// Ratio of the latency objective to the query timeout in [`set_timeouts`].
 const OBJECTIVE_RATIO: f64 = 0.6;
 
-/// Settings with one replica group, so that every node holds every shard: a query class that is idempotent, `find`, and one that
-/// is not, `fix`.
+/// Returns settings with one replica group, so that every node holds every shard, and two query classes: `find` is idempotent,
+/// `fix` is not.
 pub fn settings() -> Value {
-    let service = |name: &str, semantics: &str| {
+    let query_class = |name: &str, semantics: &str| {
         json!({"name": name, "semantics": semantics, "aimMs": 400.0, "deadlineMs": 3000.0, "value": 1.0,
             "lateWorth": 0.5, "repeatWindowMs": 0.0, "group": "all", "stream": false})
     };
     json!({
         "balancers": 1, "countedBy": "request", "projects": [], "tickMs": 5.0, "zones": ["a", "b"],
-        "services": [service("find", "pure"), service("fix", "side_effect")],
+        "services": [query_class("find", "pure"), query_class("fix", "side_effect")],
         "familyInfo": {"cells": 1, "span": 1, "slabs": 6, "partsACall": 1, "leastShare": [0.5, 1.0],
             "wholeAt": [1.0, 1.0], "secondStep": [0, 0]},
         "ceilings": {"attemptsCap": 4, "cancel": true, "connectTimeoutMs": CONNECT_TIMEOUT_MS,
@@ -29,14 +29,14 @@
     })
 }
 
-/// A broker's configuration: [`settings`], the discovery server's address, and the endpoints that are known at the start.
+/// Returns a broker configuration with [`settings`], the discovery server's address, and the endpoints known at startup.
 pub fn config(discovery: SocketAddr, known: Vec<Value>) -> Value {
     json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "5e6f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"seq": 1, "whole": true, "hosts": known}, "settings": settings(), "log": "debug"})
 }
 
-/// Gives all query classes this query timeout, in milliseconds, and a latency objective that goes with it.
+/// Sets the query timeout of all query classes, in milliseconds, and their latency objective to 60 % of it.
 pub fn set_timeouts(config: &mut Value, timeout_ms: f64) {
     for service in config["settings"]["services"].as_array_mut().into_iter().flatten() {
         service["deadlineMs"] = json!(timeout_ms);
--- a/crates/dunepond-testkit/src/stand_ins/mod.rs
+++ b/crates/dunepond-testkit/src/stand_ins/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for a broker's peers: nodes, a discovery server and clients; and the broker itself as a process.
+//! Stand-ins for a broker's peers (nodes, a discovery server and clients), and the broker itself as a process.
 
 mod broker;
 mod client;
@@ -14,5 +14,5 @@
 pub use discovery::DiscoveryServer;
 pub use node::{Node, NodeBehavior};
 
-/// Longest that a stand-in waits for an event that must come.
+/// Maximum time that a stand-in waits for an expected event.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/dunepond-testkit/src/stand_ins/node.rs
+++ b/crates/dunepond-testkit/src/stand_ins/node.rs
@@ -1,4 +1,4 @@
-//! A node that answers the parts of queries, or misbehaves as it is told, and records what came to it.
+//! A stand-in node that answers the parts of queries, with configurable faults, and records the frames it received.
 
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,70 +11,75 @@
 use super::WAIT_TIMEOUT;
 use crate::frames::{self, ANSWER, PART, PROTOCOL_ERROR};
 
-/// How long [`NodeBehavior::SlowForShard`] takes over a part.
+/// Delay of the answers of [`NodeBehavior::SlowForShard`].
 const SLOW_SHARD_DELAY: Duration = Duration::from_millis(250);
-/// The bytes of an answer that [`NodeBehavior::CloseMidFrame`] sends.
-const TORN_ANSWER_BYTES: usize = 9;
-/// A letter that no frame has.
-const UNKNOWN_LETTER: u8 = b'X';
+/// Number of bytes of an answer's frame that [`NodeBehavior::CloseMidFrame`] sends.
+const PARTIAL_ANSWER_BYTES: usize = 9;
+/// A frame type that the protocol does not define.
+const UNKNOWN_FRAME_TYPE: u8 = b'X';
 
-/// What a node does with the parts that it is sent.
+/// How a node treats the parts that a broker sends to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeBehavior {
     /// Answers each part at once.
     Serve,
-    /// Answers nothing.
+    /// Never answers.
     Hang,
-    /// Its first connection stays open and silent for good; the others serve.
+    /// Never answers on the first connection, which stays open; serves on the others.
     HangFirst,
-    /// Takes the parts of this shard and answers none of them.
+    /// Never answers parts of this shard; serves the others.
     HangForShard(usize),
-    /// Takes a quarter of a second over the parts of this shard.
+    /// Answers parts of this shard after a quarter of a second, and reads nothing else on the connection meanwhile; serves the
+    /// others at once.
     SlowForShard(usize),
-    /// Serves each part so many milliseconds after it came, however many are there.
+    /// Answers each part after a delay in milliseconds, however many parts are in flight.
     DelayMillis(u64),
-    /// Sends the half of an answer and breaks the connection.
+    /// Sends the first bytes of an answer's frame and closes the connection.
     CloseMidFrame,
-    /// Answers with this status word and no value.
+    /// Answers with this status and no value.
     ReplyStatus(&'static str),
-    /// Of so many parts the last fails, the others are served.
+    /// Of each run of this many parts, reports that the last one failed; serves the others.
     FailEveryNth(usize),
-    /// Answers with a frame that says it could not use the last one.
+    /// Answers with a frame that reports a protocol error.
     ReportProtocolError,
-    /// Answers with a frame of a letter that there is not.
+    /// Answers with a frame whose type the protocol does not define.
     UnknownFrame,
-    /// Answers, and sends this right behind.
+    /// Answers, and sends these bytes directly after the answer.
     ServeThenRaw(&'static [u8]),
-    /// Answers, with this in place of the line's words behind the id.
+    /// Answers, with this text in place of the fields that follow the id in the answer's first line.
     ServeWithHead(&'static str),
-    /// Answers with this, whatever it is.
+    /// Sends these bytes unchanged in place of an answer.
     ReplyRaw(&'static [u8]),
-    /// Sends an answer that nobody waits for before the one that is asked.
+    /// Sends an answer to a part that the broker is not waiting for, and then the requested answer.
     ServeAfterStaleReply,
 }
 
+/// The frames and connections that a node has seen.
 #[derive(Default)]
-struct Record {
+struct NodeRecord {
+    /// Type and content of each frame, in order of arrival.
     frames: Vec<(char, String)>,
-    /// When each part came, and its id.
+    /// Arrival time and id of each part.
     part_arrivals: Vec<(Instant, String)>,
+    /// Number of connections accepted.
     connections: usize,
+    /// Number of connections that have ended.
     closed: usize,
 }
 
-type SharedRecord = (Mutex<Record>, Condvar);
+type SharedRecord = (Mutex<NodeRecord>, Condvar);
 
-/// A node on loopback.
+/// A stand-in node that listens on a loopback address.
 pub struct Node {
-    /// Its name in discovery.
+    /// The node's name in discovery.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the node listens.
     pub address: SocketAddr,
     behavior: Arc<Mutex<NodeBehavior>>,
     record: Arc<SharedRecord>,
 }
 
-/// A part as its frame states it.
+/// A part, parsed from the content of its frame.
 struct Part<'a> {
     id: &'a str,
     shard: Option<&'a str>,
@@ -82,77 +87,85 @@
 }
 
 impl<'a> Part<'a> {
+    /// Parses a part; `None` if the text is not in the format of a part.
     fn parse(text: &'a str) -> Option<Self> {
         let (line, value) = text.split_once('\n')?;
-        let mut words = line.split(' ');
-        Some(Self { id: words.next()?, shard: words.next(), value })
+        let mut fields = line.split(' ');
+        Some(Self { id: fields.next()?, shard: fields.next(), value })
     }
 
-    fn is_of(&self, shard: usize) -> bool {
+    /// Returns whether the part covers this shard.
+    fn is_for_shard(&self, shard: usize) -> bool {
         self.shard == Some(&shard.to_string())
     }
 
+    /// Returns the frame of a successful answer, whose value is the part's with the prefix `v-`.
     fn answer(&self) -> Vec<u8> {
         self.answer_with_head("hit 7 -")
     }
 
-    fn answer_with_head(&self, words: &str) -> Vec<u8> {
-        frames::encode(ANSWER, &format!("{} {words}\nv-{}", self.id, self.value))
+    /// Returns the frame of an answer with this text after the id in its first line.
+    fn answer_with_head(&self, fields: &str) -> Vec<u8> {
+        frames::encode(ANSWER, &format!("{} {fields}\nv-{}", self.id, self.value))
     }
 
+    /// Returns the frame of an answer with this status and no value.
     fn answer_without_value(&self, status: &str) -> Vec<u8> {
         frames::encode(ANSWER, &format!("{} {status} 7 -\n", self.id))
     }
 }
 
-/// What a node does about one part.
-enum Reaction {
-    Nothing,
+/// What a node does with one part.
+enum PartAction {
+    Ignore,
     Send(Vec<u8>),
-    /// Reads and answers nothing else meanwhile.
+    /// Sends after a delay, and reads and answers nothing else on the connection meanwhile.
     SendAfterPause(Duration, Vec<u8>),
-    /// Goes on with other parts meanwhile.
+    /// Sends after a delay, and handles other parts meanwhile.
     SendLater(Duration, Vec<u8>),
     SendAndClose(Vec<u8>),
 }
 
-/// `connection` and `part_number` count from 1.
-fn react(behavior: NodeBehavior, part: &Part, connection: usize, part_number: usize) -> Reaction {
+/// Returns what a node with this behavior does with a part. `connection` is the connection's number and `part_number` the number
+/// of the part among all that the node received; both count from 1.
+fn action_for(behavior: NodeBehavior, part: &Part, connection: usize, part_number: usize) -> PartAction {
     match behavior {
-        NodeBehavior::Hang => Reaction::Nothing,
-        NodeBehavior::HangFirst if connection == 1 => Reaction::Nothing,
-        NodeBehavior::HangForShard(shard) if part.is_of(shard) => Reaction::Nothing,
-        NodeBehavior::SlowForShard(shard) if part.is_of(shard) => {
-            Reaction::SendAfterPause(SLOW_SHARD_DELAY, part.answer())
+        NodeBehavior::Hang => PartAction::Ignore,
+        NodeBehavior::HangFirst if connection == 1 => PartAction::Ignore,
+        NodeBehavior::HangForShard(shard) if part.is_for_shard(shard) => PartAction::Ignore,
+        NodeBehavior::SlowForShard(shard) if part.is_for_shard(shard) => {
+            PartAction::SendAfterPause(SLOW_SHARD_DELAY, part.answer())
+        }
+        NodeBehavior::DelayMillis(delay) => {
+            PartAction::SendLater(Duration::from_millis(delay), part.answer())
         }
-        NodeBehavior::DelayMillis(delay) => Reaction::SendLater(Duration::from_millis(delay), part.answer()),
         NodeBehavior::FailEveryNth(count) if part_number.is_multiple_of(count) => {
-            Reaction::Send(part.answer_without_value("fault"))
+            PartAction::Send(part.answer_without_value("fault"))
         }
         NodeBehavior::Serve
         | NodeBehavior::HangFirst
         | NodeBehavior::HangForShard(_)
         | NodeBehavior::SlowForShard(_)
-        | NodeBehavior::FailEveryNth(_) => Reaction::Send(part.answer()),
-        NodeBehavior::ReplyStatus(status) => Reaction::Send(part.answer_without_value(status)),
-        NodeBehavior::ReportProtocolError => Reaction::Send(frames::encode(PROTOCOL_ERROR, "what is this")),
-        NodeBehavior::UnknownFrame => Reaction::Send(frames::encode(UNKNOWN_LETTER, "?")),
-        NodeBehavior::ServeThenRaw(more) => Reaction::Send([&part.answer(), more].concat()),
-        NodeBehavior::ServeWithHead(words) => Reaction::Send(part.answer_with_head(words)),
-        NodeBehavior::ReplyRaw(bytes) => Reaction::Send(bytes.to_vec()),
+        | NodeBehavior::FailEveryNth(_) => PartAction::Send(part.answer()),
+        NodeBehavior::ReplyStatus(status) => PartAction::Send(part.answer_without_value(status)),
+        NodeBehavior::ReportProtocolError => PartAction::Send(frames::encode(PROTOCOL_ERROR, "what is this")),
+        NodeBehavior::UnknownFrame => PartAction::Send(frames::encode(UNKNOWN_FRAME_TYPE, "?")),
+        NodeBehavior::ServeThenRaw(bytes) => PartAction::Send([&part.answer(), bytes].concat()),
+        NodeBehavior::ServeWithHead(fields) => PartAction::Send(part.answer_with_head(fields)),
+        NodeBehavior::ReplyRaw(bytes) => PartAction::Send(bytes.to_vec()),
         NodeBehavior::ServeAfterStaleReply => {
             let stale = frames::encode(ANSWER, "c1.2 hit 7 -\nold");
-            Reaction::Send([stale, part.answer()].concat())
+            PartAction::Send([stale, part.answer()].concat())
         }
         NodeBehavior::CloseMidFrame => {
-            let whole = frames::encode(ANSWER, &format!("{} hit 7 -\nv", part.id));
-            Reaction::SendAndClose(whole[..TORN_ANSWER_BYTES].to_vec())
+            let answer = frames::encode(ANSWER, &format!("{} hit 7 -\nv", part.id));
+            PartAction::SendAndClose(answer[..PARTIAL_ANSWER_BYTES].to_vec())
         }
     }
 }
 
 impl Node {
-    /// Starts a node that serves.
+    /// Starts a node with this name in discovery that answers each part at once.
     pub fn start(name: &str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let node = Self {
@@ -180,6 +193,7 @@
         node
     }
 
+    /// Handles the frames of one connection until it ends. `connection` is its number, counted from 1.
     fn serve(
         mut stream: TcpStream,
         connection: usize,
@@ -202,72 +216,77 @@
                 record.part_arrivals.len()
             };
             let behavior = *behavior.lock().unwrap();
-            match react(behavior, &part, connection, part_number) {
-                Reaction::Nothing => {}
-                Reaction::Send(bytes) => stream.write_all(&bytes)?,
-                Reaction::SendAfterPause(pause, bytes) => {
+            match action_for(behavior, &part, connection, part_number) {
+                PartAction::Ignore => {}
+                PartAction::Send(bytes) => stream.write_all(&bytes)?,
+                PartAction::SendAfterPause(pause, bytes) => {
                     thread::sleep(pause);
                     stream.write_all(&bytes)?;
                 }
-                Reaction::SendLater(delay, bytes) => {
+                PartAction::SendLater(delay, bytes) => {
                     let mut stream = stream.try_clone()?;
                     thread::spawn(move || {
                         thread::sleep(delay);
                         let _ = stream.write_all(&bytes);
                     });
                 }
-                Reaction::SendAndClose(bytes) => return stream.write_all(&bytes),
+                PartAction::SendAndClose(bytes) => return stream.write_all(&bytes),
             }
         }
     }
 
-    /// Behaves so from now on, also on connections that are open.
+    /// Sets the behavior from now on, also on open connections.
     pub fn set_behavior(&self, behavior: NodeBehavior) {
         *self.behavior.lock().unwrap() = behavior;
     }
 
-    /// Its entry in the list of discovery, with this health.
+    /// Returns the node's entry in the endpoint list of discovery, with this health.
     pub fn endpoint(&self, health: &str) -> Value {
         json!({"host": self.name, "dial": self.address.to_string(), "site": "a", "class": "m", "block": 0,
             "health": health, "share": 1.0, "born_ms": 0})
     }
 
-    /// Connections that were ever made to it.
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.record.0.lock().unwrap().connections
     }
 
-    /// The texts of all frames with this letter, in their order.
-    pub fn frames(&self, letter: char) -> Vec<String> {
+    /// Returns the contents of all frames of this type, in order of arrival.
+    pub fn frames(&self, frame_type: char) -> Vec<String> {
         let record = self.record.0.lock().unwrap();
-        record.frames.iter().filter(|frame| frame.0 == letter).map(|frame| frame.1.clone()).collect()
+        record.frames.iter().filter(|frame| frame.0 == frame_type).map(|frame| frame.1.clone()).collect()
     }
 
-    /// When each part came, and its id.
+    /// Returns the arrival time and the id of each part, in order of arrival.
     pub fn part_arrivals(&self) -> Vec<(Instant, String)> {
         self.record.0.lock().unwrap().part_arrivals.clone()
     }
 
-    /// Waits until so many frames with this letter have come.
+    /// Waits until at least `count` frames of this type have arrived.
     ///
     /// # Panics
-    /// Where they do not come in time.
-    pub fn wait_for_frames(&self, letter: char, count: usize) {
-        self.wait(|record| record.frames.iter().filter(|frame| frame.0 == letter).count() >= count);
+    /// If they do not arrive within 10 seconds.
+    pub fn wait_for_frames(&self, frame_type: char, count: usize) {
+        self.wait(|record| record.frames.iter().filter(|frame| frame.0 == frame_type).count() >= count);
     }
 
-    /// Waits until so many connections have ended.
+    /// Waits until at least `count` connections have ended.
     ///
     /// # Panics
-    /// Where they do not end in time.
+    /// If they do not end within 10 seconds.
     pub fn wait_for_closed(&self, count: usize) {
         self.wait(|record| record.closed >= count);
     }
 
-    fn wait(&self, until: impl Fn(&Record) -> bool) {
+    /// Waits until the record satisfies `condition`.
+    fn wait(&self, condition: impl Fn(&NodeRecord) -> bool) {
         let (lock, changed) = &*self.record;
         let record = lock.lock().unwrap();
-        let result = changed.wait_timeout_while(record, WAIT_TIMEOUT, |record| !until(record)).unwrap().1;
-        assert!(!result.timed_out(), "{} has not seen what it should", self.name);
+        let result = changed.wait_timeout_while(record, WAIT_TIMEOUT, |record| !condition(record)).unwrap().1;
+        assert!(
+            !result.timed_out(),
+            "node {}: the expected frames or closed connections were not seen within {WAIT_TIMEOUT:?}",
+            self.name
+        );
     }
 }
