--- a/crates/dunepond-testkit/src/auditor/answers.rs
+++ b/crates/dunepond-testkit/src/auditor/answers.rs
@@ -1,14 +1,15 @@
-//! Answers called complete that miss what was asked for, or put parts of two maps together.
+//! Checks answers that are marked complete: they must contain all requested segments, all under one shard map.
 
 use std::collections::BTreeMap;
 
 use super::{AuditEvent, Finding, GroundTruth, Records, SentAttempt};
 
+/// Reports answers marked complete that lack a requested segment or combine parts of different shard maps.
 pub(super) fn check(
     records: &Records,
     truth: &GroundTruth,
     attempts: &[SentAttempt],
-    found: &mut Vec<Finding>,
+    findings: &mut Vec<Finding>,
 ) {
     let mut by_request: BTreeMap<(&str, &str), Vec<&SentAttempt>> = BTreeMap::new();
     for attempt in attempts {
@@ -25,21 +26,23 @@
         let missing: Vec<_> = requested.into_iter().filter(|segment| !segments.contains(segment)).collect();
         let (broker, request_id) = (record.broker.clone(), request_id.clone());
         if !missing.is_empty() {
-            found.push(Finding::FalselyComplete { broker, request_id, missing });
+            findings.push(Finding::FalselyComplete { broker, request_id, missing });
             continue;
         }
         let Some(epoch) = *map_epoch else { continue };
-        let foreign = segments.iter().find_map(|segment| {
-            let under = epochs_of(*segment, parts, truth);
-            (!under.is_empty() && !under.contains(&epoch)).then_some((*segment, under))
+        let mismatch = segments.iter().find_map(|segment| {
+            let attempt_epochs = epochs_of(*segment, parts, truth);
+            let differs = !attempt_epochs.is_empty() && !attempt_epochs.contains(&epoch);
+            differs.then_some((*segment, attempt_epochs))
         });
-        if let Some((segment_id, under)) = foreign {
-            found.push(Finding::MixedEpochs { broker, request_id, epoch, segment_id, under });
+        if let Some((segment_id, attempt_epochs)) = mismatch {
+            findings.push(Finding::MixedEpochs { broker, request_id, epoch, segment_id, attempt_epochs });
         }
     }
 }
 
-/// The epochs of all maps that attempts for a segment were sent on: one that was sent more than once came in under one of these.
+/// Returns the epochs of all maps under which attempts for a segment were sent. If there were several attempts, the
+/// answer of any of them may have been used, so each of these epochs is possible.
 fn epochs_of(segment_id: u64, parts: &[&SentAttempt], truth: &GroundTruth) -> Vec<u64> {
     let attempts = parts.iter().filter(|attempt| attempt.segment_id == segment_id);
     attempts.flat_map(|attempt| attempt.maps(truth)).map(|map| map.epoch).collect()
--- a/crates/dunepond-testkit/src/auditor/finding.rs
+++ b/crates/dunepond-testkit/src/auditor/finding.rs
@@ -1,252 +1,273 @@
-//! What the auditor finds.
+//! Findings of the auditor: violations of the rules that the records of a run show.
 
 use thiserror::Error;
 
-/// What must never be, with what shows it. Times are in seconds.
+/// A violation of a rule, with the evidence for it. Moments are in seconds on the monotonic clock.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum Finding {
-    /// A part that must not run twice was sent on one version alone while another broker might act on another alone.
+    /// A broker sent a non-idempotent part under one active configuration version while another broker might have had a
+    /// different one active.
     #[error(
-        "{broker} sent {request_id}/{segment_id} on version {version} alone at {at:.3}, while {other} might act on {other_version} alone"
+        "at {at:.3} s, broker {broker} sent the non-idempotent part {request_id}/{segment_id} under active \
+         configuration version {version}, while version {other_version} might have been active at broker \
+         {other_broker}"
     )]
     ConflictingVersions {
-        /// The broker.
+        /// Name of the broker that sent the part.
         broker: String,
-        /// The request.
+        /// Id of the request.
         request_id: String,
-        /// The segment.
+        /// Id of the segment that the part is for.
         segment_id: u64,
-        /// The version that it was sent on.
+        /// Number of the configuration version under which the part was sent.
         version: u64,
-        /// The other broker.
-        other: String,
-        /// The version that the other might act on.
+        /// Name of the broker with the other configuration version.
+        other_broker: String,
+        /// Number of the configuration version that might have been active at the other broker.
         other_version: u64,
-        /// When.
+        /// When the part was sent, in seconds on the monotonic clock.
         at: f64,
     },
-    /// Parts of a segment went to two owners while the first might still be at work.
-    #[error("segment {segment_id}: non-replayable parts at {first} and {second} within {apart:.3} s")]
+    /// Non-idempotent parts for one segment were sent to two owners while the first might still have been executing.
+    #[error(
+        "segment {segment_id}: non-idempotent parts were sent to {first_node} and {second_node} within {apart:.3} s"
+    )]
     TwoOwners {
-        /// The segment.
+        /// Id of the segment.
         segment_id: u64,
-        /// The first of the two.
-        first: String,
-        /// The second of the two.
-        second: String,
-        /// Seconds between them.
+        /// Name of the node that the earlier part was sent to.
+        first_node: String,
+        /// Name of the node that the later part was sent to.
+        second_node: String,
+        /// Time between the two attempts, in seconds.
         apart: f64,
     },
-    /// A part went to a node that does not own its segment in each version that it was sent on.
+    /// A non-idempotent part was sent to a node that does not own its segment in every configuration version under
+    /// which the part was sent.
     #[error(
-        "{broker} sent {request_id}/{segment_id} to {node}, which is not its one owner under {versions:?}"
+        "broker {broker} sent the non-idempotent part {request_id}/{segment_id} to {node}, which does not own the \
+         segment in all of the configuration versions {versions:?}"
     )]
     NotOwner {
-        /// The broker.
+        /// Name of the broker that sent the part.
         broker: String,
-        /// The request.
+        /// Id of the request.
         request_id: String,
-        /// The segment.
+        /// Id of the segment that the part is for.
         segment_id: u64,
-        /// The node.
+        /// Name of the node that the part was sent to.
         node: String,
-        /// The versions that it was sent on.
+        /// Numbers of the configuration versions under which the part was sent.
         versions: Vec<u64>,
     },
-    /// An attempt on a version after the end of the lease on it.
-    #[error("{broker} sent {request_id}/{segment_id} {late:.3} s after the end of its lease")]
+    /// A broker recorded an attempt as allowed by its lease after that lease had expired.
+    #[error("broker {broker} sent part {request_id}/{segment_id} {late:.3} s after its lease had expired")]
     SentAfterLease {
-        /// The broker.
+        /// Name of the broker that sent the part.
         broker: String,
-        /// The request.
+        /// Id of the request.
         request_id: String,
-        /// The segment.
+        /// Id of the segment that the part is for.
         segment_id: u64,
-        /// By how many seconds.
+        /// Time from the end of the lease to the attempt, in seconds.
         late: f64,
     },
-    /// A part that must not run twice was sent by a broker that never had a lease.
-    #[error("{broker} sent the non-replayable {request_id}/{segment_id} without a lease")]
+    /// A broker sent a non-idempotent part in a phase in which it had no valid lease.
+    #[error("broker {broker} sent the non-idempotent part {request_id}/{segment_id} without a lease")]
     SentWithoutLease {
-        /// The broker.
+        /// Name of the broker that sent the part.
         broker: String,
-        /// The request.
+        /// Id of the request.
         request_id: String,
-        /// The segment.
+        /// Id of the segment that the part is for.
         segment_id: u64,
     },
-    /// A part that must not run twice was sent twice where nothing can have told that the first never ran.
+    /// A non-idempotent part was sent again by another incarnation, or under the same attempt number, so that the
+    /// second sender cannot have known that the first attempt never ran.
     #[error(
-        "the non-replayable {request_id}/{segment_id} was sent by {first} and by {second}, or twice in one go"
+        "the non-idempotent part {request_id}/{segment_id} was sent by broker {first_broker} and again by broker \
+         {second_broker}, in different incarnations or under the same attempt number"
     )]
     DuplicateAttempt {
-        /// The request.
+        /// Id of the request.
         request_id: String,
-        /// The segment.
+        /// Id of the segment that the part is for.
         segment_id: u64,
-        /// The first of the two.
-        first: String,
-        /// The second of the two.
-        second: String,
+        /// Name of the broker that sent the first attempt.
+        first_broker: String,
+        /// Name of the broker that sent the second attempt; the first broker if its attempt numbers repeat.
+        second_broker: String,
     },
-    /// Nodes counted more than one run of a part that must not run twice.
-    #[error("nodes ran the non-replayable {request_id}/{segment_id} {times} times")]
+    /// The nodes counted more than one run of a non-idempotent part.
+    #[error("nodes ran the non-idempotent part {request_id}/{segment_id} {times} times")]
     RanTwice {
-        /// The request.
+        /// Id of the request.
         request_id: String,
-        /// The segment.
+        /// Id of the segment that the part is for.
         segment_id: u64,
-        /// How often.
+        /// Number of runs.
         times: usize,
     },
-    /// A part came to its node long after all leases on the versions that it was sent on.
+    /// A non-idempotent part reached its node after all leases that allowed it had expired, by more than the longest
+    /// query timeout.
     #[error(
-        "the non-replayable {request_id}/{segment_id}, sent by {broker} on {versions:?}, came {late:.3} s after the last lease on that"
+        "the non-idempotent part {request_id}/{segment_id}, sent by broker {broker} under configuration versions \
+         {versions:?}, reached its node {late:.3} s after the last lease for them had expired"
     )]
     RanAfterLease {
-        /// The broker.
+        /// Name of the broker that sent the part.
         broker: String,
-        /// The request.
+        /// Id of the request.
         request_id: String,
-        /// The segment.
+        /// Id of the segment that the part is for.
         segment_id: u64,
-        /// The versions that it was sent on.
+        /// Numbers of the configuration versions under which the part was sent.
         versions: Vec<u64>,
-        /// By how many seconds.
+        /// Time from the end of the last lease, or from the attempt if that was later, to the part's arrival, in
+        /// seconds.
         late: f64,
     },
-    /// Two nodes may have been at work on one segment at a time.
-    #[error("non-replayable parts of segment {segment_id} came to {first} and {second} within {apart:.3} s")]
+    /// Two nodes might have executed non-idempotent parts for one segment at the same time.
+    #[error(
+        "segment {segment_id}: non-idempotent parts reached {first_node} and {second_node} within {apart:.3} s"
+    )]
     OverlappingRuns {
-        /// The segment.
+        /// Id of the segment.
         segment_id: u64,
-        /// The first of the two.
-        first: String,
-        /// The second of the two.
-        second: String,
-        /// Seconds between them.
+        /// Name of the node that the earlier part reached.
+        first_node: String,
+        /// Name of the node that the later part reached.
+        second_node: String,
+        /// Time between the two arrivals, in seconds.
         apart: f64,
     },
-    /// Brokers together might use more than the whole of a quota.
-    #[error("at {at:.3} the brokers' parts of {bound} come to {units} of {whole}: {brokers}")]
+    /// The brokers' shares of a quota added up to more than the quota.
+    #[error(
+        "at {at:.3} s, the brokers' shares of quota {quota} add up to {units} units, but the quota has \
+         {quota_units}: {shares}"
+    )]
     QuotaExceeded {
-        /// The quota.
-        bound: String,
-        /// The sum of the brokers' parts.
+        /// Name of the quota.
+        quota: String,
+        /// Sum of the brokers' shares, in units.
         units: u64,
-        /// The whole of the quota.
-        whole: u64,
-        /// When.
+        /// Number of units in the quota.
+        quota_units: u64,
+        /// When the sum first exceeded the quota, in seconds on the monotonic clock.
         at: f64,
-        /// Each broker's part.
-        brokers: String,
+        /// Share of each broker in units, as text.
+        shares: String,
     },
-    /// Brokers recorded different ends of one plan.
-    #[error("plan {id} ended as {first} and as {second}")]
+    /// Brokers recorded different outcomes of one plan.
+    #[error("plan {id} was recorded with the outcomes {first_outcome} and {second_outcome}")]
     PlanOutcomeConflict {
-        /// Its id.
+        /// Id of the plan.
         id: String,
-        /// The first of the two.
-        first: String,
-        /// The second of the two.
-        second: String,
+        /// Outcome in the first record.
+        first_outcome: String,
+        /// Outcome in a later record.
+        second_outcome: String,
     },
     /// A broker applied a settlement twice in one incarnation.
-    #[error("{broker} applied settlement {id} again")]
+    #[error("broker {broker} applied settlement {id} twice in one incarnation")]
     SettlementReapplied {
-        /// The broker.
+        /// Name of the broker.
         broker: String,
-        /// Its id.
+        /// Id of the settlement.
         id: String,
     },
-    /// Two brokers disagree on what a settlement says.
-    #[error("settlement {id} is not the same at {broker} as elsewhere")]
+    /// A settlement has other terms at a broker than in the first record of it.
+    #[error("settlement {id} has other terms at broker {broker} than in its first record")]
     SettlementMismatch {
-        /// The broker.
+        /// Name of the broker.
         broker: String,
-        /// Its id.
+        /// Id of the settlement.
         id: String,
     },
-    /// One fill was settled under two ids.
-    #[error("fill {fill} has settled as {first} and as {second}")]
+    /// One fill was settled under two settlement ids.
+    #[error("fill {fill} was settled as {first_id} and as {second_id}")]
     FillSettledTwice {
-        /// The fill.
+        /// Id of the fill.
         fill: String,
-        /// The first of the two.
-        first: String,
-        /// The second of the two.
-        second: String,
+        /// Id of the settlement that was recorded first.
+        first_id: String,
+        /// Id of the other settlement.
+        second_id: String,
     },
-    /// More was settled than was owed.
+    /// A broker settled more between two partners than was owed.
     #[error(
-        "{broker} applied settlements of {settled} bytes that {debtor} owed {creditor}, of a debt of {owed}"
+        "broker {broker} applied settlements of {settled} bytes from debtor {debtor} to creditor {creditor}, more \
+         than the debt of {owed} bytes"
     )]
     SettledBeyondDebt {
-        /// The broker.
+        /// Name of the broker.
         broker: String,
-        /// The partner that owed.
+        /// Name of the partner that owed the bytes.
         debtor: String,
-        /// The partner that was owed.
+        /// Name of the partner that the bytes were owed to.
         creditor: String,
-        /// Bytes that were settled.
+        /// Number of bytes that were settled.
         settled: u64,
-        /// Bytes that were owed.
+        /// Number of bytes that were owed at most.
         owed: u64,
     },
-    /// An answer called complete lacks segments that were asked for.
-    #[error("{broker} called {request_id} whole without segments {missing:?}")]
+    /// An answer marked complete lacks segments that were requested.
+    #[error(
+        "broker {broker} marked the answer to {request_id} complete, but segments {missing:?} are missing"
+    )]
     FalselyComplete {
-        /// The broker.
+        /// Name of the broker.
         broker: String,
-        /// The request.
+        /// Id of the request.
         request_id: String,
-        /// Segments that are missing.
+        /// Ids of the segments that are missing.
         missing: Vec<u64>,
     },
-    /// An answer called complete puts parts of two maps together.
+    /// An answer marked complete combines parts of different shard maps.
     #[error(
-        "{broker} called {request_id} whole under epoch {epoch}, but segment {segment_id} was sent under {under:?}"
+        "broker {broker} marked the answer to {request_id} complete under map epoch {epoch}, but segment \
+         {segment_id} was sent under epochs {attempt_epochs:?}"
     )]
     MixedEpochs {
-        /// The broker.
+        /// Name of the broker.
         broker: String,
-        /// The request.
+        /// Id of the request.
         request_id: String,
-        /// The epoch that the answer names.
+        /// Map epoch that the answer names.
         epoch: u64,
-        /// The segment.
+        /// Id of a segment that was not sent under that epoch.
         segment_id: u64,
-        /// Epochs that the segment was sent under.
-        under: Vec<u64>,
+        /// Map epochs under which the segment was sent.
+        attempt_epochs: Vec<u64>,
     },
-    /// A version was confirmed with different contents.
-    #[error("version {number} was confirmed with {digests:?}")]
+    /// A configuration version was confirmed with different contents.
+    #[error("configuration version {number} was confirmed with different digests: {digests:?}")]
     DigestConflict {
-        /// The version.
+        /// Number of the configuration version.
         number: u64,
-        /// The digests.
+        /// Digests with which the version was confirmed.
         digests: Vec<String>,
     },
-    /// A version was both confirmed and withdrawn.
-    #[error("version {number} was both confirmed and withdrawn")]
+    /// A configuration version was both confirmed and withdrawn.
+    #[error("configuration version {number} was both confirmed and withdrawn")]
     ConfirmedAndWithdrawn {
-        /// The version.
+        /// Number of the configuration version.
         number: u64,
     },
-    /// A broker could not record some of what it did.
-    #[error("{broker} has no record of {count} of its acts")]
+    /// A broker lost audit records.
+    #[error("broker {broker} lost {count} audit records")]
     RecordsLost {
-        /// The broker.
+        /// Name of the broker.
         broker: String,
-        /// How many.
+        /// Number of lost records.
         count: u64,
     },
-    /// A line that is no record.
-    #[error("{file}, line {line}: not a record")]
+    /// A line of a file is not a valid audit record.
+    #[error("{file}, line {line}: not a valid audit record")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// The line.
+        /// Number of the line, from 1.
         line: usize,
     },
 }
--- a/crates/dunepond-testkit/src/auditor/leases.rs
+++ b/crates/dunepond-testkit/src/auditor/leases.rs
@@ -1,10 +1,11 @@
-//! Leases: when brokers might act on which version, and attempts outside of that.
+//! Checks leases: at which times each configuration version might be active at each broker, and attempts outside of
+//! these times.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{AuditEvent, AuditPhase, AuditRecord, Finding, GroundTruth, Records, SentAttempt};
 
-/// A time in which a broker might act on one version alone, in seconds of the monotonic clock.
+/// An interval in which one configuration version might be active at a broker, in seconds on the monotonic clock.
 #[derive(Clone, Debug, PartialEq)]
 struct ActiveInterval {
     broker: String,
@@ -13,19 +14,21 @@
     to: f64,
 }
 
-/// The interval that a broker's process is in.
+/// The latest interval of a broker, which its next record may extend or end.
 #[derive(Clone, Copy)]
 struct OpenInterval {
     incarnation: u64,
+    /// Index in the list of all intervals.
     index: usize,
 }
 
-/// The longest that any two brokers might act on different versions alone, in seconds.
+/// Returns the longest time for which any two brokers might have had different configuration versions active, in
+/// seconds.
 pub fn longest_contradiction(records: &Records) -> f64 {
     let intervals = active_intervals(records);
     let mut longest: f64 = 0.0;
-    for (i, a) in intervals.iter().enumerate() {
-        for b in &intervals[i + 1..] {
+    for (index, a) in intervals.iter().enumerate() {
+        for b in &intervals[index + 1..] {
             if a.version != b.version && a.broker != b.broker {
                 longest = longest.max(a.to.min(b.to) - a.from.max(b.from));
             }
@@ -34,6 +37,8 @@
     longest
 }
 
+/// Returns all intervals in which a configuration version might have been active at a broker. An interval ends with the
+/// broker's lease, with the next change of its phase, or with the first record of its next incarnation.
 fn active_intervals(records: &Records) -> Vec<ActiveInterval> {
     let mut intervals: Vec<ActiveInterval> = Vec::new();
     let mut open: BTreeMap<&str, OpenInterval> = BTreeMap::new();
@@ -51,10 +56,12 @@
             continue;
         };
         let version = if last_version > 0 { last_version } else { first_version };
-        // Renewed: it goes on, unless it stood still in between.
+        // A renewed lease extends the interval, unless the previous lease had already expired.
         let renewed = ended.filter(|interval| {
-            let before = &intervals[interval.index];
-            interval.incarnation == record.incarnation && before.version == version && before.to == record.at
+            let previous = &intervals[interval.index];
+            interval.incarnation == record.incarnation
+                && previous.version == version
+                && previous.to == record.at
         });
         let index = match renewed {
             Some(interval) => {
@@ -73,24 +80,26 @@
     intervals
 }
 
-/// A new incarnation, even if it says nothing of its phase yet, has ended what the last one might do.
+/// Whether a record of the broker ends its interval. Any record of another incarnation does, even if the phase is not
+/// recorded yet, because the earlier process no longer runs.
 fn ends_interval(record: &AuditRecord, interval: OpenInterval) -> bool {
     matches!(record.event, AuditEvent::Phase { .. }) || interval.incarnation != record.incarnation
 }
 
-/// Attempts on a version after the end of the lease that was in force, and parts that must not run twice sent without one.
-pub(super) fn check_leases(records: &Records, truth: &GroundTruth, found: &mut Vec<Finding>) {
+/// Reports attempts that were sent after the lease that allowed them had expired, and non-idempotent parts sent without
+/// a lease.
+pub(super) fn check_leases(records: &Records, truth: &GroundTruth, findings: &mut Vec<Finding>) {
     let mut lease_ends: BTreeMap<(&str, u64), f64> = BTreeMap::new();
-    let mut with_map: BTreeSet<(&str, u64)> = BTreeSet::new();
+    let mut incarnations_with_map: BTreeSet<(&str, u64)> = BTreeSet::new();
     for record in &records.lines {
         let incarnation = (record.broker.as_str(), record.incarnation);
         if let AuditEvent::Phase { lease_expires_at, first_version, last_version, .. } = &record.event {
             lease_ends.insert(incarnation, *lease_expires_at);
             if truth.maps.contains_key(first_version) || truth.maps.contains_key(last_version) {
-                with_map.insert(incarnation);
+                incarnations_with_map.insert(incarnation);
             }
         }
-        let Some(attempt) = SentAttempt::of(record) else { continue };
+        let Some(attempt) = SentAttempt::from_record(record) else { continue };
         let late = record.at - lease_ends.get(&incarnation).copied().unwrap_or(0.0);
         if late <= truth.clock_slack_seconds {
             continue;
@@ -100,26 +109,27 @@
         let needs_lease = attempt.non_idempotent;
         match attempt.phase {
             AuditPhase::Active | AuditPhase::Joint => {
-                found.push(Finding::SentAfterLease { broker, request_id, segment_id, late });
+                findings.push(Finding::SentAfterLease { broker, request_id, segment_id, late });
             }
-            // Cut off without any map known, a broker goes on by its last rules.
-            AuditPhase::LeaseExpired if needs_lease && with_map.contains(&incarnation) => {
-                found.push(Finding::SentWithoutLease { broker, request_id, segment_id });
+            // A broker whose lease has expired and that knows no map continues under the rules it had last.
+            AuditPhase::LeaseExpired if needs_lease && incarnations_with_map.contains(&incarnation) => {
+                findings.push(Finding::SentWithoutLease { broker, request_id, segment_id });
             }
             AuditPhase::Unconfigured if needs_lease => {
-                found.push(Finding::SentWithoutLease { broker, request_id, segment_id });
+                findings.push(Finding::SentWithoutLease { broker, request_id, segment_id });
             }
             _ => {}
         }
     }
 }
 
-/// Parts that must not run twice, sent on one version alone while another broker might act on another alone.
+/// Reports non-idempotent parts sent under an active configuration version while another broker might have had a
+/// different one active.
 pub(super) fn check_conflicting_versions(
     records: &Records,
     truth: &GroundTruth,
     attempts: &[SentAttempt],
-    found: &mut Vec<Finding>,
+    findings: &mut Vec<Finding>,
 ) {
     let intervals = active_intervals(records);
     let slack = truth.clock_slack_seconds;
@@ -136,12 +146,12 @@
                 && at < other.to - slack
         };
         if let Some(other) = intervals.iter().find(conflicts) {
-            found.push(Finding::ConflictingVersions {
+            findings.push(Finding::ConflictingVersions {
                 broker: attempt.record.broker.clone(),
                 request_id: attempt.request_id.to_string(),
                 segment_id: attempt.segment_id,
                 version,
-                other: other.broker.clone(),
+                other_broker: other.broker.clone(),
                 other_version: other.version,
                 at,
             });
--- a/crates/dunepond-testkit/src/auditor/limits.rs
+++ b/crates/dunepond-testkit/src/auditor/limits.rs
@@ -1,36 +1,37 @@
-//! Quotas that the fleet shares: what all brokers together might use of one, at each moment and over each window.
+//! Checks quotas that the brokers share: at no time may the brokers together be able to use more than the whole quota
+//! within one window.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{AuditEvent, AuditRecord, Finding, Records};
 
-/// Units in the whole of each quota.
+/// Number of units in each quota: shares are recorded in millionths.
 pub const QUOTA_UNITS: u64 = 1_000_000;
 
-/// What one broker might use of one quota for a while, in seconds of the monotonic clock. What it used still counts until the
-/// window behind it is over.
+/// An interval in which one broker's share of a quota counts, in seconds on the monotonic clock. It ends one window
+/// after the broker's permission to use the share, because use counts until its window has passed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaInterval {
-    /// The broker's name.
+    /// Name of the broker.
     pub broker: String,
-    /// The quota's name.
+    /// Name of the quota.
     pub bound: String,
-    /// Its part, of [`QUOTA_UNITS`].
+    /// Share of the broker, in units; the whole quota has [`QUOTA_UNITS`].
     pub units: u64,
-    /// From when it might use them.
+    /// When the broker may start to use the share.
     pub from: f64,
-    /// Until when that counts.
+    /// When the share stops counting.
     pub to: f64,
 }
 
-/// What all brokers together might use of a quota from a moment on.
+/// Sum of all brokers' shares of a quota that count from a moment on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaSum<'a> {
-    /// The moment, in seconds of the monotonic clock.
+    /// The moment, in seconds on the monotonic clock.
     pub at: f64,
-    /// The sum of all parts.
+    /// Sum of the shares, in units.
     pub units: u64,
-    /// Each broker's part.
+    /// Share of each broker in units, by name of the broker.
     pub by_broker: BTreeMap<&'a str, u64>,
 }
 
@@ -38,32 +39,34 @@
 struct Edge {
     at: f64,
     begins: bool,
+    /// Index of the interval in the list that is summed up.
     index: usize,
 }
 
-/// Sums at each moment at which one changes.
-pub fn sums<'a>(intervals: &'a [QuotaInterval], bound: &str) -> Vec<QuotaSum<'a>> {
+/// Returns the sum of the brokers' shares of a quota at each moment at which an interval begins or ends.
+pub fn sums<'a>(intervals: &'a [QuotaInterval], quota: &str) -> Vec<QuotaSum<'a>> {
     let intervals: Vec<_> =
-        intervals.iter().filter(|interval| interval.bound == bound && interval.to > interval.from).collect();
-    // The largest part that is open counts for its broker: parts of one broker replace each other.
+        intervals.iter().filter(|interval| interval.bound == quota && interval.to > interval.from).collect();
+    // Shares of one broker replace each other and are not added up: its largest open share counts.
     let mut open: BTreeMap<&str, BTreeSet<(u64, usize)>> = BTreeMap::new();
     let mut sums = Vec::new();
     for Edge { at, begins, index } in edges(&intervals) {
-        let part = (intervals[index].units, index);
-        let parts = open.entry(&intervals[index].broker).or_default();
+        let share = (intervals[index].units, index);
+        let shares = open.entry(&intervals[index].broker).or_default();
         if begins {
-            parts.insert(part);
+            shares.insert(share);
         } else {
-            parts.remove(&part);
+            shares.remove(&share);
         }
-        let largest = open.iter().filter_map(|(broker, parts)| Some((*broker, parts.last()?.0)));
+        let largest = open.iter().filter_map(|(broker, shares)| Some((*broker, shares.last()?.0)));
         let by_broker: BTreeMap<_, _> = largest.collect();
         sums.push(QuotaSum { at, units: by_broker.values().sum(), by_broker });
     }
     sums
 }
 
-/// By time; what ends at a moment has ended when something else begins at it.
+/// Returns the edges of the intervals in the order of time. Of the edges at one moment, those that end an interval come
+/// first.
 fn edges(intervals: &[&QuotaInterval]) -> Vec<Edge> {
     let mut edges = Vec::new();
     for (index, interval) in intervals.iter().enumerate() {
@@ -74,39 +77,40 @@
     edges
 }
 
-/// The most that all together might use of each quota over any window, in units.
+/// Returns the largest sum of the brokers' shares of each quota over the run, in units, by name of the quota.
 pub fn peak_units(records: &Records) -> BTreeMap<String, u64> {
     let intervals = quota_intervals(records);
-    let bounds: BTreeSet<_> = intervals.iter().map(|interval| interval.bound.clone()).collect();
-    let peak = |bound: &String| sums(&intervals, bound).into_iter().map(|sum| sum.units).max().unwrap_or(0);
-    bounds.iter().map(|bound| (bound.clone(), peak(bound))).collect()
+    let quotas: BTreeSet<_> = intervals.iter().map(|interval| interval.bound.clone()).collect();
+    let peak = |quota: &String| sums(&intervals, quota).into_iter().map(|sum| sum.units).max().unwrap_or(0);
+    quotas.iter().map(|quota| (quota.clone(), peak(quota))).collect()
 }
 
-/// Finds the first moment at which more than the whole of a quota might be used.
-pub(super) fn check_quotas(records: &Records, found: &mut Vec<Finding>) {
+/// Reports, for each quota, the first moment at which the brokers' shares add up to more than the quota.
+pub(super) fn check_quotas(records: &Records, findings: &mut Vec<Finding>) {
     let intervals = quota_intervals(records);
-    let bounds: BTreeSet<_> = intervals.iter().map(|interval| &interval.bound).collect();
-    for bound in bounds {
-        let exceeded = sums(&intervals, bound).into_iter().find(|sum| sum.units > QUOTA_UNITS);
+    let quotas: BTreeSet<_> = intervals.iter().map(|interval| &interval.bound).collect();
+    for quota in quotas {
+        let exceeded = sums(&intervals, quota).into_iter().find(|sum| sum.units > QUOTA_UNITS);
         if let Some(sum) = exceeded {
-            found.push(Finding::QuotaExceeded {
-                bound: bound.clone(),
+            findings.push(Finding::QuotaExceeded {
+                quota: quota.clone(),
                 units: sum.units,
-                whole: QUOTA_UNITS,
+                quota_units: QUOTA_UNITS,
                 at: sum.at,
-                brokers: format!("{:?}", sum.by_broker),
+                shares: format!("{:?}", sum.by_broker),
             });
         }
     }
 }
 
-/// What brokers recorded that they may use, each record up to the next of any incarnation of the same broker.
+/// Returns the intervals of all recorded quota shares. A record applies until the next one of the same broker, in any
+/// incarnation.
 pub fn quota_intervals(records: &Records) -> Vec<QuotaInterval> {
-    let mut names: BTreeSet<&String> = BTreeSet::new();
+    let mut quota_names: BTreeSet<&String> = BTreeSet::new();
     let mut by_broker: BTreeMap<&str, Vec<&AuditRecord>> = BTreeMap::new();
     for record in &records.lines {
         if let AuditEvent::QuotaShare { leased_units, .. } = &record.event {
-            names.extend(leased_units.keys());
+            quota_names.extend(leased_units.keys());
             by_broker.entry(&record.broker).or_default().push(record);
         }
     }
@@ -114,14 +118,19 @@
     for records in by_broker.values() {
         for (index, record) in records.iter().enumerate() {
             let next_at = records.get(index + 1).map(|next| next.at);
-            intervals.extend(intervals_of(record, next_at, &names));
+            intervals.extend(intervals_of(record, next_at, &quota_names));
         }
     }
     intervals
 }
 
-/// What one record allows until the broker's next one.
-fn intervals_of(record: &AuditRecord, next_at: Option<f64>, names: &BTreeSet<&String>) -> Vec<QuotaInterval> {
+/// Returns the intervals in which the shares of one record count. `next_at` is the time of the broker's next record, if
+/// there is one.
+fn intervals_of(
+    record: &AuditRecord,
+    next_at: Option<f64>,
+    quota_names: &BTreeSet<&String>,
+) -> Vec<QuotaInterval> {
     let AuditEvent::QuotaShare {
         admitted: true,
         floor_units,
@@ -134,11 +143,12 @@
     else {
         return Vec::new();
     };
-    // Nothing says when the last one stops: its lease does, and its floor is its own for good.
+    // The last record of a broker applies until its lease expires. Its floor does not expire, but is counted no longer
+    // than that.
     let next_at = next_at.unwrap_or(lease_expires_at.max(record.at));
     let from = record.at.max(*usable_from);
     let mut intervals = Vec::new();
-    for name in names {
+    for name in quota_names {
         let leased = leased_units.get(*name).copied().unwrap_or(0);
         let with_lease = (floor_units + leased, lease_expires_at.min(next_at));
         for (units, until) in [with_lease, (*floor_units, next_at)] {
--- a/crates/dunepond-testkit/src/auditor/mod.rs
+++ b/crates/dunepond-testkit/src/auditor/mod.rs
@@ -1,5 +1,6 @@
-//! Reads what all brokers of a fleet did and finds what must never be. It knows the lease, the maps and what clients
-//! asked for from elsewhere than from brokers: what a broker says of itself is judged, not believed.
+//! Checks the audit records of all brokers of a fleet against the rules and reports each violation. The shard maps, the
+//! clients' requests and the nodes' runs come from independent sources, so that the brokers' own statements are checked
+//! and not trusted.
 
 mod answers;
 mod attempts;
@@ -18,63 +19,64 @@
 pub use leases::longest_contradiction;
 pub use records::{AuditEvent, AuditPhase, AuditRecord, Records};
 
-/// What the records are judged by.
+/// What is known of a run from other sources than the brokers' audit records.
 #[derive(Clone, Debug, Default)]
 pub struct GroundTruth {
-    /// What two clock readings of one event may be apart, in seconds.
+    /// Largest difference between two clock readings of one event, in seconds.
     pub clock_slack_seconds: f64,
-    /// For so long after a part was sent to one owner it may still run there: the longest query timeout, in seconds.
+    /// Longest query timeout, in seconds. A part may still be executing on its node for that long after it was sent.
     pub max_query_seconds: f64,
-    /// Each version that has a map.
+    /// Shard maps by the number of their configuration version. Versions without a map are left out.
     pub maps: BTreeMap<u64, MapVersion>,
-    /// The segments that each request asked for, where the clients tell; from its attempts otherwise.
+    /// Ids of the segments that each request covers, by request id, as reported by clients. For other requests, they
+    /// are taken from the recorded attempts.
     pub requested: BTreeMap<String, BTreeSet<u64>>,
-    /// Parts that must not run twice and came to nodes, once for each run.
+    /// All runs of non-idempotent parts that the nodes counted.
     pub runs: Vec<NodeRun>,
-    /// What there is to be settled between any two partners at most, if that is known, in bytes.
+    /// Upper bound of the debt between any two partners, in bytes; `None` if it is unknown.
     pub max_debt_bytes: Option<u64>,
 }
 
-/// What the auditor knows of the map in a version.
+/// The shard map of a configuration version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MapVersion {
-    /// The map's epoch.
+    /// Epoch of the map.
     pub epoch: u64,
-    /// Each segment's owner.
+    /// Name of each segment's owner, by segment id.
     pub owners: BTreeMap<u64, String>,
 }
 
-/// A part that must not run twice and came to a node, as the node counted it.
+/// A run of a non-idempotent part, as counted by the node that executed it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeRun {
-    /// The request that it is a part of.
+    /// Id of the request that the part belongs to.
     pub request_id: String,
-    /// Its segment.
+    /// Id of the segment that the part is for.
     pub segment_id: u64,
-    /// When it came, in seconds of the monotonic clock.
+    /// When the part reached the node, in seconds on the monotonic clock.
     pub at: f64,
-    /// The node's name.
+    /// Name of the node.
     pub node: String,
 }
 
-/// All that is wrong, each thing once.
+/// Checks the records and returns all findings, each violation once.
 pub fn audit(records: &Records, truth: &GroundTruth) -> Vec<Finding> {
-    let mut found: Vec<_> = records
+    let mut findings: Vec<_> = records
         .unreadable
         .iter()
         .map(|(file, line)| Finding::Unreadable { file: file.clone(), line: *line })
         .collect();
-    let attempts: Vec<_> = records.lines.iter().filter_map(SentAttempt::of).collect();
-    leases::check_leases(records, truth, &mut found);
-    leases::check_conflicting_versions(records, truth, &attempts, &mut found);
-    attempts::check_ownership(truth, &attempts, &mut found);
-    attempts::check_duplicates(&attempts, &mut found);
-    runs::check_repeated(truth, &mut found);
-    runs::check_late(records, truth, &attempts, &mut found);
-    runs::check_overlapping(truth, &mut found);
-    limits::check_quotas(records, &mut found);
-    settlements::check(records, truth, &mut found);
-    answers::check(records, truth, &attempts, &mut found);
-    versions::check(records, &mut found);
-    found
+    let attempts: Vec<_> = records.lines.iter().filter_map(SentAttempt::from_record).collect();
+    leases::check_leases(records, truth, &mut findings);
+    leases::check_conflicting_versions(records, truth, &attempts, &mut findings);
+    attempts::check_ownership(truth, &attempts, &mut findings);
+    attempts::check_duplicates(&attempts, &mut findings);
+    runs::check_repeated(truth, &mut findings);
+    runs::check_late(records, truth, &attempts, &mut findings);
+    runs::check_overlapping(truth, &mut findings);
+    limits::check_quotas(records, &mut findings);
+    settlements::check(records, truth, &mut findings);
+    answers::check(records, truth, &attempts, &mut findings);
+    versions::check(records, &mut findings);
+    findings
 }
--- a/crates/dunepond-testkit/src/auditor/records.rs
+++ b/crates/dunepond-testkit/src/auditor/records.rs
@@ -1,54 +1,57 @@
-//! What brokers wrote down of their acts: one JSON object a line, merged by the steady clock that all share on one machine.
+//! Reads the audit logs of brokers, which hold one JSON object a line, and merges them by time. All brokers run on one
+//! machine, so that they share its monotonic clock.
 
 use std::fs;
 use std::path::Path;
 
 pub use dunepond_control_plane::{AuditEvent, AuditPhase, AuditRecord};
 
-/// What stood in the files: lines by their time, and lines that cannot be read, each with its place.
+/// The audit records of several files, with the places of the lines that cannot be parsed.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    /// All records, by their time once sorted.
+    /// All records; in the order of time once they have been sorted.
     pub lines: Vec<AuditRecord>,
-    /// File and line of each that cannot be read.
+    /// File name and line number, from 1, of each line that cannot be parsed.
     pub unreadable: Vec<(String, usize)>,
 }
 
 impl Records {
-    /// Lines of one file, in their place among all.
+    /// Adds the lines of one file and sorts all records by time.
     pub fn append_sorted(&mut self, name: &str, text: &str) {
         self.append_unsorted(name, text);
         self.sort();
     }
 
-    /// Lines of one file, to be sorted once all files are in. The last of each life may be torn by a crash: the next life's first then stands right behind it.
+    /// Adds the lines of one file without sorting; call [`Records::sort`] after the last file. A crash may truncate the
+    /// last line of an incarnation; the first record of the next incarnation then follows on the same line and is read
+    /// from there.
     pub fn append_unsorted(&mut self, name: &str, text: &str) {
         let lines: Vec<_> = text.split('\n').enumerate().filter(|(_, line)| !line.is_empty()).collect();
-        let whole = text.ends_with('\n');
-        for (place, &(number, line)) in lines.iter().enumerate() {
-            let behind = line.rfind("{\"at\":").map_or("", |at| &line[at..]);
-            match serde_json::from_str(line).or_else(|_| serde_json::from_str(behind)) {
-                Ok(line) => self.lines.push(line),
-                Err(_) if place + 1 == lines.len() && !whole => {}
-                Err(_) => self.unreadable.push((name.to_string(), number + 1)),
+        let ends_with_newline = text.ends_with('\n');
+        for (position, &(index, line)) in lines.iter().enumerate() {
+            let last_record = line.rfind("{\"at\":").map_or("", |at| &line[at..]);
+            match serde_json::from_str(line).or_else(|_| serde_json::from_str(last_record)) {
+                Ok(record) => self.lines.push(record),
+                Err(_) if position + 1 == lines.len() && !ends_with_newline => {}
+                Err(_) => self.unreadable.push((name.to_string(), index + 1)),
             }
         }
     }
 
-    /// Puts all records in the order of their time.
+    /// Sorts all records by time.
     pub fn sort(&mut self) {
-        // Stable: what one broker wrote at one time stays in its order.
+        // The sort is stable, so that records of one broker with the same time keep their order.
         self.lines.sort_by(|a, b| a.at.total_cmp(&b.at));
     }
 
-    /// Reads these files; one that is not there counts as empty.
+    /// Reads files and sorts their records by time. A missing file counts as empty, because a broker without events
+    /// writes none.
     ///
     /// # Errors
-    /// Where a file cannot be read.
+    /// Returns the error of the first file that exists but cannot be read.
     pub fn read_files<'a>(files: impl IntoIterator<Item = &'a Path>) -> std::io::Result<Self> {
         let mut records = Self::default();
         for file in files {
-            // Named for its readers; a broker that has done nothing has written none.
             let bytes = fs::read(file).or_else(|e| match e.kind() {
                 std::io::ErrorKind::NotFound => Ok(Vec::new()),
                 _ => Err(e),
--- a/crates/dunepond-testkit/src/auditor/runs.rs
+++ b/crates/dunepond-testkit/src/auditor/runs.rs
@@ -1,34 +1,34 @@
-//! Runs as nodes counted them, whatever brokers wrote.
+//! Checks the runs of non-idempotent parts that the nodes counted, which do not depend on what the brokers recorded.
 
 use std::collections::BTreeMap;
 
 use super::{AuditEvent, AuditPhase, AuditRecord, Finding, GroundTruth, NodeRun, Records, SentAttempt};
 
-/// Parts that must not run twice and did.
-pub(super) fn check_repeated(truth: &GroundTruth, found: &mut Vec<Finding>) {
+/// Reports non-idempotent parts that ran more than once.
+pub(super) fn check_repeated(truth: &GroundTruth, findings: &mut Vec<Finding>) {
     let mut counts: BTreeMap<(&String, u64), usize> = BTreeMap::new();
     for run in &truth.runs {
         *counts.entry((&run.request_id, run.segment_id)).or_default() += 1;
     }
     for ((request_id, segment_id), times) in counts {
         if times > 1 {
-            found.push(Finding::RanTwice { request_id: request_id.clone(), segment_id, times });
+            findings.push(Finding::RanTwice { request_id: request_id.clone(), segment_id, times });
         }
     }
 }
 
-/// Parts that came to a node when all that their broker ever held of the versions they were sent on was long over: it sent them
-/// later than it says.
+/// Reports parts that reached a node more than the longest query timeout after the last lease that allowed them had
+/// expired. Their broker must have sent them later than it recorded.
 pub(super) fn check_late(
     records: &Records,
     truth: &GroundTruth,
     attempts: &[SentAttempt],
-    found: &mut Vec<Finding>,
+    findings: &mut Vec<Finding>,
 ) {
-    let on_versions =
+    let with_versions =
         attempts.iter().filter(|attempt| attempt.non_idempotent && !attempt.versions.is_empty());
     let sent: BTreeMap<_, _> =
-        on_versions.map(|attempt| ((attempt.request_id, attempt.segment_id), attempt)).collect();
+        with_versions.map(|attempt| ((attempt.request_id, attempt.segment_id), attempt)).collect();
     let mut phases: BTreeMap<_, Vec<&AuditRecord>> = BTreeMap::new();
     for record in &records.lines {
         if matches!(record.event, AuditEvent::Phase { .. }) {
@@ -45,7 +45,7 @@
             .filter_map(|record| lease_on(&record.event, attempt.versions));
         let late = run.at - leases.fold(attempt.record.at, f64::max);
         if late > truth.max_query_seconds + truth.clock_slack_seconds {
-            found.push(Finding::RanAfterLease {
+            findings.push(Finding::RanAfterLease {
                 broker: attempt.record.broker.clone(),
                 request_id: run.request_id.clone(),
                 segment_id: run.segment_id,
@@ -56,7 +56,8 @@
     }
 }
 
-/// When the lease of a phase expires, if that phase allows acting on one of these versions.
+/// Returns when the lease of a recorded phase expires; `None` if the phase does not allow attempts under any of these
+/// configuration versions.
 fn lease_on(event: &AuditEvent, versions: &[u64]) -> Option<f64> {
     let AuditEvent::Phase { phase, first_version, last_version, lease_expires_at } = event else {
         return None;
@@ -69,26 +70,27 @@
     allows.then_some(*lease_expires_at)
 }
 
-/// Two nodes that both may have been at work on one segment, under whichever maps.
-pub(super) fn check_overlapping(truth: &GroundTruth, found: &mut Vec<Finding>) {
+/// Reports segments for which two nodes might have executed non-idempotent parts at the same time, under any maps.
+pub(super) fn check_overlapping(truth: &GroundTruth, findings: &mut Vec<Finding>) {
     if truth.maps.is_empty() {
         return;
     }
-    // Both readings are a node's, of when it came and not when it was sent.
-    let min_apart = truth.max_query_seconds - 2.0 * truth.clock_slack_seconds;
+    // Both times are clock readings of nodes, taken when a part arrived, so that the slack applies twice.
+    let min_interval_seconds = truth.max_query_seconds - 2.0 * truth.clock_slack_seconds;
     let mut by_segment: BTreeMap<u64, Vec<&NodeRun>> = BTreeMap::new();
     for run in &truth.runs {
         by_segment.entry(run.segment_id).or_default().push(run);
     }
     for (segment_id, mut runs) in by_segment {
         runs.sort_by(|a, b| a.at.total_cmp(&b.at));
-        let overlap =
-            |pair: &&[&NodeRun]| pair[0].node != pair[1].node && pair[1].at - pair[0].at < min_apart;
+        let overlap = |pair: &&[&NodeRun]| {
+            pair[0].node != pair[1].node && pair[1].at - pair[0].at < min_interval_seconds
+        };
         if let Some(pair) = runs.windows(2).find(overlap) {
-            found.push(Finding::OverlappingRuns {
+            findings.push(Finding::OverlappingRuns {
                 segment_id,
-                first: pair[0].node.clone(),
-                second: pair[1].node.clone(),
+                first_node: pair[0].node.clone(),
+                second_node: pair[1].node.clone(),
                 apart: pair[1].at - pair[0].at,
             });
         }
--- a/crates/dunepond-testkit/src/auditor/settlements.rs
+++ b/crates/dunepond-testkit/src/auditor/settlements.rs
@@ -1,10 +1,11 @@
-//! Settlements between partners: each is applied once, the same everywhere, and within the debt.
+//! Checks settlements between partners: each is applied once by an incarnation, has the same terms at all brokers, and
+//! all together do not exceed the debt.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{AuditEvent, Finding, GroundTruth, Records};
 
-/// What a settlement says.
+/// The terms of a settlement.
 #[derive(Clone, Copy, PartialEq)]
 struct Terms<'a> {
     debtor: &'a str,
@@ -12,7 +13,7 @@
     bytes: u64,
 }
 
-/// Whose settlements are summed up: those that one process applied, between two partners.
+/// Key by which settlements are added up: one incarnation of a broker, and the two partners.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct SumKey<'a> {
     broker: &'a String,
@@ -21,7 +22,8 @@
     creditor: &'a String,
 }
 
-pub(super) fn check(records: &Records, truth: &GroundTruth, found: &mut Vec<Finding>) {
+/// Reports settlements that were applied twice, have conflicting terms, settle one fill twice or exceed the debt.
+pub(super) fn check(records: &Records, truth: &GroundTruth, findings: &mut Vec<Finding>) {
     let mut applied = BTreeSet::new();
     let mut first_ids: BTreeMap<&str, &str> = BTreeMap::new();
     let mut first_terms: BTreeMap<&str, Terms> = BTreeMap::new();
@@ -31,18 +33,18 @@
         let (broker, incarnation) = (&record.broker, record.incarnation);
         let terms = Terms { debtor, creditor, bytes: *bytes };
         if !applied.insert((broker, incarnation, id)) {
-            found.push(Finding::SettlementReapplied { broker: broker.clone(), id: id.clone() });
+            findings.push(Finding::SettlementReapplied { broker: broker.clone(), id: id.clone() });
         } else if *first_terms.entry(id).or_insert(terms) != terms {
-            found.push(Finding::SettlementMismatch { broker: broker.clone(), id: id.clone() });
+            findings.push(Finding::SettlementMismatch { broker: broker.clone(), id: id.clone() });
         }
-        // A settlement is FILL@BROKER: one fill pays once, whoever carried it out.
+        // A settlement id has the form FILL@BROKER. A fill is settled once only, whichever broker carried it out.
         let fill = id.rsplit_once('@').map_or(id.as_str(), |(fill, _)| fill);
         let first_id = *first_ids.entry(fill).or_insert(id);
         if first_id != id {
-            found.push(Finding::FillSettledTwice {
+            findings.push(Finding::FillSettledTwice {
                 fill: fill.to_string(),
-                first: first_id.to_string(),
-                second: id.clone(),
+                first_id: first_id.to_string(),
+                second_id: id.clone(),
             });
         }
         *sums.entry(SumKey { broker, incarnation, debtor, creditor }).or_default() += bytes;
@@ -50,7 +52,7 @@
     let Some(owed) = truth.max_debt_bytes else { return };
     for (key, settled) in sums {
         if settled > owed {
-            found.push(Finding::SettledBeyondDebt {
+            findings.push(Finding::SettledBeyondDebt {
                 broker: key.broker.clone(),
                 debtor: key.debtor.clone(),
                 creditor: key.creditor.clone(),
--- a/crates/dunepond-testkit/src/auditor/versions.rs
+++ b/crates/dunepond-testkit/src/auditor/versions.rs
@@ -1,10 +1,12 @@
-//! Versions: each is confirmed with one content or withdrawn; and records that brokers lost.
+//! Checks configuration versions, each of which is either withdrawn or confirmed with one digest, and reports lost
+//! records.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{AuditEvent, Finding, Records};
 
-pub(super) fn check(records: &Records, found: &mut Vec<Finding>) {
+/// Reports configuration versions with conflicting outcomes, and each loss of records.
+pub(super) fn check(records: &Records, findings: &mut Vec<Finding>) {
     let mut confirmed: BTreeMap<u64, BTreeSet<&String>> = BTreeMap::new();
     let mut withdrawn = BTreeSet::new();
     for record in &records.lines {
@@ -16,7 +18,7 @@
                 withdrawn.insert(*number);
             }
             AuditEvent::RecordsLost { count } => {
-                found.push(Finding::RecordsLost { broker: record.broker.clone(), count: *count });
+                findings.push(Finding::RecordsLost { broker: record.broker.clone(), count: *count });
             }
             _ => {}
         }
@@ -24,10 +26,10 @@
     for (number, digests) in confirmed {
         if digests.len() > 1 {
             let digests = digests.into_iter().cloned().collect();
-            found.push(Finding::DigestConflict { number, digests });
+            findings.push(Finding::DigestConflict { number, digests });
         }
         if withdrawn.contains(&number) {
-            found.push(Finding::ConfirmedAndWithdrawn { number });
+            findings.push(Finding::ConfirmedAndWithdrawn { number });
         }
     }
 }
