--- a/crates/dunepond-testkit/src/frames.rs
+++ b/crates/dunepond-testkit/src/frames.rs
@@ -1,19 +1,20 @@
-//! The frames between broker and nodes, as stand-in nodes read and write them: a length, a letter, then text.
+//! The frame protocol between broker and nodes, as stand-in nodes read and write it. A frame has four bytes of length,
+//! one letter for its type, and its content.
 
 use std::io::{self, Read};
 
-/// The frame of a part's answer.
+/// Type of a frame with the answer to a part.
 pub const ANSWER: u8 = b'E';
-/// The frame of a part that a broker sends.
+/// Type of a frame with a part of a query, sent by a broker.
 pub const PART: u8 = b'A';
-/// The frame that reports a protocol error.
+/// Type of a frame that reports a protocol error.
 pub const PROTOCOL_ERROR: u8 = b'F';
-/// The frames of a prefilter probe and its answer.
+/// Type of a frame with a prefilter probe, sent by a broker.
 pub const PROBE: u8 = b'P';
-/// See [`PROBE`].
+/// Type of a frame with the answer to a prefilter probe.
 pub const PROBE_ANSWER: u8 = b'Q';
 
-/// One frame as it goes over the wire.
+/// Encodes a frame of the type `letter`.
 pub fn encode(letter: u8, text: &str) -> Vec<u8> {
     let mut frame = (text.len() as u32 + 1).to_be_bytes().to_vec();
     frame.push(letter);
@@ -21,25 +22,25 @@
     frame
 }
 
-/// A frame that was read whole.
+/// A received frame.
 pub struct Frame {
-    /// The frame's kind.
+    /// Letter for the type of the frame.
     pub letter: u8,
-    /// What follows the letter.
+    /// Content of the frame, without the letter.
     pub content: Vec<u8>,
 }
 
 impl Frame {
-    /// The content as text; bytes that are not UTF-8 are replaced.
+    /// Returns the content as text, with invalid UTF-8 replaced.
     pub fn text_lossy(&self) -> String {
         String::from_utf8_lossy(&self.content).into_owned()
     }
 }
 
-/// Reads the next frame.
+/// Reads the next frame from a stream.
 ///
 /// # Errors
-/// That of the stream; `UnexpectedEof` where it ends, also between two frames.
+/// Returns the error of the stream; `UnexpectedEof` if the stream ends, even between two frames.
 pub fn read(stream: &mut impl Read) -> io::Result<Frame> {
     let mut length = [0; 4];
     stream.read_exact(&mut length)?;
--- a/crates/dunepond-testkit/src/lib.rs
+++ b/crates/dunepond-testkit/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for a broker's peers that tests and experiments share, fault injection, load, an auditor and reports.
+//! Test support that tests and experiments share: stand-ins for a broker's peers, fault injection, process control,
+//! load generation, an auditor of broker records, and reports.
 
 #![warn(missing_docs)]
 
--- a/crates/dunepond-testkit/src/links/mod.rs
+++ b/crates/dunepond-testkit/src/links/mod.rs
@@ -1,6 +1,7 @@
-//! Faulty links: a relay for each ordered pair of processes, TCP and UDP on one port of loopback. Connections from `a` to `b`
-//! suffer the conditions of the link from `a` to `b` on the way there, and those of the link from `b` to `a` on the way back.
-//! Conditions are changed at run time, and chance is drawn from one seed.
+//! Fault injection on network links between processes. Each ordered pair of processes has a relay, which listens for
+//! TCP and UDP on one loopback port. On a connection from `a` to `b`, requests are subject to the conditions of the
+//! link from `a` to `b`, and answers to those of the link from `b` to `a`. Conditions can be changed at run time. All
+//! random decisions derive from one seed.
 
 mod recording;
 mod tcp;
@@ -17,28 +18,30 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::watch;
 
-/// The conditions of a link in one direction. Ratios are from 0 to 1.
+/// Faults and limits of a link in one direction. Ratios are between 0 and 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkConditions {
-    /// Share of messages that are lost. A stream loses nothing: what is lost, and all behind it, is `RETRANSMIT_DELAY_SECONDS` late.
+    /// Ratio of datagrams that are lost. On a TCP stream, the ratio of chunks that are delayed by
+    /// `RETRANSMIT_DELAY_SECONDS`, together with all data after them, as by a retransmission.
     pub loss_ratio: f64,
-    /// Added to all that passes.
+    /// Delay of all messages, in seconds.
     pub delay_seconds: f64,
-    /// The most that is added to that, drawn for each message.
+    /// Largest additional delay, in seconds. The additional delay is drawn uniformly for each message.
     pub jitter_seconds: f64,
-    /// Share of datagrams that come `REORDER_DELAY_SECONDS` later, behind others.
+    /// Ratio of datagrams that are delayed by a further `REORDER_DELAY_SECONDS`, so that later ones overtake them.
     pub reorder_ratio: f64,
-    /// Share of datagrams that come twice.
+    /// Ratio of datagrams that are delivered twice.
     pub duplicate_ratio: f64,
-    /// The rate limit, if there is one.
+    /// Limit of the throughput, in bytes per second; `None` if there is no limit.
     pub bytes_per_second: Option<f64>,
-    /// Datagrams are lost; a stream is held up until the link is healthy again.
+    /// Whether the link is cut: datagrams are lost, and streams are stalled until the link is no longer cut.
     pub cut: bool,
-    /// Connections are accepted, and what comes on them is discarded.
+    /// Whether all data is discarded, although the relay accepts connections. Meanwhile, it opens no new ones to the
+    /// target.
     pub half_open: bool,
 }
 
-/// Nothing is lost or late.
+/// Conditions without faults.
 pub const HEALTHY: LinkConditions = LinkConditions {
     loss_ratio: 0.0,
     delay_seconds: 0.0,
@@ -49,50 +52,56 @@
     cut: false,
     half_open: false,
 };
-/// Nothing passes.
+/// Conditions of a link that is cut.
 pub const CUT: LinkConditions = LinkConditions { cut: true, ..HEALTHY };
-/// What an operating system waits at least before it retransmits.
+/// Delay of a retransmission: the shortest one that operating systems use.
 const RETRANSMIT_DELAY_SECONDS: f64 = 0.2;
+/// Additional delay of a reordered datagram.
 const REORDER_DELAY_SECONDS: f64 = 0.05;
 
-/// One direction between two processes.
+/// State of the link from one process to another.
 struct Direction {
     conditions: watch::Sender<LinkConditions>,
-    /// Raised to break all connections that are open.
+    /// Number of resets so far; each change breaks all open connections.
     resets: watch::Sender<u64>,
+    /// Number of delivered chunks and datagrams.
     delivered: AtomicU64,
     recording: recording::Recording,
 }
 
-/// What a relay works on: both directions, and where it leads.
+/// State of the relay from one process to another, with the links of both directions.
 struct Relay {
     forward: Arc<Direction>,
     backward: Arc<Direction>,
+    /// Address of the process that the relay leads to.
     target: SocketAddr,
     seed: u64,
 }
 
 impl Relay {
-    /// A generator of its own for each connection and direction, whatever the others draw.
-    fn rng(&self, number: u64) -> Pcg64Mcg {
-        Pcg64Mcg::seed_from_u64(self.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+    /// Returns the random number generator of one stream. Each connection and direction has its own, so that its draws
+    /// do not depend on the others.
+    fn rng(&self, stream_number: u64) -> Pcg64Mcg {
+        Pcg64Mcg::seed_from_u64(self.seed ^ stream_number.wrapping_mul(0x9e37_79b9_7f4a_7c15))
     }
 }
 
-/// Relays between all pairs of processes; they end when this is dropped.
+/// Relays between all pairs of processes. They stop when the value is dropped.
 pub struct Links {
     names: Vec<String>,
     directions: BTreeMap<(String, String), Arc<Direction>>,
-    at: BTreeMap<(String, String), SocketAddr>,
-    real: BTreeMap<String, SocketAddr>,
+    /// Address of the relay for each pair of names: the connecting process and the target.
+    relay_addresses: BTreeMap<(String, String), SocketAddr>,
+    /// Address of each process itself, by name.
+    process_addresses: BTreeMap<String, SocketAddr>,
     runtime: Option<Runtime>,
 }
 
 impl Links {
-    /// Healthy links between all of these, each by its name and its own address.
+    /// Starts relays between all of these processes, given by name and address. All links are healthy at first.
     ///
     /// # Errors
-    /// Where the system gives no ports.
+    /// Returns an error if the runtime cannot be started or no port can be bound.
     pub fn between(peers: &[(String, SocketAddr)], seed: u64) -> std::io::Result<Self> {
         let runtime =
             Builder::new_multi_thread().worker_threads(2).thread_name("links").enable_all().build()?;
@@ -110,90 +119,97 @@
         let key = |a: &str, b: &str| (a.to_string(), b.to_string());
         let directions: BTreeMap<_, _> =
             pairs.iter().map(|(a, b)| (key(&a.0, &b.0), direction(()))).collect();
-        let mut at = BTreeMap::new();
+        let mut relay_addresses = BTreeMap::new();
         for (i, (a, b)) in pairs.iter().enumerate() {
-            let (there, back) = (directions[&key(&a.0, &b.0)].clone(), directions[&key(&b.0, &a.0)].clone());
-            let relay = Arc::new(Relay {
-                forward: there,
-                backward: back,
-                target: b.1,
-                seed: seed ^ ((i as u64) << 32),
-            });
-            let (listener, socket) = runtime.block_on(pair_of_sockets())?;
-            at.insert(key(&a.0, &b.0), listener.local_addr()?);
+            let forward = directions[&key(&a.0, &b.0)].clone();
+            let backward = directions[&key(&b.0, &a.0)].clone();
+            let relay = Arc::new(Relay { forward, backward, target: b.1, seed: seed ^ ((i as u64) << 32) });
+            let (listener, socket) = runtime.block_on(bind_tcp_and_udp())?;
+            relay_addresses.insert(key(&a.0, &b.0), listener.local_addr()?);
             runtime.spawn(tcp::run(relay.clone(), listener));
             runtime.spawn(udp::run(relay, socket));
         }
         let names = peers.iter().map(|peer| peer.0.clone()).collect();
-        Ok(Self { names, directions, at, real: peers.iter().cloned().collect(), runtime: Some(runtime) })
+        Ok(Self {
+            names,
+            directions,
+            relay_addresses,
+            process_addresses: peers.iter().cloned().collect(),
+            runtime: Some(runtime),
+        })
     }
 
-    /// Where `from` has to connect to reach `to`.
+    /// Returns the address to which `from` must connect or send in order to reach `to` through the relay.
     pub fn relay_address(&self, from: &str, to: &str) -> SocketAddr {
-        self.at[&(from.to_string(), to.to_string())]
+        self.relay_addresses[&(from.to_string(), to.to_string())]
     }
 
-    /// Sets how the link from one to the other carries from now on.
+    /// Sets the conditions of the link from `from` to `to`.
     pub fn set(&self, from: &str, to: &str, conditions: &LinkConditions) {
         self.directions[&(from.to_string(), to.to_string())].conditions.send_replace(conditions.clone());
     }
 
-    /// Sets how all links carry from now on.
+    /// Sets the conditions of all links.
     pub fn set_all(&self, conditions: &LinkConditions) {
         for direction in self.directions.values() {
             direction.conditions.send_replace(conditions.clone());
         }
     }
 
-    /// Sets both directions between each of `some` and all others.
-    pub fn set_around(&self, some: &[&str], conditions: &LinkConditions) {
+    /// Sets the conditions of all links to or from one of these processes.
+    pub fn set_around(&self, names: &[&str], conditions: &LinkConditions) {
         for (from, to) in self.directions.keys() {
-            if some.contains(&from.as_str()) || some.contains(&to.as_str()) {
+            if names.contains(&from.as_str()) || names.contains(&to.as_str()) {
                 self.set(from, to, conditions);
             }
         }
     }
 
-    /// Partitions the processes into groups; one that is in none is alone.
+    /// Partitions the processes into groups: links within a group are healthy, all others are cut. A process in no
+    /// group is isolated.
     pub fn partition(&self, groups: &[&[&str]]) {
-        let of = |name: &str| groups.iter().position(|group| group.contains(&name));
+        let group_of = |name: &str| groups.iter().position(|group| group.contains(&name));
         for (from, to) in self.directions.keys() {
-            let together = of(from).is_some() && of(from) == of(to);
-            self.set(from, to, if together { &HEALTHY } else { &CUT });
+            let same_group = group_of(from).is_some() && group_of(from) == group_of(to);
+            self.set(from, to, if same_group { &HEALTHY } else { &CUT });
         }
     }
 
-    /// Breaks all connections between the two.
+    /// Resets all connections between the two processes.
     pub fn reset(&self, a: &str, b: &str) {
         for (from, to) in [(a, b), (b, a)] {
             self.directions[&(from.to_string(), to.to_string())].resets.send_modify(|count| *count += 1);
         }
     }
 
-    /// Records from now on what goes from the one to the other, on new connections.
+    /// Starts to record the data from `from` to `to`. Resets their connections, so that streams are recorded from their
+    /// beginning.
     pub fn record(&self, from: &str, to: &str) {
         self.directions[&(from.to_string(), to.to_string())].recording.start();
         self.reset(from, to);
     }
 
-    /// Delivers what was recorded a second time; how many streams and datagrams.
+    /// Stops the recording and delivers the recorded data to `to` again. Returns the numbers of streams and datagrams.
+    ///
+    /// # Panics
+    /// Panics if the data cannot be sent.
     pub fn replay(&self, from: &str, to: &str) -> (usize, usize) {
         let direction = &self.directions[&(from.to_string(), to.to_string())];
-        let runtime = self.runtime.as_ref().expect("until the end");
-        runtime.block_on(direction.recording.replay(self.real[to])).unwrap()
+        let runtime = self.runtime.as_ref().expect("the runtime exists until the links are dropped");
+        runtime.block_on(direction.recording.replay(self.process_addresses[to])).unwrap()
     }
 
-    /// Chunks of streams and datagrams that were delivered to `to`.
+    /// Returns the number of stream chunks and datagrams that were delivered from `from` to `to`.
     pub fn delivered(&self, from: &str, to: &str) -> u64 {
         self.directions[&(from.to_string(), to.to_string())].delivered.load(Ordering::Relaxed)
     }
 
-    /// Chunks and datagrams that all links have delivered.
+    /// Returns the number of stream chunks and datagrams that were delivered on all links.
     pub fn total_delivered(&self) -> u64 {
         self.directions.values().map(|direction| direction.delivered.load(Ordering::Relaxed)).sum()
     }
 
-    /// The names of the processes.
+    /// Returns the names of the processes.
     pub fn names(&self) -> &[String] {
         &self.names
     }
@@ -201,22 +217,22 @@
 
 impl Drop for Links {
     fn drop(&mut self) {
-        // Without waiting for tasks, which end at their next await.
+        // Does not wait for the tasks, which end at their next await point.
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
         }
     }
 }
 
-/// A listener, and a datagram socket on the same port.
-async fn pair_of_sockets() -> std::io::Result<(TcpListener, UdpSocket)> {
-    let mut last = None;
+/// Binds a TCP listener and a UDP socket to the same port.
+async fn bind_tcp_and_udp() -> std::io::Result<(TcpListener, UdpSocket)> {
+    let mut last_error = None;
     for _ in 0..64 {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         match UdpSocket::bind(listener.local_addr()?).await {
             Ok(socket) => return Ok((listener, socket)),
-            Err(e) => last = Some(e),
+            Err(e) => last_error = Some(e),
         }
     }
-    Err(last.expect("tried"))
+    Err(last_error.expect("at least one attempt failed"))
 }
--- a/crates/dunepond-testkit/src/links/recording.rs
+++ b/crates/dunepond-testkit/src/links/recording.rs
@@ -1,4 +1,5 @@
-//! Records what a link carried and replays it long after, as a queue on the way does that was thought lost.
+//! Records the data sent over a link and replays it later, like a network queue that delivers old packets after a long
+//! delay.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,61 +9,63 @@
 use tokio::net::{TcpStream, UdpSocket};
 use tokio::time::{Duration, timeout};
 
-/// The most that is recorded of one stream, and of datagrams.
+/// Largest number of bytes that are recorded of one stream.
 const MAX_STREAM_BYTES: usize = 1 << 20;
+/// Largest number of datagrams that are recorded.
 const MAX_DATAGRAMS: usize = 256;
-/// For the answers to one stream that is replayed.
+/// Longest wait for the answers to one replayed stream.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
 
 #[derive(Default)]
 struct Recorded {
+    /// Bytes of each stream, by number of the connection.
     streams: BTreeMap<u64, Vec<u8>>,
     datagrams: Vec<Vec<u8>>,
 }
 
-/// Records nothing until it is started.
+/// A recording of the data sent in one direction. Nothing is recorded until it is started.
 #[derive(Default)]
 pub struct Recording(Mutex<Option<Recorded>>);
 
 impl Recording {
-    /// Records from now on, beginning with nothing.
+    /// Starts to record, and discards an earlier recording.
     pub fn start(&self) {
         *self.0.lock().unwrap() = Some(Recorded::default());
     }
 
-    /// Adds bytes to the stream of this number, up to a limit.
-    pub fn record_stream(&self, number: u64, bytes: &[u8]) {
-        if let Some(pile) = &mut *self.0.lock().unwrap() {
-            let stream = pile.streams.entry(number).or_default();
-            let room = MAX_STREAM_BYTES - stream.len();
-            stream.extend_from_slice(&bytes[..bytes.len().min(room)]);
+    /// Appends bytes to the stream of a connection, up to [`MAX_STREAM_BYTES`].
+    pub fn record_stream(&self, connection_number: u64, bytes: &[u8]) {
+        if let Some(recorded) = &mut *self.0.lock().unwrap() {
+            let stream = recorded.streams.entry(connection_number).or_default();
+            let free_bytes = MAX_STREAM_BYTES - stream.len();
+            stream.extend_from_slice(&bytes[..bytes.len().min(free_bytes)]);
         }
     }
 
-    /// Adds a datagram, up to a limit.
+    /// Adds a datagram, up to [`MAX_DATAGRAMS`].
     pub fn record_datagram(&self, bytes: &[u8]) {
-        if let Some(pile) =
-            self.0.lock().unwrap().as_mut().filter(|pile| pile.datagrams.len() < MAX_DATAGRAMS)
+        if let Some(recorded) =
+            self.0.lock().unwrap().as_mut().filter(|recorded| recorded.datagrams.len() < MAX_DATAGRAMS)
         {
-            pile.datagrams.push(bytes.to_vec());
+            recorded.datagrams.push(bytes.to_vec());
         }
     }
 
-    /// Delivers all of it to its target; how many streams and datagrams.
+    /// Stops the recording and delivers it to an address. Returns the numbers of streams and datagrams.
     pub async fn replay(&self, to: SocketAddr) -> std::io::Result<(usize, usize)> {
-        let Some(pile) = self.0.lock().unwrap().take() else { return Ok((0, 0)) };
+        let Some(recorded) = self.0.lock().unwrap().take() else { return Ok((0, 0)) };
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
-        for datagram in &pile.datagrams {
+        for datagram in &recorded.datagrams {
             socket.send_to(datagram, to).await?;
         }
-        for stream in pile.streams.values() {
-            let mut out = TcpStream::connect(to).await?;
-            // A peer that closes in the middle has read enough.
-            if out.write_all(stream).await.is_ok() {
+        for stream in recorded.streams.values() {
+            let mut connection = TcpStream::connect(to).await?;
+            // A failed write is no error: the peer may close the connection before it has read the whole stream.
+            if connection.write_all(stream).await.is_ok() {
                 let mut answers = Vec::new();
-                let _ = timeout(REPLY_TIMEOUT, out.read_to_end(&mut answers)).await;
+                let _ = timeout(REPLY_TIMEOUT, connection.read_to_end(&mut answers)).await;
             }
         }
-        Ok((pile.streams.len(), pile.datagrams.len()))
+        Ok((recorded.streams.len(), recorded.datagrams.len()))
     }
 }
--- a/crates/dunepond-testkit/src/load.rs
+++ b/crates/dunepond-testkit/src/load.rs
@@ -1,4 +1,5 @@
-//! Load with open arrivals: a slow request does not delay the next one, which would hide how slow it is.
+//! Load generator with an open workload: arrival times are fixed beforehand, and latencies count from there. If a slow
+//! request delayed the following ones, the measured latencies would be too low.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,45 +14,48 @@
 use crate::report::Curve;
 use crate::stand_ins::{Answer, Client, query_request};
 
-/// Clients that share the arrivals. Each has one request out at a time, and there are more of them than requests are ever out.
+/// Number of clients that send the requests. A client has one request in flight at a time, so that this must exceed the
+/// largest number of requests in flight.
 const CLIENT_COUNT: usize = 48;
-/// The longest latency that is told apart, in microseconds.
+/// Longest latency that can be recorded, in microseconds.
 const MAX_LATENCY_MICROS: u64 = 120_000_000;
+/// Number of significant decimal digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 
-/// Small queries at a rate, for a time.
+/// A workload of queries with Poisson arrivals at a fixed mean rate.
 pub struct Load {
-    /// The broker's address.
+    /// Address of the broker.
     pub to: SocketAddr,
-    /// How many arrive in a second, on the average.
+    /// Mean arrival rate, in requests per second.
     pub requests_per_second: f64,
-    /// For how long they arrive.
+    /// Time over which requests arrive, in seconds.
     pub duration_seconds: f64,
-    /// Draws when each arrives.
+    /// Seed of the arrival times.
     pub seed: u64,
-    /// What their ids begin with.
+    /// Prefix of the request ids, which the number of the request follows.
     pub id_prefix: &'static str,
 }
 
-/// What became of a load.
+/// Results of a workload.
 pub struct LoadReport {
-    /// Microseconds from when each request was due to its answer.
+    /// Latencies of all requests in microseconds, from the time at which the request was due to its end.
     pub latencies: Histogram<u64>,
-    /// Answered with 200.
+    /// Number of requests answered with status 200.
     pub served: u64,
-    /// Answered with 429 or 503.
+    /// Number of requests answered with status 429 or 503.
     pub rejected: u64,
-    /// Answered with another status, or not at all.
+    /// Number of requests answered with another status, or not at all.
     pub failed: u64,
 }
 
 impl LoadReport {
-    /// The latency below which this share of the requests ended.
+    /// Returns a quantile of the latencies, in seconds. `quantile` is between 0 and 1.
     pub fn latency_seconds(&self, quantile: f64) -> f64 {
         self.latencies.value_at_quantile(quantile) as f64 / 1e6
     }
 
-    /// The latency in milliseconds over the percentage of requests that ended within it.
+    /// Returns a curve of the latency percentiles: percentage of the requests on the x axis, latency in milliseconds on
+    /// the y axis.
     pub fn latency_curve(&self, name: &str) -> Curve {
         let point = |percent: i32| {
             let percent = f64::from(percent);
@@ -60,6 +64,7 @@
         Curve { name: name.to_string(), points: (0..=100).map(point).collect() }
     }
 
+    /// Records the end of a request; `status` is `None` if there was no answer.
     fn record(&mut self, due: Instant, status: Option<u16>) {
         let _ = self.latencies.record(due.elapsed().as_micros() as u64);
         match status {
@@ -70,29 +75,30 @@
     }
 }
 
-/// What the clients of a load share.
-struct Work<R, A> {
+/// State that the clients of a workload share.
+struct SharedWorkload<R, A> {
     to: SocketAddr,
-    /// When each request is due.
+    /// When each request is due, by its number.
     arrivals: Vec<Instant>,
-    next: AtomicUsize,
-    request: R,
+    /// Number of the next request that a client sends.
+    next_number: AtomicUsize,
+    build_request: R,
     on_answer: A,
     report: Mutex<LoadReport>,
 }
 
-impl<R: Fn(usize) -> String, A: Fn(usize, Instant, Option<&Answer>)> Work<R, A> {
-    /// Takes arrivals until there are no more.
+impl<R: Fn(usize) -> String, A: Fn(usize, Instant, Option<&Answer>)> SharedWorkload<R, A> {
+    /// Sends requests, each when it is due, until none is left. Connects again after a request without an answer.
     fn run_client(&self) {
         let mut client = Client::connect_to(self.to);
         loop {
-            let number = self.next.fetch_add(1, Ordering::Relaxed);
+            let number = self.next_number.fetch_add(1, Ordering::Relaxed);
             let Some(&due) = self.arrivals.get(number) else { return };
             thread::sleep(due.saturating_duration_since(Instant::now()));
-            let request = (self.request)(number);
-            let sent = Instant::now();
+            let request = (self.build_request)(number);
+            let sent_at = Instant::now();
             let answer = client.try_request(&request);
-            (self.on_answer)(number, sent, answer.as_ref());
+            (self.on_answer)(number, sent_at, answer.as_ref());
             let status = answer.map(|answer| answer.status);
             if status.is_none() {
                 client = Client::connect_to(self.to);
@@ -103,41 +109,42 @@
 }
 
 impl Load {
-    /// Runs it with small queries of the ordinary form.
+    /// Runs the workload with small queries and returns its results.
     pub fn run(&self) -> LoadReport {
         let prefix = self.id_prefix;
-        let request =
+        let build_request =
             move |number: usize| query_request("find", &format!("{prefix}{number}"), &[number % 6], "20.0");
-        self.run_with(request, |_, _, _| {})
+        self.run_with(build_request, |_, _, _| {})
     }
 
-    /// Runs it with the requests that `request` makes of their numbers. `on_answer` gets the number, when it was sent, and its answer.
+    /// Runs the workload with custom requests and returns its results. `build_request` gets the number of the request.
+    /// `on_answer` gets the number, the time at which the request was sent, and the answer, if there was one.
     pub fn run_with(
         &self,
-        request: impl Fn(usize) -> String + Send + Sync + 'static,
+        build_request: impl Fn(usize) -> String + Send + Sync + 'static,
         on_answer: impl Fn(usize, Instant, Option<&Answer>) + Send + Sync + 'static,
     ) -> LoadReport {
         let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, LATENCY_DIGITS);
-        let latencies = latencies.expect("bounds are in order");
-        let work = Arc::new(Work {
+        let latencies = latencies.expect("the bounds of the histogram are valid");
+        let workload = Arc::new(SharedWorkload {
             to: self.to,
             arrivals: self.draw_arrivals(),
-            next: AtomicUsize::new(0),
-            request,
+            next_number: AtomicUsize::new(0),
+            build_request,
             on_answer,
             report: Mutex::new(LoadReport { latencies, served: 0, rejected: 0, failed: 0 }),
         });
         let start_client = |_| {
-            let work = work.clone();
-            thread::spawn(move || work.run_client())
+            let workload = workload.clone();
+            thread::spawn(move || workload.run_client())
         };
         let clients: Vec<_> = (0..CLIENT_COUNT).map(start_client).collect();
         clients.into_iter().for_each(|client| client.join().unwrap());
-        let work = Arc::into_inner(work).expect("all clients have ended");
-        work.report.into_inner().expect("no client has panicked")
+        let workload = Arc::into_inner(workload).expect("all clients have ended");
+        workload.report.into_inner().expect("no client has panicked")
     }
 
-    /// Poisson arrivals, drawn ahead: the same whatever becomes of each.
+    /// Draws the times of Poisson arrivals. They are drawn beforehand, so that they do not depend on the answers.
     fn draw_arrivals(&self) -> Vec<Instant> {
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
         let mut offsets = Vec::new();
--- a/crates/dunepond-testkit/src/main.rs
+++ b/crates/dunepond-testkit/src/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory's program: experiments, and a broker whose disk can be made to fail.
+//! Command-line tool of the testkit: runs experiments, and hosts a broker with fault injection on its disk.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -14,7 +14,7 @@
 use dunepond_testkit::experiments::{self, RunOptions};
 use dunepond_testkit::faulty_disk::{FaultyFileStore, FaultySpillFolder};
 
-/// Experiments on the real broker among stand-ins on loopback.
+/// Run experiments on a real broker with simulated peers on loopback
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -24,85 +24,103 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run an experiment and print its figures, each beside its bound
+    /// Run an experiment and print its measured values with their bounds
     Run {
+        /// Name of the experiment, as printed by `list`
         name: String,
-        /// Under 40 s, with shorter stretches
+        /// Run a shorter version of the experiment, in less than 40 s
         #[arg(long)]
         quick: bool,
+        /// Seed of the random number generators
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Run only the cases whose name holds this, where an experiment has cases
+        /// Run only the cases whose name contains this text, if the experiment has cases
         #[arg(long)]
         only: Option<String>,
-        /// Play fleets of so many brokers alone, by seed: how a seed that failed is played again
+        /// Run only random scenarios with this number of brokers, to reproduce a seed that failed
         #[arg(long)]
         brokers: Option<usize>,
-        /// Seeds that are played with `--brokers`, from `--seed` on
-        #[arg(long, default_value_t = 1)]
-        plays: u64,
-        /// Write the figures as JSON, and plots as SVG, into this folder
+        /// Number of seeds to run with `--brokers`, starting from `--seed`
+        #[arg(long = "plays", value_name = "PLAYS", default_value_t = 1)]
+        seed_count: u64,
+        /// Write the measured values as JSON, and plots as SVG, into this folder
         #[arg(long, value_name = "DIR")]
         out: Option<PathBuf>,
     },
-    /// Name the experiments
+    /// List the experiments
     List,
-    /// Host a broker (GW_CONFIG as ever) on a folder that fails as a file tells it to
+    /// Run a broker, configured by its usual environment variables such as GW_CONFIG, with disk faults
     #[command(hide = true)]
     Broker {
+        /// Operator file of the broker
         #[arg(long)]
         operator: PathBuf,
+        /// File that names the fault of the folders for bodies and for state
         #[arg(long)]
         disk: PathBuf,
-        /// The fleet's folder fails as this file tells it to
+        /// File that names the fault of the fleet's folder
         #[arg(long)]
         fleet_disk: Option<PathBuf>,
     },
 }
 
-fn broker(file: PathBuf, disk: PathBuf, fleet_disk: Option<PathBuf>) -> anyhow::Result<()> {
-    let plain = |ConfigError(line)| anyhow!(line);
-    let operator = config::read_operator_file(&file).map_err(plain)?;
-    let mut start = config::read(|name| std::env::var(name).ok()).map_err(plain)?;
+/// Runs a broker until it ends. The folders for bodies and for state have the fault that `faults_file` names, and the
+/// fleet's folder has that of `fleet_faults_file`.
+fn run_broker(
+    operator_file: PathBuf,
+    faults_file: PathBuf,
+    fleet_faults_file: Option<PathBuf>,
+) -> anyhow::Result<()> {
+    let into_error = |ConfigError(message)| anyhow!(message);
+    let operator = config::read_operator_file(&operator_file).map_err(into_error)?;
+    let mut start = config::read(|name| std::env::var(name).ok()).map_err(into_error)?;
     logger::start(&start.name, start.log_level, logger::LogFormat::Text);
-    let folder = operator.body_buffer.as_ref().and_then(|bodies| bodies.spill.as_ref());
-    let folder = folder
-        .map(|folder| FaultySpillFolder::new(&folder.folder, &disk))
+    let spill = operator.body_buffer.as_ref().and_then(|bodies| bodies.spill.as_ref());
+    let spill_folder = spill
+        .map(|spill| FaultySpillFolder::new(&spill.folder, &faults_file))
         .transpose()
         .context("files: folder")?;
-    let folder = folder.map(|faulty| Arc::new(faulty) as Arc<dyn SpillFolder>);
-    let operator_state = operator.recovery.as_ref().map(|state| state.folder.clone());
+    let spill_folder = spill_folder.map(|folder| Arc::new(folder) as Arc<dyn SpillFolder>);
+    let state_folder = operator.recovery.as_ref().map(|recovery| recovery.folder.clone());
     start.operator = operator;
-    let state =
-        operator_state.map(|path| FaultyFileStore::new(&path, &disk)).transpose().context("state: folder")?;
-    let files = state.map(|files| Arc::new(files) as Arc<dyn FileStore>);
-    let fleet = start.operator.fleet.as_ref().zip(fleet_disk);
-    let fleet =
+    let state_store = state_folder
+        .map(|folder| FaultyFileStore::new(&folder, &faults_file))
+        .transpose()
+        .context("state: folder")?;
+    let state_store = state_store.map(|store| Arc::new(store) as Arc<dyn FileStore>);
+    let fleet = start.operator.fleet.as_ref().zip(fleet_faults_file);
+    let fleet_store =
         fleet.map(|(fleet, faults_file)| FaultyFileStore::new(&fleet.folder, &faults_file)).transpose()?;
-    let fleet = TestDoubles {
-        storage: fleet.map(|files| Arc::new(files) as Arc<dyn FileStore>),
+    let control_plane = TestDoubles {
+        storage: fleet_store.map(|store| Arc::new(store) as Arc<dyn FileStore>),
         ..TestDoubles::default()
     };
     serve(
         start,
         Hooks {
-            operator_file: Some(file),
-            body_folder: folder,
-            state_files: files,
-            control_plane: fleet,
+            operator_file: Some(operator_file),
+            body_folder: spill_folder,
+            state_files: state_store,
+            control_plane,
             ..Hooks::default()
         },
     )
-    .map_err(plain)
+    .map_err(into_error)
 }
 
 fn main() -> anyhow::Result<ExitCode> {
     match Arguments::parse().command {
-        Command::Broker { operator, disk, fleet_disk } => broker(operator, disk, fleet_disk)?,
-        Command::List => experiments::ALL.iter().for_each(|e| println!("{:12} {}", e.name, e.summary)),
-        Command::Run { name, quick, seed, only, brokers, plays, out } => {
-            let experiment = experiments::ALL.iter().find(|e| e.name == name);
-            let experiment = experiment.with_context(|| format!("no experiment '{name}'; see `list`"))?;
+        Command::Broker { operator, disk, fleet_disk } => run_broker(operator, disk, fleet_disk)?,
+        Command::List => {
+            experiments::ALL
+                .iter()
+                .for_each(|experiment| println!("{:12} {}", experiment.name, experiment.summary));
+        }
+        Command::Run { name, quick, seed, only, brokers, seed_count, out } => {
+            let experiment = experiments::ALL.iter().find(|experiment| experiment.name == name);
+            let experiment = experiment.with_context(|| {
+                format!("experiment '{name}' does not exist; `list` shows all experiments")
+            })?;
             let program = std::env::current_exe()?;
             let figures = (experiment.run)(&RunOptions {
                 program,
@@ -110,7 +128,7 @@
                 seed,
                 case_filter: only,
                 brokers,
-                seed_count: plays,
+                seed_count,
             })?;
             if !figures.finish(experiment.name, out.as_deref())? {
                 return Ok(ExitCode::FAILURE);
--- a/crates/dunepond-testkit/src/memory_store.rs
+++ b/crates/dunepond-testkit/src/memory_store.rs
@@ -1,5 +1,6 @@
-//! Files in memory that lose in a crash whatever a real disk may: unsynced writes and unsynced names, in any mixture; and that
-//! fail any call, or stop the process at it.
+//! A file store in memory with fault injection. A simulated machine crash loses any combination of writes and name
+//! changes that were not synced, as on a real disk. Any call can be made to fail, or to be the one at which the process
+//! stops.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,41 +8,48 @@
 
 use dunepond_storage::{FileStore, WritableFile};
 
-/// Which calls fail.
+/// Faults to inject. Calls are numbered from 1 on when the plan is set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultPlan {
-    /// All calls succeed.
+    /// No fault is injected.
     Serve,
-    /// The process stops at this call, of which a part may be done.
+    /// The process stops during the call with this number, which may have taken effect partly. All later calls fail.
     StopAt(usize),
-    /// This call fails, and no other.
+    /// The call with this number fails with `EIO`; no other call fails.
     FailAt(usize),
-    /// All calls that write fail.
+    /// The disk is full: creating files and writing fails with `ENOSPC`.
     Full,
 }
 
-/// A file: its bytes now, and how many of them, in which state, are there for good.
+/// The content of a file.
 #[derive(Clone, Debug, Default)]
 struct Inode {
-    now: Vec<u8>,
+    /// Content as the process sees it.
+    current: Vec<u8>,
+    /// Content at the last sync, which a crash does not lose.
     synced: Vec<u8>,
 }
 
 #[derive(Debug)]
 struct State {
     plan: FaultPlan,
+    /// Number of calls since the plan was set.
     calls: usize,
+    /// Whether the process has stopped, so that all calls fail.
     stopped: bool,
     inodes: Vec<Inode>,
-    /// Names as they are, and as they are there for good.
-    now: BTreeMap<String, usize>,
-    synced: BTreeMap<String, usize>,
-    /// Changes of names since: what a crash may keep or lose, each by itself.
-    changes: Vec<(String, Option<usize>)>,
-    bytes: u64,
+    /// Names of the files as the process sees them, with indexes into `inodes`.
+    current_names: BTreeMap<String, usize>,
+    /// Names of the files at the last sync of the names, which a crash does not lose.
+    synced_names: BTreeMap<String, usize>,
+    /// Name changes since the last sync of the names; `None` for a removed name. A crash may keep or lose each of them
+    /// on its own.
+    unsynced_changes: Vec<(String, Option<usize>)>,
+    /// Number of bytes written so far.
+    bytes_written: u64,
 }
 
-/// Files in memory; clones share them.
+/// A file store in memory. Clones share the same files.
 #[derive(Clone, Debug)]
 pub struct MemoryStore(Arc<Mutex<State>>);
 
@@ -52,23 +60,23 @@
             calls: 0,
             stopped: false,
             inodes: Vec::new(),
-            now: BTreeMap::new(),
-            synced: BTreeMap::new(),
-            changes: Vec::new(),
-            bytes: 0,
+            current_names: BTreeMap::new(),
+            synced_names: BTreeMap::new(),
+            unsynced_changes: Vec::new(),
+            bytes_written: 0,
         })))
     }
 }
 
-/// A small generator of its own: which of the lost things are lost.
-fn draw(seed: &mut u64, below: u64) -> u64 {
+/// Draws a number below `below` with a linear congruential generator, and advances the seed.
+fn draw_below(seed: &mut u64, below: u64) -> u64 {
     *seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
     (*seed >> 33) % below.max(1)
 }
 
 impl State {
-    /// What the next call is to do: `Ok(true)` where it stops half way.
-    fn call(&mut self, writes: bool) -> io::Result<bool> {
+    /// Counts a call and injects the planned fault. Returns `Ok(true)` if the process stops during this call.
+    fn begin_call(&mut self, writes: bool) -> io::Result<bool> {
         if self.stopped {
             return Err(io::Error::other("the process has stopped"));
         }
@@ -84,47 +92,49 @@
         }
     }
 
-    fn stop<T>() -> io::Result<T> {
+    fn stopped_error<T>() -> io::Result<T> {
         Err(io::Error::other("the process has stopped"))
     }
 
-    fn name(&mut self, name: &str, inode: Option<usize>) {
+    /// Lets a name refer to a file, or removes the name if `inode` is `None`.
+    fn set_name(&mut self, name: &str, inode: Option<usize>) {
         match inode {
-            Some(inode) => self.now.insert(name.to_string(), inode),
-            None => self.now.remove(name),
+            Some(inode) => self.current_names.insert(name.to_string(), inode),
+            None => self.current_names.remove(name),
         };
-        self.changes.push((name.to_string(), inode));
+        self.unsynced_changes.push((name.to_string(), inode));
     }
 }
 
 impl MemoryStore {
-    /// What becomes of the calls from now on, which are counted from 0 again.
+    /// Sets the faults to inject, and restarts the count of calls.
     pub fn set_plan(&self, plan: FaultPlan) {
         let mut state = self.0.lock().unwrap();
         (state.plan, state.calls) = (plan, 0);
     }
 
-    /// Calls since the plan was set.
+    /// Returns the number of calls since the plan was set.
     pub fn calls(&self) -> usize {
         self.0.lock().unwrap().calls
     }
 
-    /// Bytes that were ever written.
+    /// Returns the number of bytes that have been written so far.
     pub fn bytes_written(&self) -> u64 {
-        self.0.lock().unwrap().bytes
+        self.0.lock().unwrap().bytes_written
     }
 
-    /// The process has crashed, and with `machine` the machine too: then `seed` draws what is lost of that which was not synced.
-    pub fn crash(&self, machine: bool, mut seed: u64) {
+    /// Simulates a restart after a crash of the process, or of the machine if `machine_crashed` is set. A crash of the
+    /// machine loses some of the data that was not synced, as drawn from `seed`. Removes the fault plan.
+    pub fn crash(&self, machine_crashed: bool, mut seed: u64) {
         let mut state = self.0.lock().unwrap();
         (state.stopped, state.plan, state.calls) = (false, FaultPlan::Serve, 0);
-        if !machine {
+        if !machine_crashed {
             return;
         }
-        let changes = std::mem::take(&mut state.changes);
-        let mut names = state.synced.clone();
+        let changes = std::mem::take(&mut state.unsynced_changes);
+        let mut names = state.synced_names.clone();
         for (name, inode) in changes {
-            if draw(&mut seed, 2) == 0 {
+            if draw_below(&mut seed, 2) == 0 {
                 match inode {
                     Some(inode) => names.insert(name, inode),
                     None => names.remove(&name),
@@ -132,152 +142,162 @@
             }
         }
         for inode in &mut state.inodes {
-            // Of what was not synced, any beginning is there, and what is not may read as zeros.
-            let whole = inode.now.starts_with(&inode.synced);
-            let kept = match (whole, draw(&mut seed, 3)) {
-                (true, 0) => inode.now.len(),
+            // Any prefix of the bytes appended since the last sync may be kept; the lost bytes may read as zeros. If
+            // the content was changed in another way, the synced content is restored.
+            let only_appended = inode.current.starts_with(&inode.synced);
+            let kept = match (only_appended, draw_below(&mut seed, 3)) {
+                (true, 0) => inode.current.len(),
                 (true, 1) => {
                     inode.synced.len()
-                        + draw(&mut seed, (inode.now.len() - inode.synced.len() + 1) as u64) as usize
+                        + draw_below(&mut seed, (inode.current.len() - inode.synced.len() + 1) as u64)
+                            as usize
                 }
                 _ => inode.synced.len(),
             };
-            let zeros = whole && draw(&mut seed, 4) == 0;
-            let length = inode.now.len();
-            let base = if whole { inode.now.clone() } else { inode.synced.clone() };
-            inode.now = base[..kept.min(base.len())].to_vec();
-            if zeros {
-                inode.now.resize(length.max(inode.now.len()), 0);
+            let zero_filled = only_appended && draw_below(&mut seed, 4) == 0;
+            let length = inode.current.len();
+            let base = if only_appended { inode.current.clone() } else { inode.synced.clone() };
+            inode.current = base[..kept.min(base.len())].to_vec();
+            if zero_filled {
+                inode.current.resize(length.max(inode.current.len()), 0);
             }
-            inode.synced = inode.now.clone();
+            inode.synced = inode.current.clone();
         }
-        state.synced = names.clone();
-        state.now = names;
+        state.synced_names = names.clone();
+        state.current_names = names;
     }
 
-    /// The bytes of a file.
+    /// Returns the content of a file; `None` if there is no file of this name.
     pub fn contents(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.0.lock().unwrap();
-        state.now.get(name).map(|inode| state.inodes[*inode].now.clone())
+        state.current_names.get(name).map(|inode| state.inodes[*inode].current.clone())
     }
 
-    /// Puts a file there, as if it had been synced, behind everybody's back.
+    /// Replaces or creates a file as if it had been synced, without counting a call. Files that are already open are
+    /// not affected.
     pub fn overwrite(&self, name: &str, bytes: Vec<u8>) {
         let mut state = self.0.lock().unwrap();
         let inode = state.inodes.len();
-        state.inodes.push(Inode { now: bytes.clone(), synced: bytes });
-        state.now.insert(name.to_string(), inode);
-        state.synced.insert(name.to_string(), inode);
+        state.inodes.push(Inode { current: bytes.clone(), synced: bytes });
+        state.current_names.insert(name.to_string(), inode);
+        state.synced_names.insert(name.to_string(), inode);
     }
 
-    /// The names of all files.
+    /// Returns the names of all files.
     pub fn names(&self) -> Vec<String> {
-        self.0.lock().unwrap().now.keys().cloned().collect()
+        self.0.lock().unwrap().current_names.keys().cloned().collect()
     }
 }
 
-struct Open {
-    files: MemoryStore,
+/// A file that is open for appending.
+struct OpenFile {
+    store: MemoryStore,
     inode: usize,
 }
 
 impl FileStore for MemoryStore {
     fn create(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         let mut state = self.0.lock().unwrap();
-        let stops = state.call(true)?;
+        let stops = state.begin_call(true)?;
         let inode = state.inodes.len();
         state.inodes.push(Inode::default());
-        state.name(name, Some(inode));
-        if stops { State::stop() } else { Ok(Box::new(Open { files: self.clone(), inode })) }
+        state.set_name(name, Some(inode));
+        if stops { State::stopped_error() } else { Ok(Box::new(OpenFile { store: self.clone(), inode })) }
     }
 
     fn open_append(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         let mut state = self.0.lock().unwrap();
-        if state.call(false)? {
-            return State::stop();
+        if state.begin_call(false)? {
+            return State::stopped_error();
         }
-        let inode = *state.now.get(name).ok_or(io::ErrorKind::NotFound)?;
-        Ok(Box::new(Open { files: self.clone(), inode }))
+        let inode = *state.current_names.get(name).ok_or(io::ErrorKind::NotFound)?;
+        Ok(Box::new(OpenFile { store: self.clone(), inode }))
     }
 
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>> {
         let mut state = self.0.lock().unwrap();
-        if state.call(false)? {
-            return State::stop();
+        if state.begin_call(false)? {
+            return State::stopped_error();
+        }
+        let inode = *state.current_names.get(name).ok_or(io::ErrorKind::NotFound)?;
+        let bytes = &state.inodes[inode].current;
+        if bytes.len() as u64 > max_bytes {
+            Err(io::ErrorKind::FileTooLarge.into())
+        } else {
+            Ok(bytes.clone())
         }
-        let inode = *state.now.get(name).ok_or(io::ErrorKind::NotFound)?;
-        let bytes = &state.inodes[inode].now;
-        if bytes.len() as u64 > most { Err(io::ErrorKind::FileTooLarge.into()) } else { Ok(bytes.clone()) }
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut state = self.0.lock().unwrap();
-        let stops = state.call(false)?;
-        let inode = *state.now.get(from).ok_or(io::ErrorKind::NotFound)?;
+        let stops = state.begin_call(false)?;
+        let inode = *state.current_names.get(from).ok_or(io::ErrorKind::NotFound)?;
+        // A process that stops during a rename has not renamed the file if the call's number is even, and has renamed
+        // it otherwise.
         if stops && state.calls.is_multiple_of(2) {
-            return State::stop();
+            return State::stopped_error();
         }
-        state.name(to, Some(inode));
-        state.name(from, None);
-        if stops { State::stop() } else { Ok(()) }
+        state.set_name(to, Some(inode));
+        state.set_name(from, None);
+        if stops { State::stopped_error() } else { Ok(()) }
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.0.lock().unwrap();
-        if state.call(false)? {
-            return State::stop();
+        if state.begin_call(false)? {
+            return State::stopped_error();
         }
-        state.now.get(name).ok_or(io::ErrorKind::NotFound)?;
-        state.name(name, None);
+        state.current_names.get(name).ok_or(io::ErrorKind::NotFound)?;
+        state.set_name(name, None);
         Ok(())
     }
 
     fn sync_names(&self) -> io::Result<()> {
         let mut state = self.0.lock().unwrap();
-        if state.call(false)? {
-            return State::stop();
+        if state.begin_call(false)? {
+            return State::stopped_error();
         }
-        state.synced = state.now.clone();
-        state.changes.clear();
+        state.synced_names = state.current_names.clone();
+        state.unsynced_changes.clear();
         Ok(())
     }
 
     fn list(&self) -> io::Result<Vec<String>> {
         let mut state = self.0.lock().unwrap();
-        if state.call(false)? {
-            return State::stop();
+        if state.begin_call(false)? {
+            return State::stopped_error();
         }
-        Ok(state.now.keys().cloned().collect())
+        Ok(state.current_names.keys().cloned().collect())
     }
 }
 
-impl WritableFile for Open {
+impl WritableFile for OpenFile {
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let mut state = self.files.0.lock().unwrap();
-        let stops = state.call(true)?;
-        // Torn in the middle where the process stops in it.
+        let mut state = self.store.0.lock().unwrap();
+        let stops = state.begin_call(true)?;
+        // A process that stops during a write has written half of the bytes.
         let count = if stops { bytes.len() / 2 } else { bytes.len() };
-        state.bytes += count as u64;
-        state.inodes[self.inode].now.extend_from_slice(&bytes[..count]);
-        if stops { State::stop() } else { Ok(()) }
+        state.bytes_written += count as u64;
+        state.inodes[self.inode].current.extend_from_slice(&bytes[..count]);
+        if stops { State::stopped_error() } else { Ok(()) }
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
-        let mut state = self.files.0.lock().unwrap();
-        if state.call(false)? {
-            return State::stop();
+        let mut state = self.store.0.lock().unwrap();
+        if state.begin_call(false)? {
+            return State::stopped_error();
         }
-        state.inodes[self.inode].now.truncate(length as usize);
+        state.inodes[self.inode].current.truncate(length as usize);
         Ok(())
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        let mut state = self.files.0.lock().unwrap();
-        if state.call(false)? {
-            return State::stop();
+        let mut state = self.store.0.lock().unwrap();
+        if state.begin_call(false)? {
+            return State::stopped_error();
         }
         let inode = &mut state.inodes[self.inode];
-        inode.synced = inode.now.clone();
+        inode.synced = inode.current.clone();
         Ok(())
     }
 }
--- a/crates/dunepond-testkit/src/part_runs.rs
+++ b/crates/dunepond-testkit/src/part_runs.rs
@@ -1,8 +1,9 @@
-//! Counts of how often each part ran, over several nodes.
+//! Adds up how often each part ran on several nodes.
 
 use std::collections::BTreeMap;
 
-/// The ids of parts that ran more than once in all, from each node's own counts.
+/// Returns the ids of parts that ran more than once in total. `counts` holds part ids with the numbers of runs that
+/// single nodes counted.
 pub fn repeated(counts: impl IntoIterator<Item = (String, u32)>) -> Vec<String> {
     let mut totals: BTreeMap<String, u32> = BTreeMap::new();
     for (id, count) in counts {
--- a/crates/dunepond-testkit/src/processes.rs
+++ b/crates/dunepond-testkit/src/processes.rs
@@ -1,5 +1,5 @@
-//! Real brokers as processes that are killed, stopped and restarted, with and without their folders. Each is killed when its
-//! value is dropped, and prints the end of its log if its test fails.
+//! Process control for real brokers: tests start, kill, suspend and restart them, with or without their folders. A
+//! broker is killed when its [`BrokerProcess`] is dropped; if the test fails, the end of its log is printed.
 
 use std::fs::{self, OpenOptions};
 use std::io::{self, Read, Write};
@@ -14,21 +14,21 @@
 
 use crate::stand_ins;
 
-/// Longest wait for an event that must come, generous for a busy machine.
+/// Longest wait for an expected event. It is long enough for a machine under load.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// How much is printed of the log of a broker whose test fails.
+/// Number of bytes at the end of a broker's log that are printed when a test fails.
 const MAX_LOG_BYTES_SHOWN: usize = 6_000;
 
-/// Waits until a condition holds; false where it does not in time.
-pub fn wait_until(until: impl FnMut() -> bool) -> bool {
-    wait_until_within(WAIT_TIMEOUT, until)
+/// Waits until a condition holds, for at most [`WAIT_TIMEOUT`]. Returns whether it holds.
+pub fn wait_until(condition: impl FnMut() -> bool) -> bool {
+    wait_until_within(WAIT_TIMEOUT, condition)
 }
 
-/// Waits at most so long until a condition holds; false where it does not in time.
-pub fn wait_until_within(longest: Duration, mut until: impl FnMut() -> bool) -> bool {
+/// Waits until a condition holds, for at most `timeout`. Returns whether it holds.
+pub fn wait_until_within(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let start = Instant::now();
-    while !until() {
-        if start.elapsed() > longest {
+    while !condition() {
+        if start.elapsed() > timeout {
             return false;
         }
         thread::sleep(Duration::from_millis(10));
@@ -36,24 +36,26 @@
     true
 }
 
-/// One broker through all of its incarnations.
+/// A broker, which runs as one process after another, its incarnations.
 pub struct BrokerProcess {
-    /// Its name among brokers.
+    /// Name of the broker.
     pub name: String,
     program: PathBuf,
     arguments: Vec<String>,
     environment: Vec<(String, String)>,
-    /// Where it listens for clients.
+    /// Address at which the broker listens for clients.
     pub address: SocketAddr,
-    /// Its folder, which outlasts an incarnation.
+    /// Folder of the broker, which is kept between incarnations.
     pub folder: PathBuf,
-    /// Where its output goes, of all its incarnations.
+    /// Path of the log file, with the output of all incarnations.
     pub log: PathBuf,
+    /// The process of the current incarnation; `None` before the start and after the end.
     child: Option<Child>,
 }
 
 impl BrokerProcess {
-    /// Not started yet. Its address must be its own, so that it is the same in each incarnation.
+    /// Creates a broker without starting it. No other process may use the address, since every incarnation listens
+    /// there.
     pub fn new(program: &Path, name: &str, address: SocketAddr, folder: &Path) -> Self {
         Self {
             name: name.to_string(),
@@ -67,121 +69,140 @@
         }
     }
 
-    /// Sets its command line.
+    /// Sets the command-line arguments.
     pub fn arguments(mut self, arguments: &[&str]) -> Self {
         self.arguments = arguments.iter().map(|argument| argument.to_string()).collect();
         self
     }
 
-    /// Adds an environment variable; there are no others.
+    /// Adds an environment variable. The broker does not inherit any from the test.
     pub fn environment(mut self, name: &str, value: &str) -> Self {
         self.environment.push((name.to_string(), value.to_string()));
         self
     }
 
-    /// Starts an incarnation, whose log goes on behind that of the last.
+    /// Starts an incarnation, which appends to the log of the earlier ones.
+    ///
+    /// # Panics
+    /// Panics if the broker is running or cannot be started.
     pub fn start(&mut self) {
-        assert!(self.child.is_none(), "{} runs already", self.name);
+        assert!(self.child.is_none(), "{} is already running", self.name);
         fs::create_dir_all(&self.folder).unwrap();
         let log = OpenOptions::new().create(true).append(true).open(&self.log).unwrap();
         let mut command = Command::new(&self.program);
         command.args(&self.arguments).env_clear().envs(self.environment.iter().cloned());
         command.stdin(Stdio::null()).stdout(log.try_clone().unwrap()).stderr(log);
-        self.child = Some(command.spawn().unwrap_or_else(|e| panic!("{}: {e}", self.program.display())));
+        self.child =
+            Some(command.spawn().unwrap_or_else(|e| panic!("cannot start {}: {e}", self.program.display())));
     }
 
-    /// Whether it says that it is ready.
+    /// Whether the broker answers a request to `/ready` with status 200.
     pub fn ready(&self) -> bool {
-        let ask = || -> io::Result<bool> {
+        let request_ready = || -> io::Result<bool> {
             let mut stream = TcpStream::connect_timeout(&self.address, Duration::from_millis(500))?;
             stream.set_read_timeout(Some(Duration::from_millis(500)))?;
             stream.write_all(b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")?;
-            let mut head = [0; 12];
-            stream.read_exact(&mut head)?;
-            Ok(&head == b"HTTP/1.1 200")
+            let mut status_line = [0; 12];
+            stream.read_exact(&mut status_line)?;
+            Ok(&status_line == b"HTTP/1.1 200")
         };
-        ask().unwrap_or(false)
+        request_ready().unwrap_or(false)
     }
 
-    /// Its process id.
+    /// Returns the process id.
     ///
     /// # Panics
-    /// Where it does not run.
+    /// Panics if the broker has not been started, or has been killed or terminated.
     pub fn pid(&self) -> u32 {
-        self.child.as_ref().expect("it runs").id()
+        self.child.as_ref().expect("the broker has been started").id()
     }
 
-    /// Whether its process is there.
+    /// Whether the broker's process is running.
     pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
     fn signal(&self, signal: Signal) {
-        kill(Pid::from_raw(self.pid() as i32), signal).unwrap_or_else(|e| panic!("{}: {e}", self.name));
+        kill(Pid::from_raw(self.pid() as i32), signal)
+            .unwrap_or_else(|e| panic!("{}: cannot send {signal}: {e}", self.name));
     }
 
-    /// Kills it, if it is there.
+    /// Kills the broker with SIGKILL, if it has been started.
     pub fn kill(&mut self) {
-        // By its handle, which knows whether it has been reaped already and its number is another's.
+        // `Child::kill` does nothing if the process has been reaped already. Its id might be that of another process by
+        // then.
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Ends it by SIGTERM; its exit code, or none where it had to be killed.
+    /// Ends the broker with SIGTERM. Returns its exit code; `None` if it had to be killed because it did not end within
+    /// [`WAIT_TIMEOUT`], or if a signal ended it.
     pub fn terminate(&mut self) -> Option<i32> {
         self.signal(Signal::SIGTERM);
-        let child = self.child.as_mut().expect("it runs");
-        let mut code = None;
+        let child = self.child.as_mut().expect("the broker has been started");
+        let mut status = None;
         wait_until(|| {
-            code = child.try_wait().ok().flatten();
-            code.is_some()
+            status = child.try_wait().ok().flatten();
+            status.is_some()
         });
         self.kill();
-        code.and_then(|code| code.code())
+        status.and_then(|status| status.code())
     }
 
-    /// Stops its process until [`BrokerProcess::resume`]; returns once it has stopped.
+    /// Suspends the process with SIGSTOP until [`BrokerProcess::resume`]. Returns once it has stopped.
+    ///
+    /// # Panics
+    /// Panics if the process does not stop within [`WAIT_TIMEOUT`].
     pub fn suspend(&self) {
         self.signal(Signal::SIGSTOP);
         let stat = format!("/proc/{}/stat", self.pid());
-        let still = || fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T ") || s.contains(") t "));
-        assert!(wait_until(still), "{} does not stand still", self.name);
+        let has_stopped =
+            || fs::read_to_string(&stat).is_ok_and(|s| s.contains(") T ") || s.contains(") t "));
+        assert!(wait_until(has_stopped), "{} was not suspended within {WAIT_TIMEOUT:?}", self.name);
     }
 
-    /// Lets it go on after [`BrokerProcess::suspend`].
+    /// Resumes the process with SIGCONT after [`BrokerProcess::suspend`].
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Has its files read again.
+    /// Makes the broker read its configuration again, with SIGHUP.
     pub fn reload_config(&self) {
         self.signal(Signal::SIGHUP);
     }
 
-    /// All that it has logged, in all its incarnations.
+    /// Returns the log of all incarnations; empty if it cannot be read.
     pub fn log_text(&self) -> String {
         fs::read(&self.log).map_or(String::new(), |bytes| String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    /// A copy of its folder as it is, for [`BrokerProcess::restore_folder`].
+    /// Copies the broker's folder to a scratch folder, for [`BrokerProcess::restore_folder`] or
+    /// [`BrokerProcess::restore_image`]. Returns the path of the copy.
     pub fn copy_folder_to_scratch(&self) -> PathBuf {
         let copy = stand_ins::scratch_path("copy");
         copy_folder(&self.folder, &copy).unwrap();
         copy
     }
 
-    /// Replaces its folder by an old copy, as from a backup.
+    /// Replaces the broker's folder with an earlier copy, as when a backup is restored.
+    ///
+    /// # Panics
+    /// Panics if the broker has been started and not ended, or if the copy cannot be moved.
     pub fn restore_folder(&self, copy: &Path) {
-        assert!(self.child.is_none(), "{} runs on its folder", self.name);
+        assert!(self.child.is_none(), "{} is still running; end it before its folder is changed", self.name);
         self.remove_folder();
         fs::rename(copy, &self.folder).unwrap();
     }
 
-    /// Restores the contents of its files, which stay where they are, as from an image of the whole disk.
+    /// Restores the contents of the files in the broker's folder from an earlier copy, as when an image of the whole
+    /// disk is restored. Files are overwritten in place; files that the copy lacks are removed. Removes the copy.
+    ///
+    /// # Panics
+    /// Panics if the broker has been started and not ended, or if a file cannot be restored.
     pub fn restore_image(&self, copy: &Path) {
-        assert!(self.child.is_none(), "{} runs on its folder", self.name);
+        assert!(self.child.is_none(), "{} is still running; end it before its folder is changed", self.name);
         let names = |folder: &Path| -> Vec<_> {
             fs::read_dir(folder).unwrap().flatten().map(|entry| entry.file_name()).collect()
         };
@@ -196,29 +217,35 @@
         let _ = fs::remove_dir_all(copy);
     }
 
-    /// Removes its folder.
+    /// Removes the broker's folder.
     ///
     /// # Panics
-    /// Where it runs.
+    /// Panics if the broker has been started and not ended.
     pub fn remove_folder(&self) {
-        assert!(self.child.is_none(), "{} runs on its folder", self.name);
+        assert!(self.child.is_none(), "{} is still running; end it before its folder is changed", self.name);
         let _ = fs::remove_dir_all(&self.folder);
     }
 
-    /// Takes the last bytes off its journals, as a crash in the middle of a write does; how many were truncated.
+    /// Removes the last 3 bytes of each of the broker's journals that is longer than 64 bytes, as a crash in the middle
+    /// of a write may do. Returns the number of truncated journals.
+    ///
+    /// # Panics
+    /// Panics if the broker has been started and not ended.
     pub fn truncate_journals(&self) -> usize {
-        assert!(self.child.is_none(), "{} runs on its folder", self.name);
+        assert!(self.child.is_none(), "{} is still running; end it before its folder is changed", self.name);
         let entries = fs::read_dir(&self.folder).unwrap().flatten().map(|entry| entry.path());
-        let journals = entries.filter(|path| path.extension().is_some_and(|ending| ending == "journal"));
-        let torn = journals.filter(|path| {
+        let journals =
+            entries.filter(|path| path.extension().is_some_and(|extension| extension == "journal"));
+        let truncated = journals.filter(|path| {
             let file = OpenOptions::new().write(true).open(path).unwrap();
             let length = file.metadata().unwrap().len();
             length > 64 && file.set_len(length - 3).is_ok()
         });
-        torn.count()
+        truncated.count()
     }
 
-    /// Processor time that its loop, the first thread, has used in this incarnation.
+    /// Returns the CPU time that the broker's event loop, its first thread, has used in this incarnation, in seconds;
+    /// NaN if it is unknown.
     pub fn loop_cpu_seconds(&self) -> f64 {
         let path = format!("/proc/{0}/task/{0}/schedstat", self.pid());
         let text = fs::read_to_string(path).unwrap_or_default();
@@ -231,13 +258,13 @@
         self.kill();
         if thread::panicking() {
             let text = self.log_text();
-            let from = text.floor_char_boundary(text.len().saturating_sub(MAX_LOG_BYTES_SHOWN));
+            let start = text.floor_char_boundary(text.len().saturating_sub(MAX_LOG_BYTES_SHOWN));
             println!(
-                "---- {} ({} of {} bytes of its log)\n{}",
+                "---- {} (last {} of {} bytes of its log)\n{}",
                 self.name,
-                text.len() - from,
+                text.len() - start,
                 text.len(),
-                &text[from..]
+                &text[start..]
             );
         }
         let _ = fs::remove_file(&self.log);
@@ -245,26 +272,28 @@
     }
 }
 
+/// Copies a folder with all files and folders in it.
 fn copy_folder(from: &Path, to: &Path) -> io::Result<()> {
     fs::create_dir_all(to)?;
     for entry in fs::read_dir(from)? {
         let entry = entry?;
-        let into = to.join(entry.file_name());
+        let target = to.join(entry.file_name());
         match entry.file_type()?.is_dir() {
-            true => copy_folder(&entry.path(), &into)?,
-            false => drop(fs::copy(entry.path(), into)?),
+            true => copy_folder(&entry.path(), &target)?,
+            false => drop(fs::copy(entry.path(), target)?),
         }
     }
     Ok(())
 }
 
-/// An address on loopback that only this process uses: of the network 127.0.0.0/8 by our own number, so that a broker
-/// finds it free in each of its lives, which port 0 cannot promise.
+/// Returns a loopback address that no other process uses, and no other call in this process. Its IP address is derived
+/// from the id of this process, within 127.0.0.0/8. A broker can thus use the same address in each incarnation; a port
+/// that the system assigns could be taken by another process between two of them.
 pub fn unique_loopback_address() -> SocketAddr {
     use std::sync::atomic::{AtomicU16, Ordering};
     static PORT: AtomicU16 = AtomicU16::new(7_400);
     let [_, b, c, d] = std::process::id().to_be_bytes();
-    // Neither the ordinary address, which others use, nor the network's first and last.
+    // Avoids 127.0.x.x, which other programs use, and addresses that end in 0 or 255.
     let b = if b == 0 { 77 } else { b };
     let d = d.clamp(1, 254);
     SocketAddr::from(([127, b, c, d], PORT.fetch_add(1, Ordering::Relaxed)))
--- a/crates/dunepond-testkit/src/report.rs
+++ b/crates/dunepond-testkit/src/report.rs
@@ -1,4 +1,4 @@
-//! Figures with the bound beside each, as a table, as JSON and as plots.
+//! Reports of experiments: measured values with their bounds, as a table and as JSON, and plots.
 
 use std::path::Path;
 
@@ -7,47 +7,47 @@
 use plotters::prelude::*;
 use serde_json::json;
 
-/// The size of a plot, in pixels.
+/// Width and height of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (800, 480);
 
-/// One measured value.
+/// A measured value.
 pub struct Figure {
-    /// What it is.
+    /// Description of the value.
     pub name: String,
-    /// The value.
+    /// The measured value.
     pub value: f64,
-    /// The most that it may be, where there is a bound.
+    /// Largest permitted value; `None` if there is no bound.
     pub upper_bound: Option<f64>,
-    /// The unit, or nothing.
+    /// Unit of the value; empty if it has none.
     pub unit: &'static str,
 }
 
 /// A curve of a plot.
 pub struct Curve {
-    /// What it shows.
+    /// Label of the curve in the legend.
     pub name: String,
-    /// Places along it: x and y.
+    /// Points of the curve, as pairs of x and y.
     pub points: Vec<(f64, f64)>,
 }
 
-/// Curves over common axes.
+/// A plot of one or more curves over common axes.
 pub struct Plot {
-    /// Its name, also in the name of its file.
+    /// Title of the plot, which is also part of its file name.
     pub name: String,
-    /// What the x axis shows.
+    /// Label of the x axis.
     pub x_axis: &'static str,
-    /// What the y axis shows.
+    /// Label of the y axis.
     pub y_axis: &'static str,
-    /// What is drawn.
+    /// Curves of the plot.
     pub curves: Vec<Curve>,
 }
 
-/// All that an experiment measured.
+/// All measured values and plots of an experiment.
 #[derive(Default)]
 pub struct Figures {
-    /// Its values, in the order in which they are printed.
+    /// Measured values, in the order in which they are printed.
     pub figures: Vec<Figure>,
-    /// Its plots.
+    /// Plots of the experiment.
     pub plots: Vec<Plot>,
 }
 
@@ -57,7 +57,7 @@
         self.figures.push(Figure { name: name.into(), value, upper_bound: None, unit });
     }
 
-    /// Adds a value that may be at most `upper_bound`.
+    /// Adds a value with the largest permitted value `upper_bound`.
     pub fn report_bounded(
         &mut self,
         name: impl Into<String>,
@@ -73,10 +73,11 @@
         self.plots.push(Plot { name: name.to_string(), x_axis, y_axis, curves });
     }
 
-    /// Prints all, with the verdict last, and writes the files into `out` if there is one. True if every value is within its bound.
+    /// Prints all values and then the verdict, and writes the JSON file and the plots into the folder `out`, if it is
+    /// given. Returns whether all values are within their bounds.
     ///
     /// # Errors
-    /// Where a file cannot be written.
+    /// Returns an error if a file cannot be written.
     pub fn finish(&self, experiment: &str, out: Option<&Path>) -> anyhow::Result<bool> {
         println!("{}", self.table());
         if let Some(out) = out {
@@ -95,6 +96,7 @@
         Ok(exceeded.is_empty())
     }
 
+    /// Builds the table of all values with their bounds and verdicts.
     fn table(&self) -> Table {
         let mut table = Table::new();
         table.load_preset(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
@@ -112,14 +114,16 @@
         table
     }
 
+    /// Writes the values as JSON and each plot as SVG into the folder `out`.
     fn write_files(&self, experiment: &str, out: &Path) -> anyhow::Result<()> {
-        std::fs::create_dir_all(out).with_context(|| format!("{}", out.display()))?;
+        std::fs::create_dir_all(out)
+            .with_context(|| format!("cannot create the folder {}", out.display()))?;
         let figures: Vec<_> = self
             .figures
             .iter()
-            .map(|f| {
-                json!({"name": f.name, "value": f.value, "most": f.upper_bound, "unit": f.unit,
-                    "held": f.within_bound()})
+            .map(|figure| {
+                json!({"name": figure.name, "value": figure.value, "most": figure.upper_bound, "unit": figure.unit,
+                    "held": figure.within_bound()})
             })
             .collect();
         let text = serde_json::to_string_pretty(&json!({"experiment": experiment, "figures": figures}))?;
@@ -138,16 +142,17 @@
 }
 
 impl Plot {
+    /// Draws the plot into an SVG file. Both axes start at 0.
     fn draw(&self, path: &Path) -> anyhow::Result<()> {
         let points = || self.curves.iter().flat_map(|curve| &curve.points);
-        let right = points().map(|point| point.0).fold(0.0, f64::max).max(1e-9);
-        let top = points().map(|point| point.1).fold(0.0, f64::max).max(1e-9);
+        let max_x = points().map(|point| point.0).fold(0.0, f64::max).max(1e-9);
+        let max_y = points().map(|point| point.1).fold(0.0, f64::max).max(1e-9);
         let area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
         area.fill(&WHITE)?;
         let mut builder = ChartBuilder::on(&area);
         builder.caption(&self.name, ("sans-serif", 20)).margin(10);
         builder.x_label_area_size(40).y_label_area_size(60);
-        let mut chart = builder.build_cartesian_2d(0.0..right * 1.02, 0.0..top * 1.05)?;
+        let mut chart = builder.build_cartesian_2d(0.0..max_x * 1.02, 0.0..max_y * 1.05)?;
         chart.configure_mesh().x_desc(self.x_axis).y_desc(self.y_axis).draw()?;
         for (index, curve) in self.curves.iter().enumerate() {
             let color = Palette99::pick(index).to_rgba();
