--- a/crates/dunepond-testkit/src/main.rs
+++ b/crates/dunepond-testkit/src/main.rs
@@ -37,10 +37,10 @@
         /// Run only the cases whose name contains this text, if the experiment has cases
         #[arg(long)]
         only: Option<String>,
-        /// Run only random scenarios with this number of brokers, to reproduce a seed that failed
+        /// Run only fleets with this number of brokers, in the experiment `fleet-at-size`, to reproduce a seed that failed
         #[arg(long)]
         brokers: Option<usize>,
-        /// Number of seeds to run with `--brokers`, starting from `--seed`
+        /// Number of seeds to run, starting from `--seed`, with `--brokers` or in the experiment `shutdown`
         #[arg(long = "plays", value_name = "PLAYS", default_value_t = 1)]
         seed_count: u64,
         /// Write the measured values as JSON, and plots as SVG, into this folder
