--- a/crates/dunepond-testkit/tests/agree/changes.rs
+++ b/crates/dunepond-testkit/tests/agree/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration while leaders die, proposals compete and brokers restart.
+//! Changes of the configuration while leaders crash, proposals compete and brokers restart.
 
 use std::thread;
 use std::time::Duration;
@@ -9,40 +9,44 @@
 use rstest::rstest;
 use serde_json::json;
 
-use super::{GAP, all_but, assert_all_answered, assert_consistent, options, settlement, wait_joint};
+use super::{
+    QUERY_PAUSE, all_but, assert_all_answered, assert_consistent, options, settlement, wait_for_joint_phase,
+};
 
 #[derive(Clone, Copy, PartialEq)]
-enum When {
+enum ChangeStage {
     Proposed,
     Joint,
-    Filled,
+    /// The filler has received the first order to fill a replica.
+    FillOrdered,
     Confirmed,
 }
 
 #[rstest]
 fn leader_killed_during_change(
-    #[values(When::Proposed, When::Joint, When::Filled, When::Confirmed)] when: When,
+    #[values(ChangeStage::Proposed, ChangeStage::Joint, ChangeStage::FillOrdered, ChangeStage::Confirmed)]
+    stage: ChangeStage,
 ) {
     let mut fleet = Fleet::start_with_version(options(3, 5));
     let (leader, all) = (fleet.leader(), 0..fleet.options.brokers);
     let rest = all_but(&fleet, leader);
-    let clients = fleet.clients(rest.clone(), GAP);
+    let clients = fleet.clients(rest.clone(), QUERY_PAUSE);
     fleet.filler.set_paused(true);
     let next = fleet.config_version(2, &[0, 3], &[2]);
-    // At a broker that lives on; it proposes again whatever the leader took with it.
-    let by = rest[0];
-    fleet.propose(by, &next);
-    match when {
-        When::Proposed => {}
-        When::Joint => wait_joint(&fleet, &rest, 2),
-        When::Filled => {
-            assert!(wait_until(|| fleet.filler.order_count() > 0), "nothing is filled");
+    // Proposed at a broker that survives: it proposes the version again if the leader's crash loses it.
+    let proposer = rest[0];
+    fleet.propose(proposer, &next);
+    match stage {
+        ChangeStage::Proposed => {}
+        ChangeStage::Joint => wait_for_joint_phase(&fleet, &rest, 2),
+        ChangeStage::FillOrdered => {
+            assert!(wait_until(|| fleet.filler.order_count() > 0), "the filler received no order");
             fleet.filler.set_paused(false);
         }
-        When::Confirmed => {
+        ChangeStage::Confirmed => {
             fleet.filler.set_paused(false);
-            let confirmed = |act: &AuditEvent| matches!(act, AuditEvent::Confirmed { number: 2, .. });
-            assert!(wait_until(|| fleet.any_event(confirmed)), "not confirmed");
+            let confirmed = |event: &AuditEvent| matches!(event, AuditEvent::Confirmed { number: 2, .. });
+            assert!(wait_until(|| fleet.any_event(confirmed)), "version 2 was not confirmed");
         }
     }
     fleet.brokers[leader].kill();
@@ -57,18 +61,18 @@
 #[test]
 fn concurrent_proposals_one_wins() {
     let mut fleet = Fleet::start_with_version(options(3, 5));
-    let clients = fleet.clients(0..5, GAP);
-    let (mut one, mut other) = (fleet.config_version(2, &[0], &[]), fleet.config_version(2, &[0], &[]));
-    (one["why"], other["why"]) = (json!("one"), json!("other"));
-    fleet.place_version(3, &one);
-    fleet.place_version(4, &other);
+    let clients = fleet.clients(0..5, QUERY_PAUSE);
+    let (mut first, mut second) = (fleet.config_version(2, &[0], &[]), fleet.config_version(2, &[0], &[]));
+    (first["why"], second["why"]) = (json!("one"), json!("other"));
+    fleet.place_version(3, &first);
+    fleet.place_version(4, &second);
     fleet.brokers[3].reload_config();
     fleet.brokers[4].reload_config();
     fleet.wait_active(0..5, 2);
-    let told =
+    let rejected =
         |i| fleet.log_contains(i, "is not what was agreed on") || fleet.log_contains(i, "was used before");
-    assert!(wait_until(|| told(3) || told(4)), "nobody is told");
-    assert!(!(told(3) && told(4)), "both are told that the other came first");
+    assert!(wait_until(|| rejected(3) || rejected(4)), "no broker logged that its proposal lost");
+    assert!(!(rejected(3) && rejected(4)), "both brokers logged that their proposal lost");
     clients.stop();
     assert_consistent(&fleet);
 }
@@ -76,22 +80,22 @@
 #[test]
 fn second_change_waits_for_first() {
     let mut fleet = Fleet::start_with_version(options(3, 5));
-    let clients = fleet.clients(0..5, GAP);
+    let clients = fleet.clients(0..5, QUERY_PAUSE);
     fleet.filler.set_paused(true);
     let second = fleet.config_version(2, &[0], &[2]);
     fleet.propose(0, &second);
-    wait_joint(&fleet, &[0, 1, 2, 3, 4], 2);
+    wait_for_joint_phase(&fleet, &[0, 1, 2, 3, 4], 2);
     let third = fleet.config_version(3, &[0, 1], &[]);
     fleet.propose(1, &third);
-    // Longer than any wait for leases.
+    // The longest that a change waits for leases.
     thread::sleep(Duration::from_secs_f64(fleet.options.lease_bound_seconds));
     assert!(
-        !fleet.any_event(|act| matches!(act, AuditEvent::Confirmed { number: 2, .. })),
-        "in force before it is filled"
+        !fleet.any_event(|event| matches!(event, AuditEvent::Confirmed { number: 2, .. })),
+        "version 2 was confirmed before its replicas were filled"
     );
     assert!(
-        !fleet.any_event(|act| matches!(act, AuditEvent::Proposed { number: 3, .. })),
-        "two changes are open"
+        !fleet.any_event(|event| matches!(event, AuditEvent::Proposed { number: 3, .. })),
+        "version 3 was proposed while the change to version 2 was still in progress"
     );
     fleet.filler.set_paused(false);
     fleet.wait_active(0..5, 3);
@@ -104,7 +108,7 @@
     let mut fleet = Fleet::start_with_version(options(3, 5));
     for i in 0..5 {
         let rest = all_but(&fleet, i);
-        let clients = fleet.clients(rest.clone(), GAP);
+        let clients = fleet.clients(rest.clone(), QUERY_PAUSE);
         assert_eq!(fleet.brokers[i].terminate(), Some(0));
         fleet.brokers[i].start();
         assert!(wait_until(|| fleet.brokers[i].ready()));
@@ -117,29 +121,30 @@
     assert_consistent(&fleet);
 }
 
-/// The filler has done its work, and whoever ordered it dies before that is agreed.
+/// The leader crashes after it ordered a fill and before the voters agreed that the fill is done. The next leader orders
+/// the fill again, and the debt that the fill pays must be settled once.
 #[test]
 fn crash_after_fill_settles_once() {
     let mut fleet = Fleet::start_with_version(options(3, 5));
-    let clients = fleet.clients(all_but(&fleet, fleet.leader()), GAP);
-    // Counts go to one random peer about every second. A leader that knows of no debt plans fills from the holder's own
-    // partner, which settle nothing.
+    let clients = fleet.clients(all_but(&fleet, fleet.leader()), QUERY_PAUSE);
+    // About once a second a broker sends its counts to one random peer. A leader that knows of no debt plans fills from a
+    // node of the replica's own partner, and such a fill settles nothing.
     let known = wait_until(|| (0..5).all(|i| settlement::known_debt(&fleet, i) > 0));
-    assert!(known, "not all brokers heard that the partners carry for each other");
+    assert!(known, "not all brokers know the debt between the partners");
     fleet.filler.set_paused(true);
     let next = fleet.config_version(2, &[], &[1, 3]);
     let leader = fleet.leader();
     let rest = all_but(&fleet, leader);
     fleet.propose(rest[0], &next);
-    assert!(wait_until(|| fleet.filler.order_count() > 0), "nothing is filled");
+    assert!(wait_until(|| fleet.filler.order_count() > 0), "the filler received no order");
     fleet.brokers[leader].kill();
     let before = fleet.filler.order_count();
     fleet.filler.set_paused(false);
-    assert!(wait_until(|| fleet.filler.order_count() > before), "nobody orders it again");
+    assert!(wait_until(|| fleet.filler.order_count() > before), "the fill was not ordered again");
     fleet.wait_active(rest.clone(), 2);
     fleet.brokers[leader].start();
     fleet.wait_active(0..5, 2);
     assert_all_answered(&clients.stop(), &rest);
-    assert!(fleet.any_event(|act| matches!(act, AuditEvent::Settled { .. })), "nothing is settled");
+    assert!(fleet.any_event(|event| matches!(event, AuditEvent::Settled { .. })), "no debt was settled");
     assert_consistent(&fleet);
 }
--- a/crates/dunepond-testkit/tests/agree/main.rs
+++ b/crates/dunepond-testkit/tests/agree/main.rs
@@ -1,5 +1,8 @@
-//! Fleets of five to seven real brokers over links that fail. Whatever a story does, an auditor reads afterwards what
-//! everybody did: no contradiction, no part twice, no act past a lease, no answer falsely whole.
+//! Fault tests on fleets of five to seven real broker processes that are connected by faulty links.
+//!
+//! After each scenario the auditor checks the records of all brokers: no two brokers may have acted on different
+//! versions of the configuration at the same time, no non-idempotent part may have run twice, no attempt may have been sent
+//! after the lease for it expired, and no answer may be marked complete that isn't.
 
 use std::path::Path;
 use std::time::Duration;
@@ -19,34 +22,41 @@
 mod voter_folders;
 mod voters;
 
-const GAP: Duration = Duration::from_millis(60);
+/// Pause of a client between two queries.
+const QUERY_PAUSE: Duration = Duration::from_millis(60);
 
 fn options(voters: usize, brokers: usize) -> FleetOptions {
     FleetOptions::new(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), voters, brokers)
 }
 
-/// All brokers but this one.
-fn all_but(fleet: &Fleet, out: usize) -> Vec<usize> {
-    (0..fleet.options.brokers).filter(|i| *i != out).collect()
+/// Indexes of all brokers except `excluded`.
+fn all_but(fleet: &Fleet, excluded: usize) -> Vec<usize> {
+    (0..fleet.options.brokers).filter(|i| *i != excluded).collect()
 }
 
-fn wait_joint(fleet: &Fleet, brokers: &[usize], number: u64) {
-    let joint = |i: &usize| {
+/// Waits until all these brokers are in the joint phase of the change to the version with this number.
+fn wait_for_joint_phase(fleet: &Fleet, brokers: &[usize], version_number: u64) {
+    let is_joint = |i: &usize| {
         let recorded = fleet.phase(*i);
-        recorded.is_some_and(|it| it.phase == AuditPhase::Joint && it.last_version == number)
+        recorded.is_some_and(|phase| phase.phase == AuditPhase::Joint && phase.last_version == version_number)
     };
-    assert!(wait_until(|| brokers.iter().all(joint)), "not all of {brokers:?} are joint");
+    assert!(
+        wait_until(|| brokers.iter().all(is_joint)),
+        "not all of {brokers:?} entered the joint phase of version {version_number}"
+    );
 }
 
-/// Each scan that was sent has had its answer.
+/// Checks that every query sent to one of `brokers` was answered.
 fn assert_all_answered(outcomes: &[QueryOutcome], brokers: &[usize]) {
-    let lost = outcomes.iter().find(|one| one.sent && one.status.is_none() && brokers.contains(&one.broker));
-    assert!(lost.is_none(), "{lost:?}");
+    let unanswered = outcomes
+        .iter()
+        .find(|outcome| outcome.sent && outcome.status.is_none() && brokers.contains(&outcome.broker));
+    assert!(unanswered.is_none(), "a query was not answered: {unanswered:?}");
 }
 
-/// Nobody ever might act on one version alone while another might on another.
+/// Checks that the audit has no findings, and that at no time two brokers could act on different versions alone.
 fn assert_consistent(fleet: &Fleet) {
     fleet.assert_audit_clean();
     let longest = longest_contradiction(&fleet.records());
-    assert!(longest <= 0.0, "two versions in force at once for {longest} s");
+    assert!(longest <= 0.0, "two versions were in force at the same time for {longest} s");
 }
--- a/crates/dunepond-testkit/tests/agree/maps.rs
+++ b/crates/dunepond-testkit/tests/agree/maps.rs
@@ -1,4 +1,4 @@
-//! Maps that do not prove are refused, whoever proposes them.
+//! Invalid shard maps are rejected, whichever broker proposes them.
 
 use dunepond_consensus::ConfigVersion;
 use dunepond_membership::{Event, MembershipOptions, RequestKind};
@@ -8,71 +8,80 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use super::{GAP, assert_all_answered, assert_consistent, options};
+use super::{QUERY_PAUSE, assert_all_answered, assert_consistent, options};
 
-fn gap(map: &mut Value) {
+fn add_gap(map: &mut Value) {
     map["segments"][1]["keys"]["from"] = json!(map["segments"][1]["keys"]["from"].as_u64().unwrap() + 1);
 }
 
-fn overlap(map: &mut Value) {
+fn add_overlap(map: &mut Value) {
     map["segments"][1]["keys"]["from"] = json!(map["segments"][1]["keys"]["from"].as_u64().unwrap() - 1);
 }
 
-fn owner_without_data(map: &mut Value) {
+fn assign_owner_without_data(map: &mut Value) {
     map["segments"][2]["owner"] = json!("s-5");
 }
 
-fn nothing_wrong(_: &mut Value) {}
+fn leave_unchanged(_: &mut Value) {}
 
-/// A broker of the fleet that has its key and skips its own check: whoever leads proves the map for itself, and refuses
-/// what does not prove, a digest of another map included.
+/// A faulty broker that has the fleet's key proposes a map without checking it. The leader has to validate the map itself
+/// and to reject an invalid one, also one that carries the digest of another map.
 #[rstest]
-#[case::a_gap(gap, true, "the map is invalid")]
-#[case::an_overlap(overlap, true, "the map is invalid")]
-#[case::an_owner_without_data(owner_without_data, true, "the map is invalid")]
-#[case::the_digest_of_the_map_before(nothing_wrong, false, "the map is invalid")]
-fn leader_rejects_faulty_map(#[case] spoil: fn(&mut Value), #[case] sealed: bool, #[case] words: &str) {
+#[case::gap(add_gap, true, "the map is invalid")]
+#[case::overlap(add_overlap, true, "the map is invalid")]
+#[case::owner_without_data(assign_owner_without_data, true, "the map is invalid")]
+#[case::digest_of_previous_map(leave_unchanged, false, "the map is invalid")]
+fn leader_rejects_invalid_map(
+    #[case] corrupt: fn(&mut Value),
+    #[case] recompute_digest: bool,
+    #[case] expected_error: &str,
+) {
     let mut fleet = Fleet::start_with_version(options(3, 5));
-    let (mut leader, clients) = (broker_name(fleet.leader()), fleet.clients(0..4, GAP));
+    let (mut leader, clients) = (broker_name(fleet.leader()), fleet.clients(0..4, QUERY_PAUSE));
     fleet.brokers[4].kill();
-    let known = (0..4).map(|i| (broker_name(i), fleet.links.relay_address("n5", &broker_name(i)))).collect();
-    let told = MembershipOptions {
+    let peer_addresses =
+        (0..4).map(|i| (broker_name(i), fleet.links.relay_address("n5", &broker_name(i)))).collect();
+    let membership_options = MembershipOptions {
         key: Some(SHARED_KEY.to_string()),
-        ..MembershipOptions::new("n5", unix_ms(), fleet.peer_addresses[4], known, 1)
+        ..MembershipOptions::new("n5", unix_ms(), fleet.peer_addresses[4], peer_addresses, 1)
     };
-    let (peers, events) = dunepond_membership::start(told).unwrap();
-    // A busy machine can move the lead between two words: whoever leads by then is asked, as a broker would.
-    const A_VERSION: u8 = 0;
-    const LEADS: u8 = 1;
-    const WAIT: u8 = 2;
-    let mut propose = |version: &Value, sealed: bool| {
+    let (peers, events) = dunepond_membership::start(membership_options).unwrap();
+    // Tags of the proposal and of its replies in their encoded form.
+    const VERSION_TAG: u8 = 0;
+    const NOT_LEADER_TAG: u8 = 1;
+    const RETRY_LATER_TAG: u8 = 2;
+    // The leader can change between two requests, for instance on a busy machine: as a broker does, the request is then
+    // sent to the new one.
+    let mut propose = |version: &Value, recompute_digest: bool| {
         let mut version: ConfigVersion = serde_json::from_value(version.clone()).unwrap();
-        version.map = version.map.map(|map| if sealed { map.with_digest() } else { map });
+        version.map = version.map.map(|map| if recompute_digest { map.with_digest() } else { map });
         let mut answer = None;
         wait_until(|| {
-            let body = postcard::to_stdvec(&(A_VERSION, &version)).unwrap();
-            let asked = peers.request(&leader, RequestKind::Propose, body, 2.0);
-            let Ok(id) = asked else { return false };
+            let body = postcard::to_stdvec(&(VERSION_TAG, &version)).unwrap();
+            let sent = peers.request(&leader, RequestKind::Propose, body, 2.0);
+            let Ok(id) = sent else { return false };
             let event = events.iter().find_map(|event| match event {
-                Event::Response { id: of, result: body, .. } if of == id => Some(body),
+                Event::Response { id: response_id, result, .. } if response_id == id => Some(result),
                 _ => None,
             });
             answer = event.and_then(Result::ok);
-            let Some((word, rest)) = answer.as_deref().and_then(<[u8]>::split_first) else { return false };
-            if let (LEADS, Ok(Some(other))) = (*word, postcard::from_bytes::<Option<String>>(rest)) {
-                leader = other;
+            let Some((tag, rest)) = answer.as_deref().and_then(<[u8]>::split_first) else { return false };
+            if let (NOT_LEADER_TAG, Ok(Some(new_leader))) =
+                (*tag, postcard::from_bytes::<Option<String>>(rest))
+            {
+                leader = new_leader;
             }
-            ![LEADS, WAIT].contains(word)
+            ![NOT_LEADER_TAG, RETRY_LATER_TAG].contains(tag)
         });
-        String::from_utf8_lossy(&answer.expect("an answer")).into_owned()
+        String::from_utf8_lossy(&answer.expect("the proposal should be answered")).into_owned()
     };
     let mut faulty = fleet.config_version(2, &[0], &[]);
-    let before: ConfigVersion = serde_json::from_value(fleet.config_version(1, &[], &[])).unwrap();
-    faulty["map"]["digest"] = json!(before.map.unwrap().compute_digest());
-    spoil(&mut faulty["map"]);
-    let said = propose(&faulty, sealed);
-    assert!(said.contains(words), "{said}");
-    // The same without its fault is taken.
+    let previous: ConfigVersion = serde_json::from_value(fleet.config_version(1, &[], &[])).unwrap();
+    faulty["map"]["digest"] = json!(previous.map.unwrap().compute_digest());
+    corrupt(&mut faulty["map"]);
+    let reply = propose(&faulty, recompute_digest);
+    assert!(reply.contains(expected_error), "expected {expected_error:?} in the reply: {reply}");
+    // The same version with a valid map is accepted.
     let good = fleet.config_version(2, &[0], &[]);
     fleet.place_version(4, &good);
     propose(&good, true);
@@ -84,17 +93,17 @@
     assert_consistent(&fleet);
 }
 
-/// The operator's own file goes by the same proof, before anybody else hears of it.
+/// A broker validates the operator's file before it proposes the version in it.
 #[test]
 fn wrong_digest_is_not_proposed() {
     let mut fleet = Fleet::start_with_version(options(3, 5));
     let mut stale = fleet.config_version(2, &[0], &[]);
     stale["map"]["digest"] = json!("0123456789abcdef");
     fleet.propose(3, &stale);
-    assert!(wait_until(|| fleet.log_contains(3, "digest")), "its operator is told nothing");
+    assert!(wait_until(|| fleet.log_contains(3, "digest")), "the broker did not log the wrong digest");
     let good = fleet.config_version(2, &[0], &[]);
     fleet.propose(3, &good);
-    let clients = fleet.clients(0..5, GAP);
+    let clients = fleet.clients(0..5, QUERY_PAUSE);
     fleet.wait_active(0..5, 2);
     clients.stop();
     assert_consistent(&fleet);
--- a/crates/dunepond-testkit/tests/agree/partitions.rs
+++ b/crates/dunepond-testkit/tests/agree/partitions.rs
@@ -1,4 +1,4 @@
-//! Partitions, one-way cuts, slow links and suspended brokers.
+//! Network partitions, one-way cuts, slow links and suspended brokers.
 
 use std::thread;
 use std::time::Duration;
@@ -11,41 +11,41 @@
 use dunepond_testkit::processes::wait_until;
 use rstest::rstest;
 
-use super::{GAP, all_but, assert_all_answered, assert_consistent, options, wait_joint};
+use super::{QUERY_PAUSE, all_but, assert_all_answered, assert_consistent, options, wait_for_joint_phase};
 
 #[rstest]
-#[case::two_and_three(&[&[0, 1][..], &[2, 3, 4]])]
-#[case::one_one_and_three(&[&[0][..], &[1], &[2, 3, 4]])]
+#[case::minority_of_two(&[&[0, 1][..], &[2, 3, 4]])]
+#[case::two_minorities_of_one(&[&[0][..], &[1], &[2, 3, 4]])]
 fn only_majority_completes_partitioned_change(#[case] groups: &[&[usize]]) {
     let mut fleet = Fleet::start_with_version(options(5, 5));
     fleet.filler.set_paused(true);
     let next = fleet.config_version(2, &[0, 3], &[2]);
     fleet.propose(3, &next);
-    wait_joint(&fleet, &[0, 1, 2, 3, 4], 2);
-    let clients = fleet.clients(0..5, GAP);
+    wait_for_joint_phase(&fleet, &[0, 1, 2, 3, 4], 2);
+    let clients = fleet.clients(0..5, QUERY_PAUSE);
     fleet.partition(groups);
     fleet.filler.set_paused(false);
-    for minority in groups.iter().filter(|group| group.len() < 3).copied().flatten() {
-        fleet.wait_for_phase(*minority, AuditPhase::LeaseExpired);
+    for broker in groups.iter().filter(|group| group.len() < 3).copied().flatten() {
+        fleet.wait_for_phase(*broker, AuditPhase::LeaseExpired);
     }
     fleet.wait_active([2, 3, 4], 2);
     thread::sleep(Duration::from_secs(1));
     let outcomes = clients.stop();
-    let served = outcome_ratio(&outcomes, QueryOutcome::is_idempotent, |one| one.status == Some(200));
-    assert!(served > 0.95, "{served} of replayable scans served while parted");
+    let served = outcome_ratio(&outcomes, QueryOutcome::is_idempotent, |outcome| outcome.status == Some(200));
+    assert!(served > 0.95, "only {served} of the idempotent queries were served during the partition");
     assert_all_answered(&outcomes, &[0, 1, 2, 3, 4]);
     fleet.links.set_all(&HEALTHY);
     fleet.wait_active(0..5, 2);
     assert_consistent(&fleet);
 }
 
-/// What the leader says gets out to nobody, while all that others say comes in.
+/// The leader still receives messages, but none of the messages that it sends arrive.
 #[test]
 fn leader_without_outbound_links_is_replaced() {
     let mut fleet = Fleet::start_with_version(options(3, 5));
     let leader = fleet.leader();
     let rest = all_but(&fleet, leader);
-    let clients = fleet.clients(0..5, GAP);
+    let clients = fleet.clients(0..5, QUERY_PAUSE);
     rest.iter().for_each(|i| fleet.links.set(&broker_name(leader), &broker_name(*i), &CUT));
     let next = fleet.config_version(2, &[1], &[]);
     fleet.propose(rest[0], &next);
@@ -57,22 +57,23 @@
     assert_consistent(&fleet);
 }
 
-/// It stands still while the owners move, with requests for fixes in its sockets, and acts on none by what it knew.
+/// A broker is suspended with non-idempotent queries waiting in its sockets, while the owners of all segments change. When
+/// it resumes, it must not send any of them by its outdated map.
 #[test]
 fn suspended_broker_resumes_without_lease() {
     let mut fleet = Fleet::start_with_version(options(3, 5));
-    let stopped = 4;
-    let rest = all_but(&fleet, stopped);
-    let clients = fleet.clients([stopped], Duration::from_millis(2));
+    let suspended = 4;
+    let rest = all_but(&fleet, suspended);
+    let clients = fleet.clients([suspended], Duration::from_millis(2));
     thread::sleep(Duration::from_millis(300));
-    fleet.brokers[stopped].suspend();
+    fleet.brokers[suspended].suspend();
     let next = fleet.config_version(2, &[0, 1, 2, 3, 4, 5], &[]);
     fleet.propose(rest[0], &next);
     fleet.wait_active(rest, 2);
-    fleet.brokers[stopped].resume();
+    fleet.brokers[suspended].resume();
     fleet.wait_active(0..5, 2);
     thread::sleep(Duration::from_millis(300));
-    assert_all_answered(&clients.stop(), &[stopped]);
+    assert_all_answered(&clients.stop(), &[suspended]);
     assert_consistent(&fleet);
 }
 
@@ -80,14 +81,17 @@
 fn slow_lossy_link_keeps_broker_serving() {
     let mut fleet = Fleet::start_with_version(options(3, 5));
     fleet.links.set_around(&["n5"], &LinkConditions { delay_seconds: 0.8, loss_ratio: 0.2, ..HEALTHY });
-    let clients = fleet.clients(0..5, GAP);
+    let clients = fleet.clients(0..5, QUERY_PAUSE);
     let next = fleet.config_version(2, &[0, 3], &[]);
     fleet.propose(0, &next);
     fleet.wait_active(0..4, 2);
     let outcomes = clients.stop();
-    let served =
-        outcome_ratio(&outcomes, |one| one.is_idempotent() && one.broker == 4, |one| one.status == Some(200));
-    assert!(served > 0.95, "{served} of replayable scans served behind the slow link");
+    let served = outcome_ratio(
+        &outcomes,
+        |outcome| outcome.is_idempotent() && outcome.broker == 4,
+        |outcome| outcome.status == Some(200),
+    );
+    assert!(served > 0.95, "only {served} of the idempotent queries were served behind the slow link");
     assert_all_answered(&outcomes, &[0, 1, 2, 3, 4]);
     fleet.links.set_all(&HEALTHY);
     fleet.wait_active(0..5, 2);
@@ -99,26 +103,27 @@
     let fleet = Fleet::start_with_version(options(3, 6));
     fleet.partition(&[]);
     (0..6).for_each(|i| fleet.wait_for_phase(i, AuditPhase::LeaseExpired));
-    let clients = fleet.clients(0..6, GAP);
+    let clients = fleet.clients(0..6, QUERY_PAUSE);
     thread::sleep(Duration::from_secs(2));
     let outcomes = clients.stop();
-    let served = outcome_ratio(&outcomes, QueryOutcome::is_idempotent, |one| one.status == Some(200));
-    assert!(served > 0.95, "{served} of replayable scans served");
-    let fixes = |one: &QueryOutcome| QUERY_CLASSES[one.kind] == NON_IDEMPOTENT_CLASS;
-    let refused = |one: &QueryOutcome| matches!(one.status, Some(429 | 503)) && one.latency_seconds < 0.3;
-    let refused = outcome_ratio(&outcomes, fixes, refused);
-    assert!(refused > 0.99, "{refused} of fixes refused at once");
+    let served = outcome_ratio(&outcomes, QueryOutcome::is_idempotent, |outcome| outcome.status == Some(200));
+    assert!(served > 0.95, "only {served} of the idempotent queries were served");
+    let is_non_idempotent = |outcome: &QueryOutcome| QUERY_CLASSES[outcome.kind] == NON_IDEMPOTENT_CLASS;
+    let refused_at_once =
+        |outcome: &QueryOutcome| matches!(outcome.status, Some(429 | 503)) && outcome.latency_seconds < 0.3;
+    let refused = outcome_ratio(&outcomes, is_non_idempotent, refused_at_once);
+    assert!(refused > 0.99, "only {refused} of the non-idempotent queries were refused within 0.3 s");
     assert_all_answered(&outcomes, &[0, 1, 2, 3, 4, 5]);
     fleet.links.set_all(&HEALTHY);
     fleet.wait_active(0..6, 1);
-    // Whole again, fixes go out again.
-    let served = |i| {
+    // With the links restored, non-idempotent queries are served again.
+    let serves_non_idempotent = |i| {
         wait_until(|| {
-            let clients = fleet.clients([i], GAP);
+            let clients = fleet.clients([i], QUERY_PAUSE);
             thread::sleep(Duration::from_millis(200));
-            clients.stop().iter().any(|one| fixes(one) && one.status == Some(200))
+            clients.stop().iter().any(|outcome| is_non_idempotent(outcome) && outcome.status == Some(200))
         })
     };
-    assert!((0..6).all(served), "not all send fixes again");
+    assert!((0..6).all(serves_non_idempotent), "not all brokers serve non-idempotent queries again");
     assert_consistent(&fleet);
 }
--- a/crates/dunepond-testkit/tests/agree/random_faults.rs
+++ b/crates/dunepond-testkit/tests/agree/random_faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from a seed.
+//! Random faults that are drawn from a seed.
 
 use std::thread;
 use std::time::Duration;
@@ -11,22 +11,25 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 
-use super::{GAP, assert_consistent, options};
+use super::{QUERY_PAUSE, assert_consistent, options};
 
-/// Faults on no list, drawn one after the other: cuts, slow and lossy links, resets, brokers killed, stopped, without their
-/// folder, with an old one, and changes in the midst of it all. Whole again, all agree, and the auditor has nothing to say.
+/// Draws 40 actions one after the other: cuts, slow and lossy links, connection resets, killed and suspended brokers, brokers
+/// restarted with a deleted or an outdated folder, and changes of the configuration among them. After all faults
+/// are repaired, the brokers have to agree on one more change, and the audit must have no findings.
 #[rstest]
-#[ignore = "half a minute for each seed; run by hand"]
+#[ignore = "takes half a minute for each seed; run it manually"]
 fn random_faults_cause_no_contradiction(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut fleet = Fleet::start_with_version(FleetOptions { seed, ..options(5, 7) });
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let clients = fleet.clients(0..7, GAP);
-    let (mut number, mut down, mut old) = (1, None, None);
+    let clients = fleet.clients(0..7, QUERY_PAUSE);
+    let (mut version_number, mut killed, mut folder_copy) = (1, None, None);
     for _ in 0..40 {
-        let (one, other) = (rng.random_range(0..7), rng.random_range(0..7));
+        let (broker, other) = (rng.random_range(0..7), rng.random_range(0..7));
         match rng.random_range(0..9) {
-            0 => fleet
-                .partition(&[&[one, other], &[(one + 1) % 7, (one + 2) % 7, (one + 3) % 7, (one + 4) % 7]]),
+            0 => fleet.partition(&[
+                &[broker, other],
+                &[(broker + 1) % 7, (broker + 2) % 7, (broker + 3) % 7, (broker + 4) % 7],
+            ]),
             1 => fleet.links.set_all(&LinkConditions {
                 delay_seconds: 0.03,
                 jitter_seconds: 0.05,
@@ -34,64 +37,78 @@
                 duplicate_ratio: 0.1,
                 ..HEALTHY
             }),
-            2 if one != other => fleet.links.set(&broker_name(one), &broker_name(other), &CUT),
-            3 if one != other => fleet.links.reset(&broker_name(one), &broker_name(other)),
-            4 if down.is_none() => {
-                fleet.brokers[one].kill();
-                down = Some(one);
+            2 if broker != other => fleet.links.set(&broker_name(broker), &broker_name(other), &CUT),
+            3 if broker != other => fleet.links.reset(&broker_name(broker), &broker_name(other)),
+            4 if killed.is_none() => {
+                fleet.brokers[broker].kill();
+                killed = Some(broker);
             }
-            5 if down != Some(one) => {
-                fleet.brokers[one].suspend();
+            5 if killed != Some(broker) => {
+                fleet.brokers[broker].suspend();
                 thread::sleep(Duration::from_secs_f64(rng.random_range(0.05..2.0)));
-                fleet.brokers[one].resume();
+                fleet.brokers[broker].resume();
             }
-            6 => old = Some((one, fleet.brokers[one].copy_folder_to_scratch())),
+            6 => folder_copy = Some((broker, fleet.brokers[broker].copy_folder_to_scratch())),
             7 => fleet.links.set_all(&HEALTHY),
             _ => {
-                // What a number stands for is the same whoever proposes it.
-                number += u64::from(fleet.any_event(
-                    |act| matches!(act, AuditEvent::Proposed { number: of, .. } if *of == number),
+                // A number stands for the same content whichever broker proposes it, so a number that was proposed is not
+                // used for another version.
+                version_number += u64::from(fleet.any_event(
+                    |event| matches!(event, AuditEvent::Proposed { number, .. } if *number == version_number),
                 ));
-                let next = fleet.config_version(number, &[number % 6, (number + 3) % 6], &[]);
-                fleet.place_version(one, &next);
-                if down != Some(one) {
-                    fleet.brokers[one].reload_config();
+                let next = fleet.config_version(
+                    version_number,
+                    &[version_number % 6, (version_number + 3) % 6],
+                    &[],
+                );
+                fleet.place_version(broker, &next);
+                if killed != Some(broker) {
+                    fleet.brokers[broker].reload_config();
                 }
             }
         }
         thread::sleep(Duration::from_secs_f64(rng.random_range(0.05..0.8)));
-        if let Some(broker) = down.filter(|_| rng.random_bool(0.4)) {
-            match old.take_if(|(of, _)| *of == broker) {
+        if let Some(broker) = killed.filter(|_| rng.random_bool(0.4)) {
+            match folder_copy.take_if(|(owner, _)| *owner == broker) {
                 Some((_, copy)) => fleet.brokers[broker].restore_folder(&copy),
                 None if rng.random_bool(0.3) => fleet.brokers[broker].remove_folder(),
                 None => {}
             }
             fleet.brokers[broker].start();
-            down = None;
+            killed = None;
         }
     }
     fleet.links.set_all(&HEALTHY);
-    if let Some(broker) = down {
+    if let Some(broker) = killed {
         fleet.brokers[broker].start();
     }
-    // One more change, with a number that nobody has used.
-    let last = fleet.config_version(number + 1, &[], &[]);
-    let proposed = |fleet: &Fleet| {
-        fleet.any_event(|act| matches!(act, AuditEvent::Proposed { number: of, .. } if *of > number))
+    // One more change, with a number that has not been used yet.
+    let last_version = fleet.config_version(version_number + 1, &[], &[]);
+    let last_is_proposed = |fleet: &Fleet| {
+        fleet.any_event(
+            |event| matches!(event, AuditEvent::Proposed { number, .. } if *number > version_number),
+        )
     };
-    let all = wait_until(|| {
-        if !proposed(&fleet) {
-            fleet.propose(0, &fleet.config_version(number, &[number % 6, (number + 3) % 6], &[]));
+    let proposed = wait_until(|| {
+        if !last_is_proposed(&fleet) {
+            fleet.propose(
+                0,
+                &fleet.config_version(version_number, &[version_number % 6, (version_number + 3) % 6], &[]),
+            );
             thread::sleep(Duration::from_secs(3));
-            fleet.propose(0, &last);
+            fleet.propose(0, &last_version);
         }
         thread::sleep(Duration::from_secs(1));
-        proposed(&fleet)
+        last_is_proposed(&fleet)
     });
-    assert!(all, "nothing is agreed on any more");
-    fleet.wait_active(0..7, number + 1);
-    let (outcomes, acts) = (clients.stop(), fleet.records().lines.len());
-    let served = outcomes.iter().filter(|one| one.status == Some(200)).count();
-    println!("{} versions, {served} of {} scans served, {acts} lines of records", number + 1, outcomes.len());
+    assert!(proposed, "version {} was not proposed after all faults were repaired", version_number + 1);
+    fleet.wait_active(0..7, version_number + 1);
+    let (outcomes, record_count) = (clients.stop(), fleet.records().lines.len());
+    let served = outcomes.iter().filter(|outcome| outcome.status == Some(200)).count();
+    println!(
+        "{} versions, {served} of {} queries served, {record_count} audit records",
+        version_number + 1,
+        outcomes.len()
+    );
     assert_consistent(&fleet);
 }
--- a/crates/dunepond-testkit/tests/agree/rebalancing_faults.rs
+++ b/crates/dunepond-testkit/tests/agree/rebalancing_faults.rs
@@ -1,4 +1,5 @@
-//! Moves of segments while targets die, sources leave, sides are parted, disks fill up and old messages come again.
+//! Segment moves while target nodes fail, source nodes drain, the network is partitioned, disks fill up and old messages are
+//! delivered again.
 
 use std::thread;
 use std::time::Duration;
@@ -11,85 +12,94 @@
 use dunepond_testkit::processes::wait_until;
 use rstest::rstest;
 
-use super::{GAP, all_but, assert_all_answered, assert_consistent, options};
+use super::{QUERY_PAUSE, all_but, assert_all_answered, assert_consistent, options};
 
-fn number_of(fleet: &Fleet, number: u64, is: fn(&AuditEvent, u64) -> bool) -> bool {
-    fleet.any_event(|act| is(act, number))
+fn any_event_of_version(fleet: &Fleet, version_number: u64, matches: fn(&AuditEvent, u64) -> bool) -> bool {
+    fleet.any_event(|event| matches(event, version_number))
 }
 
-fn withdrawn(act: &AuditEvent, number: u64) -> bool {
-    matches!(act, AuditEvent::Withdrawn { number: of, .. } if *of == number)
+fn is_withdrawn(event: &AuditEvent, version_number: u64) -> bool {
+    matches!(event, AuditEvent::Withdrawn { number, .. } if *number == version_number)
 }
 
-fn confirmed(act: &AuditEvent, number: u64) -> bool {
-    matches!(act, AuditEvent::Confirmed { number: of, .. } if *of == number)
+fn is_confirmed(event: &AuditEvent, version_number: u64) -> bool {
+    matches!(event, AuditEvent::Confirmed { number, .. } if *number == version_number)
 }
 
-/// Half of the bytes are there when its connection ends. What is there is not moved again.
+/// The connection of a fill ends after half of the bytes. The second attempt must not move these bytes again.
 #[test]
 fn interrupted_fill_resumes() {
     let mut fleet = Fleet::start_with_version(options(3, 5));
-    let clients = fleet.clients(0..5, GAP);
+    let clients = fleet.clients(0..5, QUERY_PAUSE);
     fleet.filler.set_fill_seconds(0.2);
     fleet.filler.fail_next(1);
     let next = fleet.config_version(2, &[0], &[2]);
     fleet.propose(0, &next);
     fleet.wait_active(0..5, 2);
-    assert!(fleet.filler.order_count() >= 2, "it never broke off");
+    assert!(fleet.filler.order_count() >= 2, "the fill was not interrupted");
     assert_eq!(fleet.filler.moved_bytes(), SEGMENT_BYTES);
     assert_all_answered(&clients.stop(), &[0, 1, 2, 3, 4]);
     assert_consistent(&fleet);
 }
 
-/// It does not come back: the version is given up at its deadline, everybody goes on with the old map, and the next move
-/// without it goes through.
+/// The target node of a fill fails for good. The change is withdrawn at its deadline, all brokers continue with the old map,
+/// and the next change, which does not need this node, succeeds.
 #[test]
-fn dead_fill_target_keeps_old_map() {
+fn failed_fill_target_keeps_old_map() {
     let mut fleet = Fleet::start_with_version(FleetOptions { fill_deadline_seconds: 5.0, ..options(3, 5) });
-    let clients = fleet.clients(0..5, GAP);
+    let clients = fleet.clients(0..5, QUERY_PAUSE);
     fleet.filler.fail_node(Some("s-4"));
     let next = fleet.config_version(2, &[0], &[2]);
     fleet.propose(0, &next);
-    assert!(wait_until(|| number_of(&fleet, 2, withdrawn)), "it is not given up");
+    assert!(wait_until(|| any_event_of_version(&fleet, 2, is_withdrawn)), "version 2 was not withdrawn");
     fleet.wait_active(0..5, 1);
-    assert!(!number_of(&fleet, 2, confirmed), "in force with a holder that is half filled");
-    let without = fleet.config_version(3, &[0], &[]);
-    fleet.propose(0, &without);
+    assert!(
+        !any_event_of_version(&fleet, 2, is_confirmed),
+        "version 2 was confirmed with a half-filled replica"
+    );
+    let without_failed_node = fleet.config_version(3, &[0], &[]);
+    fleet.propose(0, &without_failed_node);
     fleet.wait_active(0..5, 3);
     assert_all_answered(&clients.stop(), &[0, 1, 2, 3, 4]);
     assert_consistent(&fleet);
 }
 
-/// Where one source is gone in the middle of the fill another one takes over.
+/// The source node of a fill drains and fails during the fill. Another source has to take over.
 #[test]
-fn leaving_fill_source_is_replaced() {
+fn draining_fill_source_is_replaced() {
     let mut fleet = Fleet::start_with_version(options(3, 5));
-    let clients = fleet.clients(0..5, GAP);
+    let clients = fleet.clients(0..5, QUERY_PAUSE);
     fleet.filler.set_paused(true);
     let next = fleet.config_version(2, &[0], &[2]);
     fleet.propose(0, &next);
-    assert!(wait_until(|| fleet.filler.order_count() > 0), "nothing is filled");
-    let first = fleet.filler.orders()[0]["source"].as_str().unwrap().to_string();
-    fleet.filler.fail_node(Some(&first));
-    fleet.drain_nodes(&[&first]);
+    assert!(wait_until(|| fleet.filler.order_count() > 0), "the filler received no order");
+    let first_source = fleet.filler.orders()[0]["source"].as_str().unwrap().to_string();
+    fleet.filler.fail_node(Some(&first_source));
+    fleet.drain_nodes(&[&first_source]);
     fleet.filler.set_paused(false);
     fleet.wait_active(0..5, 2);
     let orders = fleet.filler.orders();
-    assert_ne!(orders[orders.len() - 1]["source"], first, "{orders:?}");
-    // A fix of what the drained node owns is refused by now, and not sent to it.
+    assert_ne!(
+        orders[orders.len() - 1]["source"],
+        first_source,
+        "the last order still names the failed source: {orders:?}"
+    );
+    // Not all queries may have been served: non-idempotent parts of segments that the draining node owns are refused.
     clients.stop();
     assert_consistent(&fleet);
 }
 
-/// The two sides want the same segment at different owners. One side has no majority, and its word is void for good.
+/// The two sides of a partition propose different owners for the same segment. The proposal of the minority must never take
+/// effect.
 #[test]
 fn partition_moves_segment_to_one_owner() {
     let mut fleet = Fleet::start_with_version(options(5, 5));
     fleet.partition(&[&[0, 1], &[2, 3, 4]]);
-    let clients = fleet.clients(0..5, GAP);
-    let (few, many) = (fleet.config_version(2, &[0], &[0]), fleet.config_version(2, &[1], &[0]));
-    fleet.place_version(0, &few);
-    fleet.place_version(3, &many);
+    let clients = fleet.clients(0..5, QUERY_PAUSE);
+    let (minority_version, majority_version) =
+        (fleet.config_version(2, &[0], &[0]), fleet.config_version(2, &[1], &[0]));
+    fleet.place_version(0, &minority_version);
+    fleet.place_version(3, &majority_version);
     fleet.brokers[0].reload_config();
     fleet.brokers[3].reload_config();
     fleet.wait_active([2, 3, 4], 2);
@@ -98,31 +108,32 @@
     fleet.wait_active(0..5, 2);
     assert!(
         wait_until(|| fleet.log_contains(0, "is not what was agreed on")),
-        "its operator is told nothing"
+        "the minority did not log that its version lost"
     );
     assert_all_answered(&clients.stop(), &[0, 1, 2, 3, 4]);
     assert_consistent(&fleet);
 }
 
-/// No promise reaches its disk, one record is torn in the middle. Others lead on; with room again it votes as before.
+/// The leader's disk is full: no vote or entry can be stored, and one record is cut off in the middle. Another broker has to
+/// become leader, and the first one has to vote again once there is space.
 #[test]
 fn leader_with_full_disk_keeps_agreement() {
     let mut fleet = Fleet::start_with_version(FleetOptions { faulty_disks: true, ..options(3, 5) });
     let leader = fleet.leader();
     let rest = all_but(&fleet, leader);
-    let clients = fleet.clients(0..5, GAP);
+    let clients = fleet.clients(0..5, QUERY_PAUSE);
     fleet.set_disk_fault(leader, "brim");
     let next = fleet.config_version(2, &[0, 3], &[2]);
     fleet.propose(rest[0], &next);
     fleet.wait_active(rest.clone(), 2);
     assert!(
         wait_until(|| fleet.log_contains(leader, "this voter is silent")),
-        "its operator is told nothing"
+        "the leader with the full disk did not log that it stopped voting"
     );
-    assert_ne!(fleet.leader_of(&rest), leader, "it leads without a disk");
+    assert_ne!(fleet.leader_of(&rest), leader, "the broker with the full disk is still the leader");
     fleet.set_disk_fault(leader, "");
     fleet.wait_active(0..5, 2);
-    // What it promised since stands on its disk.
+    // After a crash the broker has to recover from its disk what it has stored since the space came back.
     fleet.brokers[leader].kill();
     fleet.brokers[leader].start();
     let third = fleet.config_version(3, &[0], &[]);
@@ -132,34 +143,37 @@
     assert_consistent(&fleet);
 }
 
-/// All that a leader and another broker told a third in an earlier version comes once more, after two changes.
+/// All messages between the leader and the other brokers from before two changes are delivered again afterwards.
 #[test]
-fn messages_of_long_ago_change_nothing() {
+fn replayed_old_messages_change_nothing() {
     let mut fleet = Fleet::start_with_version(options(3, 5));
     let (leader, all) = (broker_name(fleet.leader()), 0..5);
-    let pairs: Vec<_> = all.clone().map(broker_name).filter(|of| *of != leader).collect();
-    for peer in &pairs {
+    let peers: Vec<_> = all.clone().map(broker_name).filter(|name| *name != leader).collect();
+    for peer in &peers {
         fleet.links.record(&leader, peer);
         fleet.links.record(peer, &leader);
     }
-    let clients = fleet.clients(all.clone(), GAP);
+    let clients = fleet.clients(all.clone(), QUERY_PAUSE);
     let second = fleet.config_version(2, &[0, 3], &[]);
     fleet.propose(4, &second);
     fleet.wait_active(all.clone(), 2);
     let third = fleet.config_version(3, &[], &[]);
     fleet.propose(4, &third);
     fleet.wait_active(all.clone(), 3);
-    let mut brought = 0;
-    for peer in &pairs {
-        brought += fleet.links.replay(&leader, peer).0 + fleet.links.replay(peer, &leader).0;
+    let mut replayed_count = 0;
+    for peer in &peers {
+        replayed_count += fleet.links.replay(&leader, peer).0 + fleet.links.replay(peer, &leader).0;
     }
-    assert!(brought > 0, "nothing was kept");
+    assert!(replayed_count > 0, "no message was replayed");
     thread::sleep(Duration::from_secs_f64(fleet.options.lease_seconds));
-    let late: Vec<_> = all.clone().map(|i| fleet.phase(i)).collect();
-    let active =
+    let phases: Vec<_> = all.clone().map(|i| fleet.phase(i)).collect();
+    let is_active_on_third =
         |recorded: &RecordedPhase| recorded.phase == AuditPhase::Active && recorded.last_version == 3;
-    assert!(late.iter().all(|phase| phase.as_ref().is_some_and(active)), "{late:?}");
-    // The second version's file is known under its number, and stays over.
+    assert!(
+        phases.iter().all(|phase| phase.as_ref().is_some_and(is_active_on_third)),
+        "not all brokers are still active on version 3: {phases:?}"
+    );
+    // The brokers still accept the next version after the replayed messages of the second one.
     let fourth = fleet.config_version(4, &[0], &[]);
     fleet.propose(4, &fourth);
     fleet.wait_active(all, 4);
@@ -167,34 +181,36 @@
     assert_consistent(&fleet);
 }
 
-/// Its whole folder is yesterday's, when another owned the segments; nobody can tell it so yet.
+/// A broker restarts with an outdated copy of its folder, from before all segments changed owners, and is cut off from the
+/// others. It must not send non-idempotent parts by the outdated map.
 #[rstest]
-#[case::a_voter(2)]
-#[case::no_voter(4)]
-fn old_folder_sends_no_stale_fix(#[case] broker: usize) {
+#[case::voter(2)]
+#[case::non_voter(4)]
+fn outdated_folder_sends_no_non_idempotent_part(#[case] broker: usize) {
     let mut fleet = Fleet::start_with_version(options(3, 5));
-    let old = fleet.brokers[broker].copy_folder_to_scratch();
+    let old_folder = fleet.brokers[broker].copy_folder_to_scratch();
     let next = fleet.config_version(2, &[0, 1, 2, 3, 4, 5], &[]);
     fleet.propose(0, &next);
     fleet.wait_active(0..5, 2);
     fleet.brokers[broker].kill();
-    fleet.brokers[broker].restore_folder(&old);
+    fleet.brokers[broker].restore_folder(&old_folder);
     fleet.links.set_around(&[&broker_name(broker)], &CUT);
     fleet.brokers[broker].start();
     assert!(wait_until(|| fleet.brokers[broker].ready()));
-    let clients = fleet.clients([broker], GAP);
+    let clients = fleet.clients([broker], QUERY_PAUSE);
     thread::sleep(Duration::from_secs_f64(fleet.options.lease_seconds));
     let outcomes = clients.stop();
-    let fixes = |one: &QueryOutcome| !one.is_idempotent();
+    let is_non_idempotent = |outcome: &QueryOutcome| !outcome.is_idempotent();
     assert_eq!(
-        outcome_ratio(&outcomes, fixes, |one| one.status == Some(200)),
+        outcome_ratio(&outcomes, is_non_idempotent, |outcome| outcome.status == Some(200)),
         0.0,
-        "fixes by yesterday's map"
+        "non-idempotent queries were served by the outdated map"
     );
-    assert!(outcome_ratio(&outcomes, QueryOutcome::is_idempotent, |one| one.status == Some(200)) > 0.95);
+    let served = outcome_ratio(&outcomes, QueryOutcome::is_idempotent, |outcome| outcome.status == Some(200));
+    assert!(served > 0.95, "only {served} of the idempotent queries were served");
     fleet.links.set_all(&HEALTHY);
     fleet.wait_active(0..5, 2);
-    let clients = fleet.clients(0..5, GAP);
+    let clients = fleet.clients(0..5, QUERY_PAUSE);
     thread::sleep(Duration::from_millis(500));
     assert_all_answered(&clients.stop(), &[0, 1, 2, 3, 4]);
     assert_consistent(&fleet);
