--- a/crates/dunepond-testkit/tests/links.rs
+++ b/crates/dunepond-testkit/tests/links.rs
@@ -1,6 +1,6 @@
 //! Tests of every fault that a simulated link can have, observed at both of its ends.
 
-use std::io::{Read, Write};
+use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -15,10 +15,20 @@
     local_socket: UdpSocket,
 }
 
+/// Binds a listener and a datagram socket to the same port. A port that is free for TCP may be taken for UDP.
+fn bind_tcp_and_udp() -> (TcpListener, UdpSocket) {
+    loop {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        match UdpSocket::bind(listener.local_addr().unwrap()) {
+            Ok(socket) => return (listener, socket),
+            Err(error) => assert_eq!(error.kind(), ErrorKind::AddrInUse),
+        }
+    }
+}
+
 fn echo_pair(seed: u64) -> EchoPair {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (listener, echo_socket) = bind_tcp_and_udp();
     let address = listener.local_addr().unwrap();
-    let echo_socket = UdpSocket::bind(address).unwrap();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             thread::spawn(move || std::io::copy(&mut stream.try_clone().unwrap(), &mut stream));
@@ -124,7 +134,7 @@
     echo(&mut stream).unwrap();
     pair.links.reset("a", "b");
     let is_broken =
-        wait_until(|| echo(&mut stream).is_err_and(|error| error.kind() != std::io::ErrorKind::WouldBlock));
+        wait_until(|| echo(&mut stream).is_err_and(|error| error.kind() != ErrorKind::WouldBlock));
     assert!(is_broken, "the connection was not reset");
     echo(&mut pair.connect()).unwrap();
 }
