--- a/crates/dunepond-broker/src/body/payload.rs
+++ b/crates/dunepond-broker/src/body/payload.rs
@@ -1,17 +1,17 @@
-//! The payload that the parts of a query carry.
+//! The payload that is sent with each part of a query.
 
 use std::rc::Rc;
 
 use super::Body;
 
-/// The payload that each part of a query carries.
+/// The payload that is sent with each part of a query.
 #[derive(Clone)]
 pub enum Payload {
-    /// A text that arrived with the request.
+    /// A text in memory, from a request that is not streamed.
     Inline(Rc<str>),
     /// The body of a streamed request.
     Streamed(Rc<Body>),
-    /// A streamed body that no attempt needs any more, and that has been released.
+    /// A streamed body that has been released, as no attempt needs it any more.
     Released,
 }
 
--- a/crates/dunepond-broker/src/body/reader.rs
+++ b/crates/dunepond-broker/src/body/reader.rs
@@ -1,4 +1,4 @@
-//! The read position of a frame in a body.
+//! Reads a streamed body for one of the frames that it is sent in.
 
 use std::rc::Rc;
 
@@ -6,7 +6,7 @@
 
 use super::{BLOCK_BYTES, Body};
 
-/// The read position of one frame in a body.
+/// Reads a streamed body for one frame, from a read position of its own.
 pub struct BodyReader {
     /// The body that is read.
     pub body: Rc<Body>,
@@ -30,8 +30,8 @@
         self.body.length() - self.offset()
     }
 
-    /// Appends up to `max_chunks` chunks that can be written now to `chunks`. Appends none if the next block is not in
-    /// memory; that block is then requested from the file.
+    /// Appends to `chunks` up to `max_chunks` chunks that are in memory and can be written now. Appends none if the
+    /// next block is not in memory; that block is then requested from the file that the body was spilled to.
     pub fn available_chunks(&self, max_chunks: usize, chunks: &mut Vec<Bytes>) {
         let mut state = self.body.state.borrow_mut();
         let offset = state.readers[self.key];
@@ -42,7 +42,7 @@
                 Some(bytes) => chunks.push(bytes.slice(skip..)),
                 None => {
                     // Requests only the next block: reading ahead for one reader could evict a block that another
-                    // needs.
+                    // reader needs.
                     if skip > 0 || number == offset / BLOCK_BYTES as u64 {
                         state.requested_blocks.insert(number);
                     }
--- a/crates/dunepond-broker/src/body/tests/mod.rs
+++ b/crates/dunepond-broker/src/body/tests/mod.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Returns an empty body of a declared length, the bytes to append to it, and the ids of dropped bodies.
+/// Returns an empty body of a declared length, the bytes to append to it, and the list that receives the ids of dropped
+/// bodies.
 fn body(length: usize) -> (Rc<Body>, Vec<u8>, DroppedBodies) {
     let dropped = DroppedBodies::default();
     let bytes: Vec<u8> = (0..length).map(|i| (i % 251) as u8).collect();
--- a/crates/dunepond-broker/src/buffers/write_queue.rs
+++ b/crates/dunepond-broker/src/buffers/write_queue.rs
@@ -12,15 +12,15 @@
 /// Maximum number of chunks of a write queue that are written with one system call.
 const MAX_SLICES_PER_WRITE: usize = 16;
 
-/// A chunk of a write queue: bytes of its own, or a position in bytes that other queues share.
+/// A chunk of a write queue: bytes that only this queue uses, or bytes shared with other queues and a position in them.
 enum Chunk {
     /// Copied bytes in a pooled buffer.
     Owned(Buffer),
-    /// A shared text, from this position in bytes on.
+    /// A shared text and the position of its first byte that is not written yet.
     SharedText(Rc<str>, usize),
-    /// Copied bytes that are too few to use a pooled buffer.
+    /// A few copied bytes, stored outside the buffer pool.
     Small(Bytes),
-    /// What is left of a streamed body.
+    /// The unwritten rest of a streamed body.
     Streamed(BodyReader),
 }
 
@@ -44,7 +44,8 @@
         self.len() == 0
     }
 
-    /// Discards up to `count` bytes, which have been written; returns how many.
+    /// Discards up to `count` bytes at the start of the chunk, as they have been written; returns how many bytes it
+    /// discarded.
     fn consume(&mut self, count: usize) -> usize {
         match self {
             Self::Owned(buffer) => {
@@ -71,7 +72,8 @@
     }
 }
 
-/// The bytes that wait to be written to one connection. Offsets count bytes from the opening of the connection.
+/// The bytes that wait to be written to one connection. Offsets are counted in bytes from the first byte queued on the
+/// connection.
 pub struct WriteQueue {
     chunks: VecDeque<Chunk>,
     pool: Pool,
@@ -79,7 +81,7 @@
     end_offset: u64,
     /// The offset after the last written byte.
     written_offset: u64,
-    /// The number of chunks that are streamed bodies; if it is 0, all bytes of the queue are available.
+    /// The number of chunks that are streamed bodies; if it is 0, all bytes of the queue are in memory.
     streamed_chunks: usize,
     /// Whether the last flush stopped because the next chunk of a streamed body was not available.
     awaiting_body: bool,
@@ -118,7 +120,8 @@
         }
     }
 
-    /// Queues a few bytes that precede a body, without a pooled buffer: it would be in use as long as writing the body takes.
+    /// Queues the few bytes that precede a streamed body. Takes no buffer from the pool, as that buffer would be in use
+    /// as long as writing the body takes.
     pub fn queue_small(&mut self, bytes: Vec<u8>) {
         self.end_offset += bytes.len() as u64;
         self.copied_bytes += bytes.len() as u64;
@@ -141,8 +144,8 @@
         self.chunks.push_back(Chunk::Streamed(reader));
     }
 
-    /// Removes the bytes queued from the offset `from` on that are not written yet; `from` must be between two frames.
-    /// Returns the streamed body that was among them, if any.
+    /// Removes the unwritten bytes from the offset `from` to the end of the queue; `from` must be the boundary between
+    /// two frames. Returns the streamed body among the removed bytes, if any.
     pub fn withdraw_from(&mut self, from: u64) -> Option<BodyReader> {
         let mut body = None;
         while self.end_offset > from.max(self.written_offset) {
@@ -195,7 +198,7 @@
         self.chunks.iter().find_map(Chunk::reader)
     }
 
-    /// Returns the number of bytes copied into the queue since the last call.
+    /// Returns the number of bytes copied into the queue since the last call of this method.
     pub fn take_copied_bytes(&mut self) -> u64 {
         std::mem::take(&mut self.copied_bytes)
     }
@@ -221,18 +224,19 @@
         Ok(())
     }
 
-    /// Writes the first chunks with one system call and returns the number of bytes; `None` if the next chunk of a streamed
-    /// body is not available.
+    /// Writes the first chunks with one system call and returns the number of bytes written; `None` if the next chunk
+    /// of a streamed body is not available.
     fn write_once(&self, stream: &mut impl Write) -> io::Result<Option<usize>> {
         let first_chunks = || self.chunks.iter().take(MAX_SLICES_PER_WRITE);
-        // Keeps alive the blocks of the first streamed body that the slices refer to.
+        // Keeps alive the blocks of the first streamed body, as the slices below refer to them.
         let mut blocks = Vec::new();
         if self.streamed_chunks > 0
             && let Some(reader) = first_chunks().find_map(Chunk::reader)
         {
             reader.available_chunks(MAX_SLICES_PER_WRITE, &mut blocks);
         }
-        // Chunks after the first streamed body are not written before all of that body is.
+        // Chunks after the first streamed body are left out: they are written only once the whole of that body is
+        // written.
         let slices =
             first_chunks().map_while(memory_slice).chain(blocks.iter().map(|block| IoSlice::new(block)));
         let slices: Vec<_> = slices.take(2 * MAX_SLICES_PER_WRITE).collect();
--- a/crates/dunepond-broker/src/downstream/accept.rs
+++ b/crates/dunepond-broker/src/downstream/accept.rs
@@ -1,4 +1,5 @@
-//! Accepts client connections. At the bound on connections, evicts one that is owed no response.
+//! Accepts client connections. If the maximum number of connections is open, evicts one whose client is not waiting for
+//! a response.
 
 use std::collections::VecDeque;
 use std::io;
@@ -16,11 +17,11 @@
 use crate::connection_end::ConnectionEnd;
 use crate::iteration::{LoopEvent, Port, watch};
 
-/// Maximum number of connections accepted before other events are handled: keeps an iteration short compared with the
-/// 50 ms by which any time limit may be exceeded.
+/// Maximum number of connections accepted before other events are handled: keeps an iteration of the event loop short
+/// compared with the 50 ms by which any time limit may be exceeded.
 const MAX_ACCEPTS_PER_ITERATION: usize = 32;
-/// Delay before accepting is retried after a failure for lack of resources. The request timeouts of clients in the backlog
-/// are running meanwhile, and may be exceeded by 50 ms.
+/// Delay before accepting is retried after accept() has failed, for example for lack of file descriptors. The request
+/// timeouts of clients in the backlog are running meanwhile, and may be exceeded by at most 50 ms.
 const ACCEPT_RETRY_SECONDS: f64 = 0.05;
 const LISTEN_BACKLOG: i32 = 1024;
 
@@ -35,7 +36,7 @@
 }
 
 impl Downstream {
-    /// Accepts connections at one more listener.
+    /// Adds a listener, whose connections are accepted from now on.
     ///
     /// Fails if the event loop cannot watch the listener.
     pub fn add_listener(&mut self, listener: TcpListener, port: Port) -> calloop::Result<()> {
@@ -54,7 +55,8 @@
         Ok(())
     }
 
-    /// Accepts a bounded number of connections from the backlog of a port; returns `true` if there may be more.
+    /// Accepts a bounded number of connections from the backlog of a port; returns `true` if the backlog may contain
+    /// more.
     pub fn accept(&mut self, now: f64, port: Port, timers: &mut Timers) -> bool {
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let Some(index) = self.listeners.iter().position(|entry| entry.port == port) else {
@@ -71,7 +73,8 @@
             }
             match self.listeners[index].listener.accept() {
                 Ok((stream, peer)) => {
-                    // Evicted only after accept() has succeeded, as the backlog may have been empty.
+                    // The candidate is evicted only after accept() has succeeded: with an empty backlog, no room is
+                    // needed.
                     candidate.map(|id| self.close(id, ConnectionEnd::IdleClosed, timers));
                     let paused_since = self.listeners[index].paused_since;
                     match self.register(now, stream, port, paused_since, timers) {
@@ -95,7 +98,7 @@
         true
     }
 
-    /// Closes one connection to free a file descriptor; returns `false` if there is none that may be evicted.
+    /// Closes one connection to free a file descriptor; returns `false` if no connection may be evicted.
     pub fn evict_one(&mut self, now: f64, timers: &mut Timers) -> bool {
         let candidate = self.eviction_candidate(now);
         candidate.map(|id| self.close(id, ConnectionEnd::IdleClosed, timers));
@@ -103,7 +106,8 @@
     }
 
     /// Registers an accepted connection with the event loop and starts its request timeout; returns its index.
-    /// `paused_since` is when accepting was paused, if the connection may have waited since then.
+    /// `paused_since` is the time at which accepting was paused, or `None` if the connection cannot have waited in the
+    /// backlog since a pause.
     fn register(
         &mut self,
         now: f64,
@@ -156,7 +160,7 @@
         }
     }
 
-    /// If accepting connections is paused, schedules a timer that is due at once and resumes it.
+    /// If accepting connections is paused, schedules a timer that is due at once and resumes accepting.
     pub(super) fn schedule_resume_accepting(&self, timers: &mut Timers) {
         if self.accepting_paused {
             timers.schedule(0.0, TimerEvent::ResumeAccept);
@@ -171,7 +175,8 @@
         }
     }
 
-    /// Accepts no connections until `until` (Unix seconds) or an explicit resume; clients wait in the backlog.
+    /// Accepts no connections until `until` (Unix seconds), unless accepting is resumed earlier; new clients wait in
+    /// the backlog.
     pub fn delay_accepting(&mut self, now: f64, until: f64, timers: &mut Timers) {
         self.pause_accepting(now, Some(until), timers);
     }
--- a/crates/dunepond-broker/src/downstream/arrivals.rs
+++ b/crates/dunepond-broker/src/downstream/arrivals.rs
@@ -1,15 +1,17 @@
 //! Records when the bytes of a connection arrived. A request's time budget counts from the arrival of its first byte,
-//! however long that byte waits to be read, or behind another request.
+//! including the time that this byte waits in the socket or behind an earlier request.
 
 use std::collections::VecDeque;
 
-/// Reads within this time of each other are recorded as one, with the time of the first: bounds the memory for a client
-/// that sends byte by byte. A tenth of the 50 ms by which any time limit may be exceeded.
+/// A read less than this time after the first read of the last record is added to that record, which keeps the time of
+/// its first read. Bounds the memory for a client that sends byte by byte. A tenth of the 50 ms by which any time limit
+/// may be exceeded.
 const COALESCE_SECONDS: f64 = 0.005;
 
 /// The arrival times of a connection's bytes that are not parsed yet.
 pub struct ArrivalTimes {
-    /// For each read, its arrival time and the total number of bytes read up to its end.
+    /// For each record of one or several reads, the arrival time and the total number of bytes read from the connection
+    /// up to the record's end.
     reads: VecDeque<(f64, u64)>,
     /// How many bytes have been read from the connection.
     total_bytes: u64,
@@ -42,7 +44,8 @@
         self.first_read_since = None;
     }
 
-    /// Returns when the first of the last `unparsed_bytes` bytes arrived; `None` if there are none.
+    /// Returns when the first unparsed byte arrived, if the last `unparsed_bytes` of the bytes read are not parsed yet;
+    /// `None` if `unparsed_bytes` is 0.
     pub fn first_unparsed_at(&mut self, unparsed_bytes: usize) -> Option<f64> {
         let parsed = self.total_bytes.saturating_sub(unparsed_bytes as u64);
         while self.reads.front().is_some_and(|(_, end)| *end <= parsed) {
--- a/crates/dunepond-broker/src/downstream/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -1,10 +1,11 @@
-//! Closes connections that are owed no response: idle ones, evicted ones, and those open in a shutdown.
+//! Closes connections whose client is not waiting for a response: idle and evicted connections, and those open in a
+//! shutdown.
 //!
 //! Bytes may arrive between any check and the close that follows it, and closing a socket with unread bytes resets the
-//! connection, which loses the part of the last response that is still in transit. So the socket is read once more right
-//! before the close, and a request found there is served. Otherwise the write side is shut down and the client's close is
-//! awaited (a lingering close): what still arrives is discarded, and the client, which sees the end of the stream without a
-//! response, retries elsewhere.
+//! connection, which loses the part of the last response that is still in transit. So the socket is read once more
+//! right before the close, and a request found there is served. Otherwise the write side is shut down and the client's
+//! close is awaited (a lingering close): bytes that still arrive are discarded, and a client that has sent a request in
+//! them sees the end of the stream without a response and retries elsewhere.
 
 use std::io;
 use std::net::{Shutdown, TcpStream};
@@ -16,11 +17,12 @@
 use crate::connection_end::ConnectionEnd;
 use crate::iteration::Port;
 
-/// A connection that has not sent a whole request within this time is evicted before idle ones, which have sent a request
-/// before. Several round trips long, so that a new client is not evicted before its first request has arrived.
+/// A connection whose request is still incomplete this long after its request timer has started is evicted before idle
+/// connections, whose clients have sent a request before. Several round trips long, so that a new client is not evicted
+/// before its first request has arrived.
 const EVICTABLE_AFTER_SECONDS: f64 = 0.25;
-/// How long a client may take to close its side after we have shut down ours and it has received the whole of its last
-/// response: several round trips.
+/// How long a client may take to close its side after the broker has shut down its own side and the client has received
+/// all of its last response: several round trips.
 const LINGER_SECONDS: f64 = 1.0;
 /// How long a lingering connection may stay open after the last responses of a shutdown are due: the 50 ms by which any
 /// time limit may be exceeded, well before the process is killed.
@@ -32,11 +34,12 @@
     ReceivedData,
     /// Nothing has arrived.
     NoData,
-    /// The connection had already ended in this way.
+    /// The connection had already ended; the value tells how.
     Disconnected(ConnectionEnd),
 }
 
-/// Whether the system holds sent bytes that the peer has not acknowledged; `false` if the system cannot tell.
+/// Whether the socket's send buffer contains bytes that the peer has not acknowledged; `false` if the operating system
+/// cannot tell.
 fn has_unacknowledged(stream: &TcpStream) -> bool {
     let mut count: libc::c_int = 0;
     // SAFETY: the descriptor is open as long as the stream is borrowed, and the call writes a single integer.
@@ -44,8 +47,9 @@
 }
 
 impl Downstream {
-    /// Accepts the whole backlog and closes the listeners. While there is no room for all of the backlog, closes nothing and
-    /// returns `false`: closing a listener resets the connections in its backlog.
+    /// Accepts all connections in the backlogs, then closes the listeners. If accepting has to be paused before that,
+    /// for example at the maximum number of connections, closes nothing and returns `false`: closing a listener resets
+    /// the connections in its backlog.
     pub fn close_listeners(&mut self, now: f64, timers: &mut Timers) -> bool {
         self.resume_accepting();
         for port in Port::ALL {
@@ -60,12 +64,12 @@
         true
     }
 
-    /// Has each connection close after its response from now on.
+    /// From now on, closes each connection after its response, unless its next request has arrived by then.
     pub fn close_after_responses(&mut self) {
         self.closes_after_response = true;
     }
 
-    /// Closes the idle connections, and has each one that becomes idle later close at once.
+    /// Closes the idle connections. From now on, a connection that becomes idle is closed at once.
     pub fn close_idle(&mut self, now: f64, timers: &mut Timers) {
         self.close_when_idle = true;
         for id in self.connections_without_request(true) {
@@ -80,8 +84,8 @@
         }
     }
 
-    /// Queues the clients that are sending a request to be read; what they have sent by now is then handled before
-    /// `expire_pending_requests` times out the requests that are still incomplete.
+    /// Queues a read from each client that has not sent a complete request, so that what the clients have sent by now
+    /// is handled before `expire_pending_requests` times out the requests that are still incomplete.
     pub fn read_pending_requests(&mut self) {
         for id in self.awaiting_request.values().copied().collect::<Vec<_>>() {
             self.read_before_timeout(id);
@@ -103,8 +107,8 @@
         without_request.map(|(id, _)| id).collect()
     }
 
-    /// Queues a client whose timer has fired to be read: what it has sent by now is read before the timeout is handled.
-    /// Returns the timer, for `is_still_timed_out`.
+    /// Queues a read from a client whose timer has fired, so that what the client has sent by now is read before the
+    /// timeout is handled. Returns the timer, which is to be passed to `is_still_timed_out`.
     pub fn read_before_timeout(&mut self, id: usize) -> Option<TimerKey> {
         let client = self.connections.get_mut(id)?;
         client.readable = true;
@@ -113,8 +117,8 @@
     }
 
     /// Returns whether the client has timed out, that is, whether `timer`, which has fired, is still its timer. To be
-    /// called once the bytes that `read_before_timeout` has queued the client for are read: handling them may have
-    /// replaced or cancelled the timer.
+    /// called after the read that `read_before_timeout` has queued: handling the bytes may have replaced or cancelled
+    /// the timer.
     pub fn is_still_timed_out(&self, id: usize, timer: Option<TimerKey>) -> bool {
         timer.is_some() && self.connections.get(id).is_some_and(|client| client.timer == timer)
     }
@@ -155,7 +159,7 @@
 
     /// Closes a connection without a pending request, unless bytes of a next request have arrived.
     pub(super) fn close_if_no_data(&mut self, now: f64, id: usize, timers: &mut Timers) {
-        // Bytes that were read together with the previous request belong to a next one.
+        // Unparsed bytes that were read together with the previous request belong to the next request.
         if self.connections.get(id).is_some_and(|c| c.input.is_some() || !c.read_ahead.is_empty()) {
             return self.start_request_timer(now, id, timers);
         }
@@ -185,14 +189,16 @@
         self.schedule_resume_accepting(timers);
     }
 
-    /// Has a connection linger until `until`, but in a shutdown not much beyond the time of the last responses.
+    /// Sets the timer that ends a connection's lingering at `until`, or, in a shutdown, at the latest
+    /// `SHUTDOWN_LINGER_SECONDS` after the last responses are due.
     fn set_linger_timer(&mut self, id: usize, until: f64, timers: &mut Timers) {
         let key = self.set_timer(id, until.min(self.shutdown_deadline + SHUTDOWN_LINGER_SECONDS), timers);
         self.lingering.insert(key, id);
     }
 
-    /// Waits longer for a lingering client that has not acknowledged all of its last response: closing now could reset the
-    /// connection and lose the response. Returns `false` if there is nothing more to wait for.
+    /// Waits longer for a lingering client that has not acknowledged all of its last response: closing now could reset
+    /// the connection and lose the response. Returns `false` if the client has acknowledged everything or the time
+    /// limit for it has passed.
     pub(super) fn extend_linger(&mut self, now: f64, id: usize, timers: &mut Timers) -> bool {
         let until = self.shutdown_deadline + SHUTDOWN_LINGER_SECONDS;
         let Some(client) = self.connections.get(id) else { return false };
@@ -206,10 +212,10 @@
         extend
     }
 
-    /// Returns the connection to evict: never one that is owed a response or has sent bytes that are not read yet. A
-    /// connection that has only just been accepted comes last, unless connections without a whole request take more
-    /// than half of the bound. Returns `None` if there is no connection to choose from, or if each one turns out to
-    /// have sent bytes.
+    /// Returns the connection to evict: never one whose client is waiting for a response or has sent bytes that are not
+    /// read yet. A connection whose request timer has run for less than `EVICTABLE_AFTER_SECONDS` is the last choice,
+    /// unless connections without a complete request are more than half of `max_connections`. Returns `None` if there
+    /// is no connection to choose from, or if each of them turns out to have sent bytes.
     pub(super) fn eviction_candidate(&mut self, now: f64) -> Option<usize> {
         let evictable_until = now + REQUEST_TIMEOUT_SECONDS - EVICTABLE_AFTER_SECONDS;
         loop {
@@ -217,7 +223,7 @@
             let is_evictable = |timer: &TimerKey| too_many_new || timer.is_before(evictable_until);
             let evictable = self.awaiting_request.iter().filter(|(timer, _)| is_evictable(timer));
             let in_order = evictable.chain(&self.lingering).chain(&self.idle).chain(&self.awaiting_request);
-            // A connection that is queued to be read is not evicted before that.
+            // A connection that is queued to be read is not evicted before it has been read.
             let Some(id) = in_order.map(|(_, id)| *id).find(|id| !self.pending_clients.contains(id)) else {
                 break;
             };
@@ -225,7 +231,7 @@
                 return Some(id);
             }
         }
-        // Every candidate is queued to be read. One whose client has disconnected may be evicted all the same.
+        // Every candidate is queued to be read. A candidate whose client has disconnected may be evicted nevertheless.
         let all = self.awaiting_request.values().chain(self.lingering.values()).chain(self.idle.values());
         let candidates: Vec<_> = all.copied().collect();
         candidates.into_iter().find(|id| matches!(self.final_read(now, *id), FinalRead::Disconnected(_)))
--- a/crates/dunepond-broker/src/downstream/decode.rs
+++ b/crates/dunepond-broker/src/downstream/decode.rs
@@ -10,7 +10,7 @@
 use crate::iteration::Port;
 use crate::search_api::{self, SearchApi};
 
-/// The interim response after which a client sends the body that it holds back (`Expect: 100-continue`).
+/// The interim response after which a client sends the body that it has withheld (`Expect: 100-continue`).
 pub(super) const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// The result of one parsing step.
@@ -21,12 +21,13 @@
     HeadDone,
     /// The head of a valid streamed request has been parsed.
     Event(ClientEvent),
-    /// A whole request has been parsed, or is malformed for this reason.
+    /// A complete request has been parsed, or the request is malformed for the reason in the error.
     Request(Result<Box<Message>, HttpError>),
 }
 
 impl Downstream {
-    /// Parses until there is a whole valid request, or the head of a streamed one; returns `None` if more bytes are needed.
+    /// Parses until there is a complete valid request, or the valid head of a streamed request; returns `None` if more
+    /// bytes are needed.
     pub(super) fn decode(&mut self, now: f64, id: usize, timers: &mut Timers) -> Option<ClientEvent> {
         loop {
             if !self.begin_request(now, id, timers) {
@@ -65,7 +66,7 @@
         true
     }
 
-    /// Takes one parsing step in the phase that the connection is in.
+    /// Does the parsing step that belongs to the connection's current phase.
     fn parse(&mut self, now: f64, id: usize, timers: &mut Timers) -> Parsed {
         let client = &mut self.connections[id];
         if client.input.is_none() {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Passes on what has arrived of a streamed body.
+    /// Moves what has arrived of a streamed body from the input buffer into that body.
     fn parse_streamed_body(&mut self, id: usize, mut streamed: Box<StreamedRequest>) -> Parsed {
         self.bodies_received.push(streamed.body.id);
         let client = &mut self.connections[id];
@@ -161,7 +162,7 @@
         Parsed::Incomplete
     }
 
-    /// Validates a whole request; answers it if it is malformed, invalid or needs no query.
+    /// Validates a complete request; answers it if it is malformed, invalid or needs no query.
     fn finish_request(
         &mut self,
         now: f64,
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Validates a whole request of the search API; answers it if it is malformed or invalid.
+    /// Validates a complete request of the search API; answers it if it is malformed or invalid.
     fn finish_search_request(
         &mut self,
         now: f64,
@@ -203,7 +204,8 @@
         }
     }
 
-    /// Validates a whole request on the broker's own port; answers it if it is malformed, invalid or a readiness check.
+    /// Validates a complete request on the broker's own port; answers it if it is malformed, invalid or a readiness
+    /// check.
     fn finish_query_request(
         &mut self,
         now: f64,
--- a/crates/dunepond-broker/src/downstream/disconnect.rs
+++ b/crates/dunepond-broker/src/downstream/disconnect.rs
@@ -1,5 +1,6 @@
-//! Detects disconnected clients, for which no further attempt is sent. The end of a client's stream may come after requests
-//! that are not read yet, and then no further readiness event reports it.
+//! Detects disconnected clients, so that no further attempt is sent for them. The end of a client's stream may follow
+//! requests that are not read yet. As no further readiness event reports the end then, the socket is checked before an
+//! attempt is sent.
 
 use std::collections::VecDeque;
 use std::io;
@@ -14,13 +15,13 @@
 use crate::clock::Timers;
 use crate::connection_end::ConnectionEnd;
 
-/// How old the last disconnect check of a client may be when an attempt is sent for it. An attempt must not begin more than
-/// 0.1 s after the client has disconnected; half of that time is left for writing its frame.
+/// Maximum age of a client's last disconnect check when an attempt is sent for that client. An attempt must not begin
+/// more than 0.1 s after the client has disconnected; half of that time is left for writing the attempt's frame.
 const CHECK_VALID_SECONDS: f64 = 0.05;
 
 impl Downstream {
-    /// Whether a client has disconnected, by a check that is recent and newer than the client's last readiness event. If it
-    /// has, `next_disconnected` closes its connection.
+    /// Returns whether a client has disconnected. Checks the socket again if the last check is `CHECK_VALID_SECONDS`
+    /// old or if there may be bytes to read. `next_disconnected` closes the connection of a client found disconnected.
     pub fn check_disconnected(&mut self, now: f64, id: usize) -> bool {
         let Some(client) = self.connections.get_mut(id) else { return false };
         if client.disconnected.is_none()
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Closes the connection of one disconnected client and returns its query in flight, if any; `None` if there is no such
-    /// client.
+    /// Closes the connection of one disconnected client and returns its query in flight, if any; `None` if no client
+    /// found disconnected is left.
     pub fn next_disconnected(&mut self, timers: &mut Timers) -> Option<Option<QueryId>> {
         let id = self.disconnected_clients.pop()?;
         // The connection may be closed already, and its index reused.
@@ -56,14 +57,16 @@
         Some(ending.and_then(|ending| self.close(id, ending, timers)))
     }
 
-    /// Whether there are buffers to read ahead what a client sends while it waits: its disconnect comes after all of that,
-    /// and is seen only once the socket's receive buffer has been read. Half of the buffers are kept for new requests.
+    /// Whether there are buffers for reading ahead what a client sends while it waits for a response. The end of its
+    /// stream is seen only once all earlier bytes in the socket's receive buffer have been read. Half of the buffers
+    /// are reserved for new requests.
     pub(super) fn has_read_ahead_capacity(&self) -> bool {
         2 * self.pool.buffers_in_use() < self.max_buffers
     }
 
-    /// Reads ahead what has arrived, as a disconnect comes after it. If the client may not be read now, or there is no
-    /// buffer, polls the socket for the peer's close instead.
+    /// Returns how a client's connection has ended; `None` if it is still open. Reads ahead what has arrived, as the
+    /// end of the stream comes after it. If the client may not be read now, or there is no buffer, polls the socket for
+    /// the peer's close instead.
     fn probe_disconnect(&mut self, now: f64, id: usize) -> Option<ConnectionEnd> {
         let received_at = self.received_at(now);
         let has_buffer = self.pool.buffers_in_use() < self.max_buffers;
--- a/crates/dunepond-broker/src/downstream/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -37,13 +37,13 @@
 
 /// The result of reading from a client connection.
 pub enum ClientEvent {
-    /// A whole query has been read.
+    /// A complete query has been read.
     Query(QueryRequest),
     /// The head of a query whose body is streamed has been read.
     StreamedQuery(QueryRequest, Box<Head>),
     /// The client has disconnected. Holds the id of the client's query in flight, if there is one.
     Disconnected(Option<QueryId>),
-    /// A whole request of the search API has been read.
+    /// A complete request of the search API has been read.
     SearchRequest(Box<SearchRequest>),
     /// There is nothing for the router.
     Nothing,
@@ -57,7 +57,7 @@
     ReadingBody(Box<Message>),
     /// Inside the body of a streamed request, or waiting for the body to be buffered.
     StreamingBody(Box<StreamedRequest>),
-    /// A whole request has been read, but has neither a response nor a query id yet.
+    /// A complete request has been read, but has neither a response nor a query id yet.
     AwaitingAdmission,
     /// The request is in flight under this id.
     InFlight(QueryId),
@@ -117,7 +117,7 @@
     listener: Rc<TcpListener>,
     token: RegistrationToken,
     port: Port,
-    /// When accepting was paused; `None` once the backlog of that pause has been accepted.
+    /// When accepting was paused; `None` once all connections that waited in the backlog during the pause are accepted.
     paused_since: Option<f64>,
 }
 
@@ -129,24 +129,25 @@
     max_connections: usize,
     max_buffers: usize,
     settings: Rc<HostSettings>,
-    /// The listeners of the broker's own port and of the search API; their connections are bounded together.
+    /// The listeners of the broker's own port and of the search API; `max_connections` bounds the connections of both
+    /// together.
     listeners: Vec<Listener>,
     /// Whether accepting connections is paused.
     accepting_paused: bool,
     /// The search API; `None` if it is not enabled.
     pub search_api: Option<Rc<search_api::SearchApi>>,
-    /// Connections that have not sent a whole request yet, by timer, so that the longest waiting one comes first. They may
-    /// be evicted at the bound on connections.
+    /// Connections that have not sent a complete request yet, by timer, so that the longest waiting one comes first.
+    /// They may be evicted when `max_connections` is reached.
     awaiting_request: BTreeMap<TimerKey, usize>,
-    /// Idle connections, by timer. They may be evicted at the bound on connections.
+    /// Idle connections, by timer. They may be evicted when `max_connections` is reached.
     idle: BTreeMap<TimerKey, usize>,
-    /// Connections whose write side is shut down, by timer. They may be evicted at the bound on connections.
+    /// Connections whose write side is shut down, by timer. They may be evicted when `max_connections` is reached.
     lingering: BTreeMap<TimerKey, usize>,
     /// Whether streamed requests are accepted.
     pub accepts_streamed: bool,
     /// Streamed bodies of which more bytes have arrived.
     pub bodies_received: Vec<BodyId>,
-    /// Clients that are not read until their streamed body has room again.
+    /// Clients from which nothing is read until their streamed body has room again.
     blocked_on_body: Vec<usize>,
     /// Connections to be read without a further readiness event.
     pub pending_clients: Vec<usize>,
@@ -221,7 +222,7 @@
 }
 
 impl ClientConnection {
-    /// Whether the client has not sent a whole request yet.
+    /// Whether the client has not sent a complete request yet.
     fn awaiting_request(&self) -> bool {
         match &self.phase {
             RequestPhase::StreamingBody(streamed) => streamed.query.is_none(),
--- a/crates/dunepond-broker/src/downstream/read.rs
+++ b/crates/dunepond-broker/src/downstream/read.rs
@@ -9,10 +9,10 @@
 use crate::clock::{TimerEvent, Timers};
 use crate::connection_end::ConnectionEnd;
 
-/// Maximum number of reads from one client before all others have their turn: keeps a turn short compared with the 50 ms by
-/// which any time limit may be exceeded.
+/// Maximum number of reads from one client before the other clients have their turn: keeps a turn short compared with
+/// the 50 ms by which any time limit may be exceeded.
 pub(super) const MAX_READS_PER_TURN: usize = 4;
-/// Delay before a client that keeps sending is read again.
+/// Delay before a client is read again that has sent more than one turn reads.
 const RESUME_READING_SECONDS: f64 = 0.001;
 
 /// Appends the result of one read to `input` and returns its length. Reads from the read-ahead buffers as long as they hold
@@ -99,8 +99,8 @@
         self.cap_streamed_deadline(event)
     }
 
-    /// Pauses a client whose streamed body has no room. Called before reading, so that no buffer is held while the body
-    /// waits.
+    /// Pauses a client whose streamed body has no room. Called before reading, so that the client occupies no read
+    /// buffer while it waits for room in the body.
     fn pause_for_full_body(&mut self, id: usize) {
         let client = &mut self.connections[id];
         if let RequestPhase::StreamingBody(streamed) = &client.phase
@@ -153,7 +153,8 @@
         event
     }
 
-    /// Closes the connection other than `except` that holds a buffer and has been sending its request for the longest time.
+    /// Frees a read buffer: closes the connection that, among those other than `except` that occupy a buffer, has been
+    /// sending its request for the longest time.
     fn evict_for_buffer(&mut self, except: usize, timers: &mut Timers) {
         let holds_buffer = |client: &ClientConnection| {
             client.input.is_some() || matches!(client.phase, RequestPhase::ReadingBody(_))
--- a/crates/dunepond-broker/src/downstream/response.rs
+++ b/crates/dunepond-broker/src/downstream/response.rs
@@ -13,15 +13,15 @@
 const DELIVERY_GRACE_SECONDS: f64 = 0.5;
 /// How long an idle connection is kept open.
 const IDLE_TIMEOUT_SECONDS: f64 = 4.0;
-/// The number of idle connections is at most the bound on connections divided by this. Guards against clients that send one
-/// request and stay connected, which would use up the file descriptors.
+/// The number of idle connections is at most the maximum number of connections divided by this. Guards against clients
+/// that send one request and stay connected, which would use up the file descriptors.
 const MAX_IDLE_DIVISOR: usize = 4;
 
 impl Downstream {
     /// Records that the client's request is in flight under the id `query` until its response.
     pub fn assign_query(&mut self, id: usize, query: QueryId) {
         match self.connections.get_mut(id).map(|c| &mut c.phase) {
-            // The client is still sending a body that is passed through.
+            // The client is still sending the body, which is passed through to the nodes as it arrives.
             Some(RequestPhase::StreamingBody(streamed)) => streamed.query = Some(query),
             Some(phase) => *phase = RequestPhase::InFlight(query),
             None => {}
@@ -56,10 +56,12 @@
         timers: &mut Timers,
     ) {
         let Some(client) = self.connections.get_mut(id) else { return };
-        // The rest of a body would be parsed as the next request.
+        // After a response in the middle of a body the connection closes, as the rest of the body would be parsed as
+        // the next request.
         client.responded_in_body |= matches!(client.phase, RequestPhase::StreamingBody(_));
         client.keep_alive &= !client.responded_in_body;
-        // In a shutdown the connection closes after its last response; it is not the last one if another request has arrived.
+        // In a shutdown the connection closes after its last response. This response is not the last one if another
+        // request has arrived.
         let closes = self.closes_after_response && client.keep_alive && !self.has_next_request(now, id);
         let client = &mut self.connections[id];
         client.keep_alive &= !closes;
@@ -81,8 +83,8 @@
             || now < self.shutdown_deadline && matches!(self.final_read(now, id), FinalRead::ReceivedData)
     }
 
-    /// Writes what is queued for a client. Once all is written, sets the timer of what comes next on the connection, or
-    /// closes it.
+    /// Writes what is queued for a client. Once all is written, sets or clears the timer as the connection's phase
+    /// requires, or closes the connection.
     pub(super) fn write(&mut self, now: f64, id: usize, timers: &mut Timers) {
         let Some(client) = self.connections.get_mut(id) else { return };
         if let Err(e) = client.output.flush(&*client.stream) {
--- a/crates/dunepond-broker/src/downstream/streamed_body.rs
+++ b/crates/dunepond-broker/src/downstream/streamed_body.rs
@@ -38,14 +38,14 @@
         }));
         self.pending_clients.push(id);
         self.write(now, id, timers);
-        // The body may take as long as the client waits for the response.
+        // The body may take until the request's deadline to arrive.
         if self.connections.contains(id) {
             self.set_timer(id, deadline, timers);
         }
     }
 
-    /// Returns the request and the body of a streamed request whose query starts now, as its body is buffered or is passed
-    /// through; `None` if the client is gone.
+    /// Returns the request and the body of a streamed request whose query starts now, as the body is completely
+    /// buffered or is passed through to the nodes as it arrives. Returns `None` if the client is gone.
     pub fn start_query(
         &mut self,
         id: usize,
@@ -84,8 +84,9 @@
         }
     }
 
-    /// Resumes reading from clients whose body has room again, and from clients that have been answered: these may read the
-    /// response only once all that they send has been read, and discarded.
+    /// Resumes reading from clients whose body has room again, and from clients that have been answered. An answered
+    /// client may read its response only after it has sent the whole body, so the rest of the body is read and
+    /// discarded.
     pub fn resume_unblocked(&mut self) {
         for id in std::mem::take(&mut self.blocked_on_body) {
             match self.connections.get(id).map(|c| &c.phase) {
--- a/crates/dunepond-broker/src/downstream/timeouts.rs
+++ b/crates/dunepond-broker/src/downstream/timeouts.rs
@@ -17,7 +17,7 @@
 impl Downstream {
     /// Starts the request timeout of a client.
     pub(super) fn start_request_timer(&mut self, now: f64, id: usize, timers: &mut Timers) {
-        // The deadline of a shutdown may come first.
+        // In a shutdown, the time at which the last responses are due may come first.
         let key = self.set_timer(id, (now + REQUEST_TIMEOUT_SECONDS).min(self.shutdown_deadline), timers);
         self.awaiting_request.insert(key, id);
     }
@@ -28,7 +28,7 @@
         self.idle.insert(key, id);
     }
 
-    /// Sets a client's timer to fire at `at`, in place of the one that is set.
+    /// Sets a client's timer to fire at `at` (Unix seconds), replacing the timer that is set.
     pub(super) fn set_timer(&mut self, id: usize, at: f64, timers: &mut Timers) -> TimerKey {
         self.clear_timer(id, timers);
         let key = timers.schedule(at, TimerEvent::ClientTimeout(id));
