--- a/crates/dunepond-broker/src/downstream/validation.rs
+++ b/crates/dunepond-broker/src/downstream/validation.rs
@@ -12,7 +12,7 @@
 use crate::query_request::QueryRequest;
 
 const MAX_REQUEST_ID_BYTES: usize = 200;
-/// How far the weight of each part may be off by rounding.
+/// Maximum rounding error of the weight of one part.
 const WEIGHT_ROUNDING_TOLERANCE: f64 = 0.002;
 
 impl Downstream {
@@ -45,7 +45,8 @@
             .map(Some)
     }
 
-    /// Returns the query class in the path; an error if the path, the method or the class header does not fit.
+    /// Returns the query class in the path; an error if the path names no query class, the method is not POST, or the
+    /// class header names another class.
     fn query_class_in_path(&self, head: &Head) -> Result<usize, HttpError> {
         let path = head.path.split('?').next().unwrap_or_default();
         let first = path.trim_start_matches('/').split('/').next().unwrap_or_default();
@@ -132,7 +133,8 @@
         let weight = weight.ok_or_else(|| invalid(field.weight, "not a share"))?;
         parts.push(Part { segment, weight, required_node: None });
     }
-    // Each weight may be rounded. With a sum further off, the configured shares of an answer would lose their meaning.
+    // Each weight may be rounded, so the sum need not be exactly 1. With a larger difference, the configured shares of
+    // an answer would lose their meaning.
     let sum: f64 = parts.iter().map(|part| part.weight).sum();
     if (sum - 1.0).abs() > WEIGHT_ROUNDING_TOLERANCE * parts.len() as f64 {
         return Err(invalid(field.weight, "the shares do not add up to 1"));
@@ -160,7 +162,7 @@
     if time_budget <= 0.0 {
         return Err(invalid("X-Budget: spent"));
     }
-    // All tenants that are not listed share the index after the listed ones.
+    // All tenants that the settings do not list share the index after the listed tenants.
     let tenant = settings.tenants.iter().position(|c| *c == head.tenant);
     Ok(QueryRequest {
         request_id: id.clone(),
--- a/crates/dunepond-broker/src/event_loop/background.rs
+++ b/crates/dunepond-broker/src/event_loop/background.rs
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Starts the background jobs that may run now: blocking jobs on the thread pool, step jobs on the event loop itself.
-    /// Step jobs run only if `idle`, which says that the iteration had no events.
+    /// Starts the background jobs that may run now: blocking jobs on the thread pool, step jobs on the event loop
+    /// itself. Step jobs run only if `idle`, that is, if the iteration had no events.
     pub(super) fn run_background_jobs(&mut self, idle: bool) {
         let now = self.router_host.now;
         if !self.audit_scheduled && self.prefilter.as_ref().is_some_and(PrefilterHost::has_audits) {
--- a/crates/dunepond-broker/src/event_loop/disconnects.rs
+++ b/crates/dunepond-broker/src/event_loop/disconnects.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Ends every query of a disconnected client's request `id`.
+    /// Ends every query that runs for the request `id` of a disconnected client.
     pub(super) fn client_disconnected(&mut self, id: QueryId) {
         for query in self.router_host.queries_of(id) {
             self.router_host.conclude_disconnected(query);
--- a/crates/dunepond-broker/src/event_loop/endpoints.rs
+++ b/crates/dunepond-broker/src/event_loop/endpoints.rs
@@ -14,7 +14,8 @@
             self.router.set_quota_shares(shares);
         }
         let Some(changes) = control_plane.poll_changes() else { return };
-        // Each new lease comes as a change: the next lease request then carries the current overload state.
+        // Every new lease is a change, so that the overload state is updated here before the next lease request sends
+        // it.
         control_plane.set_overloaded(self.router.is_overloaded());
         if let Some(rules) = changes.rules {
             self.router.set_rules(&rules);
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Handles a readiness event of the connection to discovery, and applies the endpoint lists that it brought.
+    /// Handles a readiness event of the connection to discovery, and applies the endpoint updates that were received.
     pub(super) fn discovery_ready(&mut self, readable: bool) {
         let now = self.refresh_clock_and_config();
         for update in self.discovery.on_ready(now, readable, &mut self.router_host.timers) {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Applies an endpoint update, as changed by the control plane if there is one.
+    /// Applies an endpoint update. If there is a control plane, it changes the endpoints of the update first.
     pub(super) fn on_endpoint_update(&mut self, mut update: EndpointUpdate) {
         if let Some(control_plane) = &mut self.router_host.control_plane {
             let zone_name = |zone| self.discovery.zone_name(zone);
--- a/crates/dunepond-broker/src/event_loop/iteration_times.rs
+++ b/crates/dunepond-broker/src/event_loop/iteration_times.rs
@@ -5,11 +5,11 @@
 #[cfg(test)]
 mod tests;
 
-/// The times of the current iteration and the one before, in seconds of the broker's clock.
+/// The times of the current and the previous iteration, in seconds of the broker's clock.
 ///
-/// An iteration polls for events and then reads the clock. If the process is stopped between the two, the poll has
-/// returned before the stop: what arrives during the stop is found only by the next poll, although that iteration
-/// follows at once. So the clock is read before each poll as well.
+/// An iteration polls for events and then reads the clock. If the process is stopped between the two, events that
+/// arrive during the stop are found only by the next poll, and the clock reading after the stop is too late to be their
+/// earliest arrival time. So the clock is read before each poll as well.
 pub(super) struct IterationTimes {
     /// When the latest poll began.
     poll_began_at: f64,
@@ -22,7 +22,7 @@
 }
 
 impl IterationTimes {
-    /// The times before the first iteration: no event arrived before `at`.
+    /// Creates the times before the first iteration; no event has arrived before `at`.
     pub(super) fn new(at: f64) -> Self {
         Self { poll_began_at: at, began_at: at, previous_began_at: at, earliest_arrival: at }
     }
--- a/crates/dunepond-broker/src/event_loop/iteration_times/tests/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/iteration_times/tests/mod.rs
@@ -15,7 +15,8 @@
     assert_eq!((times.earliest_arrival(), times.previous_began_at(), times.began_at()), (1.05, 1.05, 1.16));
 }
 
-/// While an iteration handles its events for long, new ones wait: they may have arrived at any time since it began.
+/// While an iteration takes long to handle its events, new events wait. They may have arrived at any time since that
+/// iteration began.
 #[test]
 fn stall_between_polls_counts_from_the_previous_iteration() {
     let mut times = IterationTimes::new(1.0);
@@ -26,8 +27,8 @@
     assert_eq!(times.earliest_arrival(), 1.65);
 }
 
-/// Guards against dating a SIGTERM too late: if it came while the process was stopped between a poll and the reading of
-/// the clock that follows, it was dated after the stop.
+/// Guards against dating a SIGTERM too late: a SIGTERM that came while the process was stopped between a poll and the
+/// following reading of the clock was dated after the stop.
 #[test]
 fn stall_after_a_poll_counts_from_before_that_poll() {
     let mut times = IterationTimes::new(1.0);
--- a/crates/dunepond-broker/src/event_loop/lifecycle.rs
+++ b/crates/dunepond-broker/src/event_loop/lifecycle.rs
@@ -7,8 +7,8 @@
 use crate::discovery::RESPONSE_OVERDUE_SECONDS;
 use crate::iteration::Iteration;
 
-/// How long a new process waits for discovery before it uses the configured endpoint list: until a first call, and a
-/// second one started beside it, are both overdue.
+/// How long a new process waits for discovery before it uses the configured endpoint list. A second call is started in
+/// parallel once the first is overdue; this is the time at which the second is overdue too.
 const FIRST_LIST_TIMEOUT_SECONDS: f64 = 2.0 * RESPONSE_OVERDUE_SECONDS;
 
 impl EventLoop {
@@ -21,7 +21,8 @@
             self.router_host.timers.schedule(now + persistence.snapshot_interval(), TimerEvent::Snapshot);
         }
         if self.configured_endpoints.is_some() {
-            // Scheduled first, to fire first at the same time: the list must be in force before connections are accepted.
+            // Scheduled before the end of the accept delay, so that it fires first if both are due at the same time:
+            // the endpoint list must be in force before connections are accepted.
             self.router_host.timers.schedule(now + FIRST_LIST_TIMEOUT_SECONDS, TimerEvent::FirstListTimeout);
             self.router_host.downstream.delay_accepting(
                 now,
@@ -41,7 +42,7 @@
             let wait = next.map_or(SIGNAL_POLL_INTERVAL, |next| next.min(SIGNAL_POLL_INTERVAL));
             self.times.record_poll_start(now);
             poller.dispatch(wait, &mut iteration)?;
-            // Without events in this iteration, idle work delays none.
+            // If this iteration has no events, idle work delays no event.
             let idle = iteration.events.is_empty();
             self.begin_iteration();
             self.detect_disconnects(&iteration);
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop: handles each event and timer in turn, and after each one all work that follows from it.
+//! The event loop: handles each event and timer in turn, and after each of them all the work that results from it.
 
 mod background;
 mod disconnects;
@@ -37,13 +37,14 @@
     /// The prefilter; `None` if the operator's file does not enable it.
     prefilter: Option<PrefilterHost>,
     background: Background,
-    /// The state that outlives the process; `None` if the operator's file names no folder for it.
+    /// Saves state that a restarted process restores; `None` if the operator's file names no folder for this state.
     persistence: Option<Persistence>,
     /// Whether a background job for a prefilter audit is scheduled.
     audit_scheduled: bool,
     config_reloader: ConfigReloader,
     operator: OperatorConfig,
-    /// The configured endpoint list; `None` once discovery has answered, or has not done so in time and this list is used.
+    /// The configured endpoint list, which is used if discovery does not answer in time; `None` once discovery has
+    /// answered or the list has been used.
     configured_endpoints: Option<EndpointUpdate>,
     times: IterationTimes,
     /// The longest query timeout in seconds; lowered if the longest one of a reloaded configuration is shorter.
--- a/crates/dunepond-broker/src/event_loop/pending.rs
+++ b/crates/dunepond-broker/src/event_loop/pending.rs
@@ -1,4 +1,4 @@
-//! Handles the work that follows from an event: requests that have been read, attempts that have ended, bodies and
+//! Handles the work that results from an event: requests that have been read, attempts that have ended, bodies and
 //! prefilter responses.
 
 use dunepond_body_buffer::BodyId;
@@ -11,7 +11,7 @@
 
 impl EventLoop {
     /// Handles pending work until none is left: requests that have been read, frames to be written, and ends of
-    /// attempts. The latter are queued because an attempt may end during a call to the router, which must not be
+    /// attempts. Ends of attempts are queued because an attempt may end during a call to the router, which must not be
     /// called again from within that call.
     pub(super) fn process_pending(&mut self) {
         loop {
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Handles a streamed body that has been buffered, is passed through, or was lost.
+    /// Handles a streamed body that is now completely buffered, that is passed through to the nodes as it arrives, or
+    /// that was lost.
     fn on_body_event(&mut self, body: BodyId, event: BodyEvent) {
         let fallback_reason = match event {
             BodyEvent::Buffered => None,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Ends a query whose deadline has passed; a client that has no answer yet gets a 504.
+    /// Ends a query whose deadline has passed; if the query is still unanswered, its client gets a 504.
     pub(super) fn expire_query(&mut self, query: QueryId) {
         if self.router_host.expire_attempts(query) {
             self.process_pending();
--- a/crates/dunepond-broker/src/event_loop/reload.rs
+++ b/crates/dunepond-broker/src/event_loop/reload.rs
@@ -1,5 +1,5 @@
-//! Applies a reloaded configuration and operator's file: the settings that can change in a running process take effect,
-//! and the log names the others.
+//! Applies a reloaded configuration and operator's file. The settings that can change in a running process take effect;
+//! the log names the changed settings of the operator's file that need a restart.
 
 use dunepond_config::ConfigError;
 use dunepond_config::operator::OperatorConfig;
@@ -30,8 +30,8 @@
             Ok(startup) => {
                 info!("configuration reloaded");
                 logger::set_level(startup.log_level);
-                // Timeouts take effect after a restart, but the process's supervisor may already use the new ones to time its
-                // kill.
+                // Timeouts take effect after a restart, but the process's supervisor may already use the new ones to
+                // decide when it sends SIGKILL.
                 let timeouts = startup.deployment.query_classes.iter().map(|class| class.timeout);
                 self.longest_timeout = self.longest_timeout.min(timeouts.fold(0.0, f64::max));
                 self.discovery.change_agent(now, startup.discovery_address, &mut self.router_host.timers);
--- a/crates/dunepond-broker/src/event_loop/setup.rs
+++ b/crates/dunepond-broker/src/event_loop/setup.rs
@@ -1,5 +1,5 @@
-//! Sets up at startup what sends events to the event loop: listeners, signals, the disk spill for bodies and the thread
-//! pool for background jobs.
+//! Sets up, at startup, the sources of the event loop's events: listeners, signals, the disk spill for bodies and the
+//! thread pool for background jobs.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -23,9 +23,9 @@
 
 /// The disk spill for bodies.
 pub(super) struct BodySpool {
-    /// The threads that read and write.
+    /// The threads that read and write the spilled bodies.
     pub(super) spool: Spool,
-    /// The folder that the threads work on.
+    /// The folder in which the spilled bodies are stored.
     pub(super) folder: Arc<dyn SpillFolder>,
 }
 
@@ -35,8 +35,8 @@
 }
 
 /// Listens at an address; `what` names it in the log. While the address is in use, perhaps by an old process that is
-/// shutting down, binding is retried until such a process must have been killed: if it failed at once, a start during the
-/// old process's shutdown would never succeed.
+/// shutting down, binding is retried until such a process must have been killed. If binding failed at once, a start
+/// during the old process's shutdown would never succeed.
 pub(super) fn listen_with_retry(what: &str, address: SocketAddr) -> io::Result<TcpListener> {
     let started_at = Instant::now();
     let mut is_logged = false;
@@ -80,7 +80,7 @@
     let folder = match replacement {
         Some(folder) => folder,
         None => {
-            // Unique to this process, so that files left by an earlier one are recognised.
+            // The mark is unique to this process, so that files left by an earlier process are recognised.
             let since = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos());
             let mark = format!("{}-{since:x}", std::process::id());
             Arc::new(DiskFolder::open(&config.folder, &mark).map_err(|e| folder_error(&e))?)
@@ -94,8 +94,8 @@
     Ok(Some(BodySpool { spool, folder }))
 }
 
-/// Starts the thread pool for background jobs; `None` if the operator's file names no state folder, as only jobs on that
-/// folder block.
+/// Starts the thread pool for background jobs; `None` if the operator's file names no state folder, as the only
+/// blocking jobs are those that access this folder.
 pub(super) fn start_job_pool(
     operator: &OperatorConfig,
     handle: &EventLoopHandle,
--- a/crates/dunepond-broker/src/event_loop/shutdown.rs
+++ b/crates/dunepond-broker/src/event_loop/shutdown.rs
@@ -7,8 +7,9 @@
 use crate::clock::TimerEvent;
 
 impl EventLoop {
-    /// Handles SIGTERM or SIGINT. The stages count from the earliest time at which the signal may have come: after a stall,
-    /// SIGKILL comes sooner than the time at which the signal was noticed suggests. A second signal changes nothing.
+    /// Handles SIGTERM or SIGINT. The times of the stages count from the earliest time at which the signal may have
+    /// come, not from when it was noticed: after a stall the signal is noticed late, but SIGKILL does not come any
+    /// later. A second signal changes nothing.
     pub(super) fn begin_shutdown(&mut self) {
         let now = self.refresh_clock_and_config();
         if self.shutdown.is_none() {
@@ -29,7 +30,7 @@
     }
 
     /// Enters the next stage of the shutdown if it is due. Called before the events of an iteration are handled, so
-    /// that the stage applies to the requests that they bring.
+    /// that the stage applies to the requests that come with these events.
     pub(super) fn advance_shutdown(&mut self) {
         if self.shutdown.is_some_and(|shutdown| shutdown.stage(self.router_host.now) > self.shutdown_stage) {
             self.run_shutdown_stages();
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Ends queries that are still unanswered. Their own timers may fire only after SIGKILL, if a query timeout is longer
-    /// than the longest one that counts for the time of SIGKILL.
+    /// Ends queries that are still unanswered. The timer of such a query may fire only after SIGKILL, if the query's
+    /// timeout is longer than `longest_timeout`, from which the shutdown's schedule is computed.
     fn expire_queries(&mut self) {
         for query in self.router_host.unanswered_queries() {
             self.expire_query(query);
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -68,7 +68,7 @@
     max_accept_delay: f64,
 }
 
-/// The router's host, with the parts that the operator's file enables.
+/// The router's host, with the optional components that the operator's file enables.
 struct Host {
     router_host: RouterHost,
     prefilter: Option<PrefilterHost>,
@@ -105,7 +105,7 @@
     Ok(())
 }
 
-/// Builds a broker. `signals_since` is the time from which on signals are caught: none of them came earlier.
+/// Builds a broker. `signals_since` is the time since which signals are caught; no caught signal came earlier.
 fn build(
     startup: StartupConfig,
     mut hooks: Hooks,
@@ -115,7 +115,7 @@
     let (pool, host_settings) = (Pool::default(), Rc::new(startup.host_settings.clone()));
     let mut discovery =
         DiscoveryClient::new(handle.clone(), &pool, startup.discovery_address, &host_settings);
-    // An invalid list is ignored, as discovery will send one.
+    // An invalid configured list is ignored, as discovery will send a list.
     let configured_endpoints = discovery.parse_configured_list(&startup.configured_endpoints).ok();
     let Host { router_host, prefilter, address, body_folder } =
         open_host(&startup, &mut hooks, &pool, &host_settings, handle)?;
@@ -155,7 +155,7 @@
     Ok(Broker { event_loop, address, body_folder, max_accept_delay })
 }
 
-/// Opens the router's host, with the parts that the operator's file enables.
+/// Creates the router's host, with the optional components that the operator's file enables.
 fn open_host(
     startup: &StartupConfig,
     hooks: &mut Hooks,
--- a/crates/dunepond-broker/src/event_loop/timers.rs
+++ b/crates/dunepond-broker/src/event_loop/timers.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Uses the configured endpoint list, as discovery has not answered in time since the start.
+    /// Uses the configured endpoint list, as discovery has not answered in time after the start of the process.
     fn use_configured_endpoints(&mut self) {
         if let Some(configured) = self.configured_endpoints.take() {
             info!("discovery does not answer; the configured endpoint list is used until it does");
--- a/crates/dunepond-broker/src/frames/tests/mod.rs
+++ b/crates/dunepond-broker/src/frames/tests/mod.rs
@@ -79,7 +79,7 @@
     let attempts = || [attempt("c1.3", 3, "q\u{e4}"), attempt("c1.4", 4, "")].into_iter();
     let text = "Ac1.3 3 d=240 3\nq\u{e4}c1.4 4 d=240 0\n";
     assert_eq!(encode_attempts(attempts())[4..], *text.as_bytes());
-    // The head, lines and payloads that are queued one by one form the same frame.
+    // A frame whose head, lines and payloads are queued one by one has the same bytes.
     let (line, body) = attempt("c1.3", 3, "q\u{e4}");
     let line = line.to_string();
     let head = attempts_head((line.len() + body.len()) as u64);
--- a/crates/dunepond-broker/src/http/head.rs
+++ b/crates/dunepond-broker/src/http/head.rs
@@ -3,7 +3,7 @@
 use super::{HttpError, body_too_long};
 use crate::buffers::{BUFFER_BYTES, Buffer};
 
-/// Longest head, including the start line, and longest line of a chunk size or trailer.
+/// Maximum length of a head, including the start line, and of the line of a chunk size or trailer.
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// How many headers a head may have.
 const MAX_HEADER_COUNT: usize = 64;
@@ -71,13 +71,13 @@
     option.map(|option| option == "keep-alive")
 }
 
-/// Returns how the body is framed. Without headers that say so it is the framing that `head` already has.
+/// Returns how the body is framed; if no header says so, the framing that is set in `head`.
 fn framing(body: &BodyHeaders, head: &Head) -> Result<Framing, HttpError> {
     match (body.chunked, body.length) {
         // Both headers together would allow request smuggling.
         (true, Some(_)) => Err(HttpError::new(400, "Content-Length: given beside Transfer-Encoding")),
         (true, None) => Ok(Framing::ChunkSize),
-        // The body store limits the length of a streamed body.
+        // A streamed body may be longer; the body store limits its length.
         (false, Some(length)) if length > BUFFER_BYTES && head.segments.is_empty() => Err(body_too_long()),
         (false, Some(length)) => Ok(Framing::Length(length)),
         (false, None) => Ok(head.framing),
--- a/crates/dunepond-broker/src/http/message.rs
+++ b/crates/dunepond-broker/src/http/message.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Handles that the sender has closed the connection without a reset. Returns `true` if that completes the body,
-    /// which has no length.
+    /// Handles a close of the connection by the sender, without a reset. Returns `true` if the close completes the
+    /// body, as the end of a body without a length is marked by the close.
     pub fn finish_at_close(&mut self) -> bool {
         let is_complete = self.head.framing == Framing::UntilClose;
         if is_complete {
@@ -87,7 +87,7 @@
         is_complete
     }
 
-    /// Moves up to `left` bytes of the body out of `input`. Returns how many, or `None` if `input` is empty.
+    /// Moves up to `left` bytes of the body out of `input`. Returns how many were moved, or `None` if `input` is empty.
     fn move_body(
         &mut self,
         input: &mut Buffer,
--- a/crates/dunepond-broker/src/router/admission.rs
+++ b/crates/dunepond-broker/src/router/admission.rs
@@ -14,8 +14,8 @@
 use crate::search_api::{ActiveRequest, ActiveSearch, SearchApi, SearchRequest};
 
 impl RouterHost {
-    /// Registers a client's query. Returns `None` if it was answered here: with 503 if too much is in flight, with 400
-    /// if its request id is in use.
+    /// Registers a client's query. Returns `None` if the query was rejected: with 503 if the limit of queries and parts
+    /// in flight is reached, with 400 if its request id is in use by another query.
     pub fn register_query(&mut self, client: usize, request: QueryRequest) -> Option<Query> {
         if self.is_full() {
             debug!("query {}: rejected, {} queries and parts in flight", request.request_id, self.in_flight);
@@ -32,9 +32,9 @@
         Some(query)
     }
 
-    /// Registers a search API request and returns a query for each of its searches. A search that is invalid, or comes
-    /// when too much is in flight, gets an error as its outcome at once; a request without a search is answered at
-    /// once.
+    /// Registers a search API request and returns a query for each of its searches. A search that is invalid, or for
+    /// which the limit of queries and parts in flight is reached, gets an error as its outcome at once; a request
+    /// without a search is answered at once.
     pub fn register_search_request(&mut self, client: usize, request: &SearchRequest) -> Vec<Query> {
         let Some(search_api) = self.downstream.search_api.clone() else { return Vec::new() };
         let (now, call) = (self.now, &request.call);
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Registers a prefilter audit: a query of one segment without a client. Returns `None` if too much is in flight.
+    /// Registers a prefilter audit: a query of one segment without a client. Returns `None` if the limit of queries and
+    /// parts in flight leaves no room for it.
     pub fn register_audit(&mut self, query_class: usize, segment: usize, text: Rc<str>) -> Option<Query> {
         let request_id = format!("audit-{}", self.last_id + 1);
         let has_room = self.host_settings.max_in_flight.is_none_or(|max| self.in_flight + 2 <= max);
--- a/crates/dunepond-broker/src/router/completion.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -12,7 +12,7 @@
 use crate::upstream::CompletedAttempt;
 
 impl RouterHost {
-    /// Records the end of an attempt and returns it for the router; `None` if the query is not in flight.
+    /// Records the end of an attempt and returns this end for the router; `None` if the query is not in flight.
     pub fn record_attempt_end(&mut self, completed: CompletedAttempt) -> Option<AttemptEnded> {
         let CompletedAttempt { mut ended, mut value, .. } = completed;
         let active = self.queries.get_mut(&ended.query)?;
@@ -26,7 +26,8 @@
         if let (Some(control_plane), Some(text)) = (&self.control_plane, &value) {
             control_plane.record_carried(ended.node, active.tenant, text.len());
         }
-        // An invalid answer is a failed attempt; only a part's first answer counts.
+        // An attempt with an invalid answer counts as failed. Only the first answer for a part is used, so later ones
+        // are not checked.
         if let (Some(text), Some(search)) = (&value, &mut active.search)
             && active.values[ended.part].is_none()
             && !active.is_finished
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Marks a query as completely answered if `complete`, and if it is the one that finished last. Only such queries count
-    /// when the prefilter compares query times.
+    /// Marks a query as completely answered if `complete` is true and the query is the one that finished most recently.
+    /// Only completely answered queries count when the prefilter compares query times.
     pub(super) fn mark_completely_answered(&mut self, query: QueryId, complete: bool) {
         if complete && let Some(last) = self.finished_queries.last_mut().filter(|last| last.query == query) {
             last.completely_answered = true;
@@ -139,7 +140,7 @@
     pub(super) fn conclude(&mut self, query: QueryId) -> Option<usize> {
         let active = self.queries.get_mut(&query).filter(|active| !active.is_finished)?;
         active.is_finished = true;
-        // Frames that still carry the body hold their own reference.
+        // Frames that still have to send the body have a reference of their own to it.
         if active.body.is_some() {
             active.payload = Payload::Released;
         }
@@ -207,7 +208,8 @@
         self.complete_search(request, position, outcome, retry_after);
     }
 
-    /// Records the outcome of one search of a search API request, and answers the client if it is the last outcome.
+    /// Records the outcome of one search of a search API request, and answers the client once all searches of the
+    /// request have an outcome.
     pub(super) fn complete_search(
         &mut self,
         request: u64,
@@ -224,8 +226,8 @@
         }
     }
 
-    /// Returns the queries of the client request `request`: those of a search API request, which is then forgotten, or else
-    /// the one query with this id.
+    /// Returns the queries of the client request `request`: those of a search API request, which is removed from the
+    /// requests in flight, or else the one query with this id.
     pub fn queries_of(&mut self, request: QueryId) -> Vec<QueryId> {
         match self.search_requests.remove(&request) {
             Some(active) => active.queries,
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -1,5 +1,5 @@
-//! Applies the active configuration of a fleet to queries: whether a query is rejected at once, an attempt may be sent, and
-//! an answer may be marked complete.
+//! Applies the active configuration of a fleet to queries: decides whether a query is rejected at once, whether an
+//! attempt may be sent, and whether an answer may be marked complete.
 
 use std::rc::Rc;
 
@@ -15,8 +15,8 @@
 pub struct Coordination {
     /// The active configuration at the query's start.
     query_start: Rc<QueryStart>,
-    /// Parts that were sent under a later shard map that gives their segment other keys than the map at the query's start,
-    /// each with the later map's epoch.
+    /// Indices of the parts that were sent under a later shard map, if that map gives the part's segment other keys
+    /// than the map at the query's start. Each index comes with the later map's epoch.
     moved_parts: Vec<(usize, u64)>,
     /// The state of each part of a keyed query; empty for other queries.
     keyed_parts: Vec<KeyedPart>,
@@ -131,7 +131,7 @@
         complete
     }
 
-    /// Writes a query's final response to the audit log if it has no results, that is, if it is an error.
+    /// Writes a query's final response to the audit log, for a response without results, that is, an error.
     pub(super) fn audit_answer(&self, query: QueryId, status: u16, complete: bool) {
         if let (Some(control_plane), Some(active)) = (&self.control_plane, self.queries.get(&query)) {
             control_plane.gate.control.audit(|| AuditEvent::Answer {
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -60,8 +60,8 @@
     expires_at: f64,
     timer: Option<TimerKey>,
     tenant: usize,
-    /// What the fleet's active configuration requires of the query; `None` unless the query has been checked against
-    /// it.
+    /// What the fleet's active configuration requires of the query; `None` if the query has not been checked against
+    /// that configuration.
     coordination: Option<Coordination>,
     /// Number of attempts that have not ended.
     outstanding: usize,
@@ -77,7 +77,7 @@
     pub completely_answered: bool,
 }
 
-/// An attempt of a query, at its node.
+/// An attempt of a query and the node that it was dispatched to.
 struct SentAttempt {
     part: usize,
     /// Index of the attempt among those of its part, from 0.
@@ -102,11 +102,11 @@
     pub prefilter_connections: Option<PrefilterConnections>,
     /// The client of the fleet's control plane; `None` if the operator's file names no fleet.
     pub control_plane: Option<ControlPlaneClient>,
-    /// Finished queries that the prefilter has not been told of.
+    /// Finished queries that have not been reported to the prefilter yet.
     pub finished_queries: Vec<FinishedQuery>,
-    /// Search API requests in flight, by the id under which their client connection knows them.
+    /// Search API requests in flight, by the id that is assigned to their client connection.
     search_requests: HashMap<u64, ActiveRequest>,
-    /// Total size in bytes of the answers to parts (`ActiveQuery::values`) that are held for queries in flight.
+    /// Total size in bytes of the answers to parts (`ActiveQuery::values`) that are stored for queries in flight.
     value_bytes: u64,
     /// The client connection that uploads each streamed body.
     uploads: HashMap<BodyId, usize>,
@@ -118,7 +118,8 @@
     max_retry_after: f64,
     /// The timeout of each query class, in seconds.
     timeouts: Vec<f64>,
-    /// For each query class, how long after an attempt that may have run a retry may be sent, in seconds.
+    /// For each query class, the maximum time from sending a part's first attempt that may have run to sending a retry
+    /// of that part, in seconds.
     retry_windows: Vec<f64>,
     queries: HashMap<QueryId, ActiveQuery>,
     request_ids: HashSet<String>,
@@ -130,7 +131,7 @@
 }
 
 impl ActiveQuery {
-    /// A query without a client, tenant, deadline or attempts yet.
+    /// Creates a query that has no client, tenant, deadline or attempts yet.
     fn new(request_id: String, query_class: usize, payload: Payload, segments: Vec<usize>) -> Self {
         let part_count = segments.len();
         Self {
@@ -180,8 +181,8 @@
     !matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::ConnectFailed | AttemptOutcome::Rejected)
 }
 
-/// Returns how long after an attempt that may have run a retry may be sent, in seconds. `margin` shortens a keyed class's
-/// idempotency window.
+/// Returns the maximum time from sending a part's first attempt that may have run to sending a retry of that part, in
+/// seconds. `margin` is subtracted from the idempotency window of a keyed class.
 fn retry_window(idempotency: Idempotency, margin: f64) -> f64 {
     match idempotency {
         Idempotency::Idempotent => f64::MAX,
@@ -249,8 +250,9 @@
         }
     }
 
-    /// Frees a file descriptor by closing an idle client connection, or else an idle connection to a node; returns `false` if
-    /// there is none to close. Guards against clients that use up all descriptors and so cut off nodes and discovery.
+    /// Frees a file descriptor by closing an idle client connection, or else an idle connection to a node; returns
+    /// `false` if there is none to close. Guards against clients that use up all descriptors, so that the broker can no
+    /// longer connect to nodes and discovery.
     pub fn free_descriptor(&mut self) -> bool {
         let (now, timers) = (self.now, &mut self.timers);
         self.downstream.evict_one(now, timers) || self.upstream.close_longest_idle(now, timers)
@@ -266,7 +268,8 @@
         self.queries.get(&query).is_some_and(|active| !active.is_finished)
     }
 
-    /// Returns the text and the segments of a query; `None` if the query is not in flight or its body is no inline text.
+    /// Returns the text and the segments of a query; `None` if the query is not in flight or its payload is not an
+    /// inline text.
     pub fn prefilter_input(&self, query: QueryId) -> Option<(Rc<str>, Vec<usize>)> {
         let active = self.queries.get(&query)?;
         match &active.payload {
@@ -275,7 +278,7 @@
         }
     }
 
-    /// Asks a node which segments can match a query's text. A node that is draining or removed is not asked, and the
+    /// Asks a node which segments can match a query's text. If the node is draining or removed, sends nothing, and the
     /// prefilter request `request` fails as `NodeGone`.
     pub fn send_prefilter_request(&mut self, node: NodeId, request: u64, text: &str, segments: &[usize]) {
         let Some(prefilter_connections) = &mut self.prefilter_connections else { return };
@@ -295,7 +298,7 @@
         }
     }
 
-    /// Removes segments from a query's pruned ones, as they are searched after all.
+    /// Removes segments from a query's list of pruned segments, as these segments are searched after all.
     pub fn restore_pruned(&mut self, query: QueryId, segments: &[usize]) {
         if let Some(active) = self.queries.get_mut(&query) {
             active.pruned.retain(|pruned| !segments.contains(&pruned.segment));
--- a/crates/dunepond-broker/src/router/streamed_bodies.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -12,7 +12,7 @@
 use crate::query_request::QueryRequest;
 
 impl RouterHost {
-    /// Registers a query whose body is streamed, or rejects it at once with an error that names the limit.
+    /// Registers a query whose body is streamed, or rejects it at once with an error that names the reason.
     pub fn register_streamed_query(&mut self, client: usize, request: QueryRequest, head: Head) {
         let Some(bodies) = &mut self.body_store else { return };
         bodies.record_other_memory(self.pool.allocated_bytes(), self.value_bytes);
@@ -35,14 +35,14 @@
         }
     }
 
-    /// Rejects a request for the reason for which its body cannot be accepted.
+    /// Rejects a request whose body cannot be accepted; `reason` says why.
     fn reject_body(&mut self, client: usize, reason: FallbackReason) {
         let (error, retry_after) = self.body_error(reason);
         self.downstream.reject_and_close(self.now, client, error, retry_after, &mut self.timers);
     }
 
-    /// Returns the error and the Retry-After (in seconds) for a body that is rejected or lost. A body that is too long, or
-    /// whose length is not known, is not retriable.
+    /// Returns the error and the Retry-After (in seconds) for a body that is rejected or lost. A request whose body is
+    /// too long, or whose body length is not known, is not retriable.
     fn body_error(&self, reason: FallbackReason) -> (HttpError, f64) {
         match reason {
             FallbackReason::TooLong | FallbackReason::LengthUnknown => {
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Starts the query of a body that is buffered, or that is passed through for the reason in `failure`. Returns `None` if
-    /// its client is gone or the query was rejected.
+    /// Registers the query of a streamed body that is buffered, or that is passed through for the reason in `failure`.
+    /// Returns `None` if the client is gone or the query was rejected.
     pub fn start_streamed_query(
         &mut self,
         body: BodyId,
--- a/crates/dunepond-broker/src/router/transport.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -51,7 +51,7 @@
         self.upstream.cancel(self.now, node, attempt, AttemptOutcome::Cancelled, &mut self.timers);
     }
 
-    /// Never called: the frame protocol has no probe, and reading the configuration turns `may_probe` off.
+    /// Never called: the frame protocol has no probe, so `may_probe` is turned off when the configuration is read.
     fn probe(&mut self, _: NodeId) {}
 
     fn answer(&mut self, query: QueryId, complete: bool) {
@@ -118,8 +118,8 @@
 }
 
 impl RouterHost {
-    /// Records a new attempt of a part and returns the data from which its frame is encoded; `None` if the query is
-    /// not in flight.
+    /// Records a new attempt of a part and returns the data from which the attempt's frame is encoded; `None` if the
+    /// query is not in flight.
     fn start_attempt(&mut self, query: QueryId, part: usize, node: NodeId) -> Option<AttemptRequest> {
         let active = self.queries.get_mut(&query)?;
         let index = active.attempts[part].len();
@@ -155,7 +155,7 @@
             || active.client.is_some_and(|client| self.downstream.check_disconnected(self.now, client))
     }
 
-    /// Ends an attempt that is not sent.
+    /// Ends an attempt that is not sent, and queues its end for the router.
     fn complete_unsent(&mut self, node: NodeId, attempt: AttemptRequest) {
         let completed = attempt.completed_unsent(node, AttemptOutcome::NotSent);
         self.upstream.completed.push_back(completed);
--- a/crates/dunepond-broker/src/upstream/cancel.rs
+++ b/crates/dunepond-broker/src/upstream/cancel.rs
@@ -1,4 +1,4 @@
-//! Withdraws attempts that are not fully sent, and cancels the others at their nodes.
+//! Withdraws attempts that are not fully sent, and cancels fully sent attempts at their nodes.
 
 use std::collections::VecDeque;
 
@@ -11,7 +11,7 @@
 
 impl Upstream {
     /// Cancels one attempt: withdraws it if it is not fully sent, otherwise sends the node a cancel frame or, with the
-    /// search API, closes the connection. Does nothing if no connection carries the attempt.
+    /// search API, closes the connection. Does nothing if the attempt is not outstanding.
     pub fn cancel(
         &mut self,
         now: f64,
@@ -31,7 +31,8 @@
             // The search API has no cancel request; closing the connection aborts the one request on it.
             self.close(now, id, ConnectionEnd::FrameAborted, timers);
         } else if outcome == AttemptOutcome::Cancelled {
-            // A timed-out attempt needs no cancel frame: the node knows its time limit from the request frame.
+            // A timed-out attempt needs no cancel frame: the node knows the attempt's time limit from the request
+            // frame.
             connection.output.queue_bytes(&frames::encode_cancel(&out.request.id));
             self.write(now, id, timers);
         }
@@ -46,13 +47,13 @@
         unwritten.map(|out| out.request.query).collect()
     }
 
-    /// Returns whether any connection to a node carries an attempt, whether its frame is written or not.
+    /// Returns whether an attempt is outstanding on any connection to a node; its frame may or may not be written.
     pub fn has_outstanding(&self, node: NodeId, key: AttemptId) -> bool {
         self.find_outstanding(node, key).is_some()
     }
 
-    /// Returns the connection that carries an attempt, and the attempt's index in that connection's `outstanding`
-    /// queue.
+    /// Returns the connection on which an attempt is outstanding, and the attempt's index in that connection's
+    /// `outstanding` queue.
     fn find_outstanding(&self, node: NodeId, key: AttemptId) -> Option<(usize, usize)> {
         let connections = &self.nodes.get(node)?.connections;
         let position =
@@ -61,8 +62,8 @@
     }
 
     /// Withdraws the attempts of a connection that are past their `send_by` time. Returns `false`, without withdrawing
-    /// any, if the frame of one of them is partly written: the rest would arrive too late, and the written bytes cannot
-    /// be taken back, so the caller has to close the connection.
+    /// any, if the frame of one of them is partly written: the rest of the frame would arrive too late, and the written
+    /// bytes cannot be withdrawn, so the caller has to close the connection.
     pub(super) fn withdraw_expired(&mut self, now: f64, id: usize) -> bool {
         let Some(connection) = self.connections.get(id) else { return true };
         let is_expired = |out: &OutstandingRequest| now >= out.request.send_by;
@@ -97,7 +98,7 @@
     }
 
     /// Withdraws an attempt that is not fully written, so that none of its remaining bytes are sent. Returns `false` if
-    /// the attempt is fully written or not found. A connection on which its frame is partly written is closed.
+    /// the attempt is fully written or not found. If the attempt's frame is partly written, the connection is closed.
     pub fn withdraw(
         &mut self,
         now: f64,
@@ -124,7 +125,7 @@
         };
         self.completed.extend(out.map(|out| out.into_completed(node, outcome, now, None)));
         if is_partly_written {
-            // The bytes already written cannot be taken back.
+            // The bytes already written cannot be withdrawn; closing keeps the frame incomplete.
             self.close(now, id, ConnectionEnd::FrameAborted, timers);
         }
         true
--- a/crates/dunepond-broker/src/upstream/connection.rs
+++ b/crates/dunepond-broker/src/upstream/connection.rs
@@ -120,7 +120,8 @@
         self.close_or_keep_idle(now, id, timers);
     }
 
-    /// Stops using the connections to a node for new attempts, and closes each as soon as it carries no attempt.
+    /// Stops using the connections to a node for new attempts, and closes each as soon as no attempt is outstanding on
+    /// it.
     pub fn retire_connections(&mut self, now: f64, node: NodeId, timers: &mut Timers) {
         for id in self.nodes.get(node).map(|entry| entry.connections.clone()).unwrap_or_default() {
             self.connections[id].retired = true;
@@ -128,15 +129,16 @@
         }
     }
 
-    /// Closes a connection that carries no attempt if it must not be used again, and otherwise starts its idle timer.
-    /// Does nothing if the connection carries an attempt or is not established.
+    /// Closes a connection without outstanding attempts if it must not be used again; otherwise starts its idle timer.
+    /// Does nothing if attempts are outstanding or the connection is not established.
     pub(super) fn close_or_keep_idle(&mut self, now: f64, id: usize, timers: &mut Timers) {
         let Some(connection) =
             self.connections.get_mut(id).filter(|found| found.connected && found.outstanding.is_empty())
         else {
             return;
         };
-        // Cancelled attempts count until the node reports their end, since it may still be running them.
+        // Cancelled attempts count towards the limit of parts until the node reports their end, since it may still be
+        // running them.
         let is_full = connection.cancelled.len() >= self.settings.max_parts_per_connection;
         if connection.retired || connection.input.is_some() || is_full {
             return self.close(now, id, ConnectionEnd::IdleClosed, timers);
--- a/crates/dunepond-broker/src/upstream/endpoints.rs
+++ b/crates/dunepond-broker/src/upstream/endpoints.rs
@@ -12,7 +12,8 @@
 use crate::endpoint::EndpointInfo;
 
 impl Upstream {
-    /// Applies the endpoint list's row of a node. The node keeps its index until `release_removed_node` returns it.
+    /// Applies the endpoint list's row of a node. The node keeps its index until `release_removed_node` returns that
+    /// index.
     pub fn update_endpoint(&mut self, now: f64, node: NodeId, endpoint: EndpointInfo, timers: &mut Timers) {
         if node >= self.nodes.len() {
             self.nodes.resize_with(node + 1, NodeEntry::default);
@@ -38,8 +39,8 @@
                 continue;
             }
             connection.retired |= address_changed || state == EndpointState::Removed;
-            // Attempts queued here might otherwise be written long after the node began to drain, or to a new process
-            // that is in slow start.
+            // Attempts queued on this connection might otherwise be written long after the node began to drain, or to a
+            // new process that is in slow start.
             if connection.retired || replaced || state != EndpointState::Active {
                 self.withdraw_unframed(now, id, |_| true);
                 self.close_or_keep_idle(now, id, timers);
@@ -62,7 +63,7 @@
     }
 
     /// Drops a removed node that has no connections and no queued attempts, and returns its index, which is free again,
-    /// and its name. Without this the list would grow without bound when nodes keep returning under new names.
+    /// and its name. Without this, `nodes` would grow without bound if nodes keep returning under new names.
     pub fn release_removed_node(&mut self) -> Option<(NodeId, String)> {
         let nodes = &self.nodes;
         self.removed_nodes.retain(|node| nodes[*node].has_state(EndpointState::Removed));
@@ -100,7 +101,8 @@
         (listed, self.nodes.iter().filter(|entry| entry.has_state(EndpointState::Active)).count())
     }
 
-    /// Returns the identity of every node that the endpoint list names, by which it is recognised after a restart.
+    /// Returns the identity of every node that the endpoint list names. After a restart of the broker, the node is
+    /// recognised by this identity.
     pub fn identities(&self) -> Vec<NodeIdentity> {
         let identities = self.nodes.iter().enumerate().filter_map(|(node, node_entry)| {
             let endpoint =
--- a/crates/dunepond-broker/src/upstream/framing.rs
+++ b/crates/dunepond-broker/src/upstream/framing.rs
@@ -11,8 +11,8 @@
 use crate::control_plane::{CheckedConfig, FreshWriter};
 use crate::frames::{self, AttemptLine};
 
-/// Longest payload that is copied into its frame. For a short payload the copy costs less than a separate chunk in the
-/// write queue.
+/// Length of the longest payload that is copied into its frame. For a short payload the copy costs less than a separate
+/// chunk in the write queue.
 const MAX_COPIED_TEXT_BYTES: usize = 2048;
 
 /// The data that is needed to encode search API requests to one node.
@@ -52,8 +52,8 @@
 
 impl NodeConnection {
     /// Writes the frames that are queued, then frames and writes the waiting attempts. `search_api` is given if the
-    /// node speaks the search API: the attempts are then encoded as its requests. `check` is given if the attempts were
-    /// checked against the active configuration: the write fails if that check has become stale.
+    /// node uses the search API: the attempts are then encoded as search API requests. `check` is given if the attempts
+    /// were checked against the active configuration: the write fails if that check has become stale.
     pub(super) fn write(
         &mut self,
         now: f64,
@@ -113,7 +113,7 @@
         out.frame_end = Some(self.output.end_offset());
     }
 
-    /// Queues one frame that holds all attempts of a batch.
+    /// Queues one frame that contains all attempts of a batch.
     fn frame_batch(&mut self, now: f64, batch: u64) {
         let start = self.output.end_offset();
         let requests = self.outstanding.iter().filter(|out| out.batch == batch).map(|out| &out.request);
@@ -152,7 +152,7 @@
     }
 
     /// Removes the frames of which no byte is written; their attempts are framed again later. By the time such a frame
-    /// could be written, its time limit would be wrong, its queries may have ended and its node may be draining.
+    /// could be written, the time limits in it would be wrong, its queries may have ended and its node may be draining.
     fn unframe_unsent(&mut self) {
         let written = self.output.written_offset();
         let is_unsent = |out: &&mut OutstandingRequest| out.frame_end.is_some() && out.frame_start >= written;
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -31,8 +31,9 @@
 use crate::iteration::EventLoopHandle;
 pub use connection::open;
 
-/// How many finished attempts a connection remembers, since a node may report the end of an attempt twice. The limit
-/// bounds the memory for them. Cancelled attempts are remembered separately, until the node reports their end.
+/// Maximum number of finished attempts whose ids a connection stores, which bounds the memory for them. The ids are
+/// needed because a node may report the end of an attempt twice. Cancelled attempts are also stored in a list of their
+/// own until the node reports their end.
 const MAX_FINISHED_REMEMBERED: usize = 512;
 
 /// An attempt to be sent, with all that its frame needs.
@@ -56,7 +57,8 @@
     pub send_by: f64,
     /// The payload of the part.
     pub payload: Payload,
-    /// The attempt's read position in a streamed body; `None` if the payload is not streamed.
+    /// The attempt's reader of a streamed body; `None` if the payload is not streamed or the reader is in a write
+    /// queue.
     pub body_reader: Option<BodyReader>,
     /// The active configuration at the query's start; `None` without a control plane.
     pub query_start: Option<Rc<QueryStart>>,
@@ -72,9 +74,9 @@
     /// Offset at which the attempt's frame begins in the connection's write queue; valid only if `frame_end` is set.
     frame_start: u64,
     /// Offset at which the attempt's frame ends in the connection's write queue; `None` while the attempt is not
-    /// framed. A connection that is not established, or is blocked, holds no frame that it has not begun to write. Its
-    /// attempts can therefore be withdrawn before the node knows of them, and each frame states the time left when it is
-    /// written.
+    /// framed. While a connection is not established, or is blocked, its write queue contains no frame of which nothing
+    /// is written. Waiting attempts can therefore be withdrawn before the node knows of them, and each frame states the
+    /// time left when it is written.
     frame_end: Option<u64>,
     /// Whether the attempt has been written to the audit log.
     audited: bool,
@@ -89,21 +91,21 @@
     connected: bool,
     /// When the connection was established or, while it is not, when it was opened; in Unix seconds.
     since: f64,
-    /// The connection takes no new attempts, and is closed as soon as it carries none.
+    /// Whether the connection gets no new attempts, and is closed as soon as none is outstanding.
     retired: bool,
-    /// Timer for connecting, for the rest of a frame, or for being idle.
+    /// Timer of the time limit for connecting, for receiving the rest of a frame, or for being idle.
     timer: Option<TimerKey>,
     /// Bytes received that do not make a complete frame yet.
     input: Option<Buffer>,
     output: WriteQueue,
-    /// The attempts that the connection carries.
+    /// The attempts that are assigned to the connection and have not ended.
     outstanding: VecDeque<OutstandingRequest>,
     /// Ids of cancelled attempts whose end the node has not reported. The node may still be running them, so each
     /// counts towards the limit of parts on the connection.
     cancelled: Vec<Rc<str>>,
     /// The number of the batch that was assigned to this connection most recently.
     last_batch: u64,
-    /// The connection speaks the search API, which allows one request at a time.
+    /// Whether the connection uses the search API, with one request at a time.
     uses_search_api: bool,
     /// The search API response that is being received.
     message: Option<Message>,
@@ -119,7 +121,7 @@
     endpoint: Option<EndpointInfo>,
     /// Indices of the connections to the node.
     connections: Vec<usize>,
-    /// Attempts that were dispatched in this call of the router and are not assigned to a connection yet.
+    /// Attempts that were dispatched since the last `flush` and are not assigned to a connection yet.
     unassigned: Vec<AttemptRequest>,
 }
 
@@ -145,15 +147,15 @@
 struct BodyProgress {
     /// Offset in the body, in bytes.
     offset: u64,
-    /// Since when this connection, as the slowest reader of the body, has been stuck at `offset` and held up the
-    /// others, in Unix seconds. If the connection has moved on or holds up no other reader, the time of the most
-    /// recent check.
+    /// Unix time in seconds since which this connection, as the slowest reader of the body, has consumed nothing and
+    /// has delayed the other readers. If it has consumed bytes since the previous check or delays no other reader, the
+    /// time of the most recent check.
     since: f64,
 }
 
-/// The nodes that speak the search API.
+/// The nodes that are queried through the search API instead of frames.
 struct SearchApiNodes {
-    /// The IP networks of the nodes that speak the search API.
+    /// The IP networks of these nodes.
     networks: Vec<IpNet>,
     /// For each query class, whether its queries must not run twice.
     non_idempotent: Vec<bool>,
@@ -172,14 +174,14 @@
     settings: Rc<HostSettings>,
     /// Nodes with attempts that are not assigned to a connection yet.
     nodes_to_flush: Vec<NodeId>,
-    /// Batches of attempts for which no connection could be opened, as no file descriptor was free. They wait until
-    /// one is freed, and end as not sent if none can be.
+    /// Batches of attempts for which no connection could be opened, as no file descriptor was free. The batches wait
+    /// until a descriptor is freed; if none can be freed, their attempts end as not sent.
     awaiting_descriptor: Vec<(NodeId, Vec<AttemptRequest>)>,
     /// Removed nodes whose index is still in use.
     removed_nodes: Vec<NodeId>,
     /// Checks attempts against the active configuration; `None` without a control plane.
     pub gate: Option<Rc<Gate>>,
-    /// The nodes that speak the search API; `None` if there are none.
+    /// The nodes that are queried through the search API; `None` if there are none.
     search_api: Option<SearchApiNodes>,
     /// Connections that wait for more bytes of a streamed body.
     awaiting_body: Vec<usize>,
@@ -187,12 +189,12 @@
     body_progress: HashMap<usize, BodyProgress>,
     /// Nodes that changed and whose change the event loop has not handled yet.
     pub changed_nodes: Vec<ChangedNode>,
-    /// Attempts with a streamed body whose frames are fully written, which is not reported to the router yet.
+    /// Attempts with a streamed body whose frame is fully written, if this has not been reported to the router yet.
     pub written_bodies: VecDeque<(NodeId, AttemptId)>,
     /// Payload bytes copied into frames since the start.
     pub copied_bytes: u64,
-    /// Attempts that have ended and are not reported to the router yet. They are queued because the router may be
-    /// inside the call that ended them.
+    /// Attempts that have ended and are not reported to the router yet. They are queued because an attempt may end
+    /// during a call to the router, which must not be called again from within that call.
     pub completed: VecDeque<CompletedAttempt>,
 }
 
@@ -238,7 +240,7 @@
 }
 
 impl AttemptRequest {
-    /// Returns the attempt's part as the target of a check of whether the node named `node` may get it.
+    /// Returns the input of the check whether the node named `node` may get this attempt's part.
     pub fn target<'a>(&'a self, node: &'a str) -> PartTarget<'a> {
         PartTarget {
             start: self.query_start.as_deref(),
@@ -268,7 +270,7 @@
 }
 
 impl NodeConnection {
-    /// Removes the attempt at `position` from the outstanding ones, and remembers its id as finished.
+    /// Removes the attempt at `position` from the outstanding attempts, and stores its id as finished.
     fn finish_request(&mut self, position: usize) -> Option<OutstandingRequest> {
         let out = self.outstanding.remove(position)?;
         self.finished.push_back(out.request.id.clone());
@@ -278,13 +280,13 @@
         Some(out)
     }
 
-    /// Returns whether the connection carries an attempt with this id, or is known to have carried one.
+    /// Returns whether an attempt with this id is outstanding on the connection, or is known to have ended on it.
     fn has_carried(&self, id: &str) -> bool {
         let has_ended = self.cancelled.iter().chain(&self.finished).any(|ended| **ended == *id);
         has_ended || self.outstanding.iter().any(|o| *o.request.id == *id)
     }
 
-    /// Returns whether the connection is established and carries no attempt.
+    /// Returns whether the connection is established and has no outstanding attempt.
     fn is_idle(&self) -> bool {
         self.connected && self.outstanding.is_empty()
     }
@@ -299,20 +301,20 @@
             && !self.is_idle_expired(now)
     }
 
-    /// Returns whether the connection has carried another attempt of one of these attempts' parts. All attempts of a
-    /// part share its id, so that on one connection a repeated end of the first could be taken for the end of the
-    /// second.
+    /// Returns whether another attempt of one of these attempts' parts was assigned to the connection before. All
+    /// attempts of a part share the part's id, so if the node reported the end of the first attempt twice, the second
+    /// report could be mistaken for the end of the new attempt.
     fn would_repeat(&self, requests: &[AttemptRequest]) -> bool {
         requests.iter().any(|request| request.attempt > 0 && self.has_carried(&request.id))
     }
 
-    /// Returns whether the connection carries an attempt whose body is lost.
+    /// Returns whether the connection has an outstanding attempt whose body is lost.
     fn has_lost_body(&self) -> bool {
         let framed = self.output.next_body().is_some_and(|reader| reader.body.loss().is_some());
         framed || self.outstanding.iter().any(OutstandingRequest::awaits_lost_body)
     }
 
-    /// Returns whether the connection has been idle for as long as it may.
+    /// Returns whether the connection has reached its maximum idle time.
     fn is_idle_expired(&self, now: f64) -> bool {
         self.is_idle() && self.timer.is_some_and(|key| clock::is_due(key, now))
     }
@@ -355,13 +357,13 @@
         }
     }
 
-    /// Sets the networks whose nodes speak the search API. `non_idempotent` says for each query class whether its
-    /// queries must not run twice.
+    /// Sets the networks whose nodes are queried through the search API. `non_idempotent` says for each query class
+    /// whether its queries must not run twice.
     pub fn set_search_api_nodes(&mut self, networks: Vec<IpNet>, non_idempotent: Vec<bool>) {
         self.search_api = Some(SearchApiNodes { networks, non_idempotent });
     }
 
-    /// Returns whether a node speaks the search API.
+    /// Returns whether a node is queried through the search API.
     fn uses_search_api(&self, node: NodeId) -> bool {
         let Some(api) = &self.search_api else { return false };
         let address = self.nodes.get(node).and_then(|entry| entry.endpoint.as_ref()?.address);
--- a/crates/dunepond-broker/src/upstream/ownership_check.rs
+++ b/crates/dunepond-broker/src/upstream/ownership_check.rs
@@ -1,5 +1,5 @@
 //! With a control plane, checks each attempt against the active configuration again right before its frame is written,
-//! and writes it to the audit log.
+//! and writes the attempt to the audit log.
 
 use std::collections::VecDeque;
 
--- a/crates/dunepond-broker/src/upstream/request.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -41,8 +41,8 @@
         !self.awaiting_descriptor.is_empty()
     }
 
-    /// Takes a batch of attempts that waits for a free file descriptor. Queues the batch again if `has_descriptor`;
-    /// otherwise its attempts end as not sent.
+    /// Removes one batch of attempts from those that wait for a free file descriptor. Assigns the batch to a connection
+    /// if `has_descriptor`; otherwise its attempts end as not sent.
     pub fn retry_awaiting_descriptor(&mut self, now: f64, has_descriptor: bool, timers: &mut Timers) {
         let Some((node, requests)) = self.awaiting_descriptor.pop() else { return };
         if has_descriptor {
@@ -57,7 +57,7 @@
     }
 
     /// Assigns a batch of attempts to a connection that has room for it or to a new one; if neither is possible, its
-    /// attempts end.
+    /// attempts end, or wait if only a file descriptor is missing.
     fn queue_batch(&mut self, now: f64, node: NodeId, requests: Vec<AttemptRequest>, timers: &mut Timers) {
         let mut found = self.find_connection(now, node, &requests);
         // Reads from an idle connection before it is used, to find out whether the node has closed it: an attempt
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns a connection to the node that can carry these attempts as one batch.
+    /// Returns a connection to the node to which these attempts can be assigned as one batch.
     fn find_connection(&self, now: f64, node: NodeId, requests: &[AttemptRequest]) -> Option<usize> {
         let uses_search_api = self.uses_search_api(node);
         self.nodes[node].connections.iter().copied().find(|id| {
@@ -112,7 +112,7 @@
         })
     }
 
-    /// Returns whether a connection can carry these attempts in addition to those that it already carries.
+    /// Returns whether a connection has room for these attempts in addition to its outstanding and cancelled attempts.
     fn has_room(&self, connection: &NodeConnection, requests: &[AttemptRequest]) -> bool {
         let needs_own_connection = connection.uses_search_api || requests[0].payload.body().is_some();
         let is_free = if needs_own_connection {
@@ -144,7 +144,8 @@
         }
     }
 
-    /// Returns whether a connection carries an attempt that must not run twice; always `false` without a control plane.
+    /// Returns whether a connection has an outstanding attempt that must not run twice; always `false` without a
+    /// control plane.
     fn carries_non_idempotent(&self, id: usize) -> bool {
         let (Some(gate), Some(connection)) = (&self.gate, self.connections.get(id)) else { return false };
         connection.outstanding.iter().any(|out| gate.is_non_idempotent(out.request.query_class))
@@ -187,7 +188,8 @@
     /// If the frame of a streamed body is fully written, releases the body and queues a report to the router.
     fn release_written_body(&mut self, id: usize) {
         let connection = &mut self.connections[id];
-        // An attempt with a streamed body is the only one on its connection when it is assigned, so it comes first.
+        // An attempt with a streamed body is the only one on its connection when it is assigned, so it is the first in
+        // `outstanding`.
         if let Some(out) = connection.outstanding.front_mut()
             && out.request.payload.body().is_some()
             && out.frame_end.is_some_and(|end| end <= connection.output.written_offset())
--- a/crates/dunepond-broker/src/upstream/response.rs
+++ b/crates/dunepond-broker/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Reads the ends of attempts from nodes, either as frames or as search API responses.
+//! Reads the nodes' reports of ended attempts, either as frames or as search API responses.
 
 use std::io;
 
@@ -51,7 +51,8 @@
         self.receive_until(now, id, Some(broken), timers);
     }
 
-    /// Reads from a connection until no bytes are left. Closes it if it has ended or, with `broken`, once all is read.
+    /// Reads from a connection until no bytes are left. Closes the connection if it has ended or, if `broken` is given,
+    /// once everything is read.
     fn receive_until(&mut self, now: f64, id: usize, broken: Option<ConnectionEnd>, timers: &mut Timers) {
         loop {
             let connection = &mut self.connections[id];
@@ -80,7 +81,7 @@
                         // its remainder.
                         return self.close(now, id, ConnectionEnd::ProtocolError, timers);
                     } else if connection.timer.is_none() {
-                        // The rest of the frame may never arrive; it is given the time that a connect is given.
+                        // The rest of the frame may never arrive, so it has to arrive within the connect timeout.
                         let due = now + self.settings.connect_timeout_seconds;
                         connection.timer = Some(timers.schedule(due, TimerEvent::UpstreamConnection(id)));
                     }
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Ends the attempt that a connection carries with the response to it. Returns why the connection has to be closed,
-    /// if it has to.
+    /// Ends the one attempt that is outstanding on a search API connection, with the response to it. Returns why the
+    /// connection has to be closed, if it has to.
     fn finish_search_attempt(&mut self, now: f64, id: usize, message: &Message) -> Option<ConnectionEnd> {
         let connection = &mut self.connections[id];
         let Some(out) = connection.outstanding.pop_front() else { return Some(ConnectionEnd::ProtocolError) };
@@ -141,8 +142,8 @@
         None
     }
 
-    /// Returns the outcome that a search API response stands for and, if the attempt was served, the response's body
-    /// as the answer for the part.
+    /// Returns the attempt's outcome according to a search API response and, if the attempt was served, the response's
+    /// body as the answer for the part.
     fn search_outcome(
         &self,
         node: NodeId,
@@ -151,8 +152,8 @@
     ) -> (AttemptOutcome, Option<String>) {
         let expected = ExpectedResult {
             index: &self.settings.query_classes[query_class],
-            // The limits are in the payload, which only the search API front end parses; it checks the answer against
-            // them.
+            // The limits of the search are in the payload. Only the search API front end parses the payload, and it
+            // checks the answer against the limits.
             max_hits: usize::MAX,
             sort_keys: None,
             total_untracked: true,
@@ -232,7 +233,7 @@
         Ok(Some(DecodedEnd { ended: Some(ended), frame_bytes }))
     }
 
-    /// Logs a frame that does not report the end of an attempt. Returns how the connection has to end.
+    /// Logs a frame that does not report the end of an attempt. Returns why the connection has to be closed.
     fn unexpected_frame(&self, id: usize, frame: &NodeFrame) -> ConnectionEnd {
         let NodeFrame::Rejected(reason) = frame else {
             return self.malformed(id, "a Q frame on a connection for attempts");
@@ -245,7 +246,7 @@
         ConnectionEnd::RejectedByPeer
     }
 
-    /// Logs a malformed frame with its first bytes. Returns how the connection has to end.
+    /// Logs a malformed frame with its first bytes. Returns why the connection has to be closed.
     fn malformed(&self, id: usize, reason: &str) -> ConnectionEnd {
         let connection = &self.connections[id];
         let bytes = connection.input.as_ref().map_or(&[][..], Buffer::filled);
@@ -275,7 +276,7 @@
     }
 }
 
-/// Parses more of a response, whose head may be parsed already. Returns `true` once it is complete.
+/// Parses more of a response, whose head may be parsed already. Returns `true` once the response is complete.
 fn read_message(message: &mut Option<Message>, input: &mut Buffer, pool: &Pool) -> Result<bool, HttpError> {
     if message.is_none() {
         *message = http::parse_response(input)?.map(Message::new);
--- a/crates/dunepond-broker/src/upstream/streaming.rs
+++ b/crates/dunepond-broker/src/upstream/streaming.rs
@@ -1,4 +1,5 @@
-//! Continues the frames of streamed bodies as more of the bodies arrives, and closes connections whose body is lost.
+//! Continues writing the frames of streamed bodies as more of the bodies arrives, and closes connections whose body is
+//! lost or which consume a body too slowly.
 
 use std::collections::HashMap;
 
@@ -7,7 +8,7 @@
 use crate::connection_end::ConnectionEnd;
 
 impl Upstream {
-    /// Continues the frames that waited for more of a streamed body.
+    /// Continues writing the frames that waited for more of a streamed body.
     pub fn resume_bodies(&mut self, now: f64, timers: &mut Timers) {
         for id in std::mem::take(&mut self.awaiting_body) {
             self.write(now, id, timers);
@@ -25,7 +26,7 @@
             };
             let offset = reader.offset();
             let previous = self.body_progress.get(&id).filter(|previous| previous.offset == offset);
-            // While the body is not full, more of it can be received, so that this reader delays no other.
+            // While the body is not full, more of it can be received, so that this reader delays no other reader.
             let delays_others = reader.body.is_full();
             let since = previous.filter(|_| delays_others).map_or(now, |previous| previous.since);
             pass_through.insert(id, BodyProgress { offset, since });
@@ -41,7 +42,7 @@
         !self.body_progress.is_empty()
     }
 
-    /// Closes the connections that carry an attempt whose body is lost.
+    /// Closes the connections that have an outstanding attempt whose body is lost.
     pub fn abort_lost_bodies(&mut self, now: f64, timers: &mut Timers) {
         let connections = self.connections.iter().filter(|(_, connection)| connection.has_lost_body());
         let ids: Vec<_> = connections.map(|(id, _)| id).collect();
