--- a/crates/dunepond-broker/src/buffers/tests/mod.rs
+++ b/crates/dunepond-broker/src/buffers/tests/mod.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::body::{Body, BodyReader};
 
-/// A stream that takes at most 999 bytes at a time, and blocks once it holds `capacity` bytes.
+/// A stream that accepts at most 999 bytes per write, and blocks once it has accepted `capacity` bytes in total.
 struct LimitedStream {
     written: Vec<u8>,
     capacity: usize,
--- a/crates/dunepond-broker/src/downstream/arrivals.rs
+++ b/crates/dunepond-broker/src/downstream/arrivals.rs
@@ -21,7 +21,8 @@
 }
 
 impl ArrivalTimes {
-    /// Creates the record of a connection that may have waited in the backlog since `connected_at`.
+    /// Creates the arrival times of a connection that may have waited in the backlog since `connected_at` (Unix
+    /// seconds).
     pub fn new(connected_at: f64) -> Self {
         Self { reads: VecDeque::new(), total_bytes: 0, first_read_since: Some(connected_at) }
     }
--- a/crates/dunepond-broker/src/downstream/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns the connections without a pending request; only the idle ones if `only_idle`.
+    /// Returns the connections without a pending request; only the idle connections if `only_idle`.
     fn connections_without_request(&self, only_idle: bool) -> Vec<usize> {
         let is_idle = |c: &ClientConnection| c.timer.is_some_and(|key| self.idle.contains_key(&key));
         let without_request =
--- a/crates/dunepond-broker/src/downstream/decode.rs
+++ b/crates/dunepond-broker/src/downstream/decode.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Starts a request's timer if needed, and records when its first byte arrived. Returns `false` if the client's bytes must
-    /// not be parsed now.
+    /// Starts the request timer of a client that was idle, and records when the first byte of the request arrived.
+    /// Returns `false` if the client's bytes must not be parsed now.
     fn begin_request(&mut self, now: f64, id: usize, timers: &mut Timers) -> bool {
         let Some(client) = self.connections.get(id) else { return false };
         // A client with unparsed bytes is not idle, even if they were read together with its previous request.
@@ -54,7 +54,8 @@
             self.start_request_timer(now, id, timers);
         }
         let client = &mut self.connections[id];
-        // A client that sends requests without reading the responses has to wait until it has read them.
+        // If a client sends requests without reading the responses, its next request is parsed only after it has read
+        // them.
         if client.output.pending_bytes() > BUFFER_BYTES {
             return false;
         }
--- a/crates/dunepond-broker/src/downstream/disconnect.rs
+++ b/crates/dunepond-broker/src/downstream/disconnect.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Closes the connection of one disconnected client and returns its query in flight, if any; `None` if no client
-    /// found disconnected is left.
+    /// Closes the connection of one disconnected client and returns its query in flight, if any; `None` if no
+    /// disconnected client is left to be closed.
     pub fn next_disconnected(&mut self, timers: &mut Timers) -> Option<Option<QueryId>> {
         let id = self.disconnected_clients.pop()?;
         // The connection may be closed already, and its index reused.
@@ -104,7 +104,8 @@
     }
 }
 
-/// Returns the buffer for the next read: the input, or, if that is full and reading ahead is allowed, a buffer after it.
+/// Returns the buffer for the next read: the input buffer or, if it is full and reading ahead is allowed, a read-ahead
+/// buffer; `None` if there is no buffer to read into.
 fn buffer_to_fill<'a>(
     input: &'a mut Option<Buffer>,
     read_ahead: &'a mut VecDeque<Buffer>,
@@ -124,7 +125,7 @@
     read_ahead.back_mut()
 }
 
-/// Whether the peer has closed the connection, regardless of unread bytes before the end of the stream.
+/// Whether the peer has closed the connection, even if bytes before the end of the stream are not read yet.
 fn peer_has_closed(stream: &TcpStream) -> bool {
     let mut poll_fds = [PollFd::new(stream, PollFlags::RDHUP)];
     let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
--- a/crates/dunepond-broker/src/downstream/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -45,7 +45,7 @@
     Disconnected(Option<QueryId>),
     /// A complete request of the search API has been read.
     SearchRequest(Box<SearchRequest>),
-    /// There is nothing for the router.
+    /// Nothing has been read that the router has to handle.
     Nothing,
 }
 
@@ -69,7 +69,7 @@
 struct StreamedRequest {
     /// The state of parsing the request.
     message: Message,
-    /// The body that the request's bytes are received into.
+    /// The body that the received bytes are appended to.
     body: Rc<Body>,
     /// The validated request; `None` once its query has started.
     request: Option<QueryRequest>,
@@ -105,8 +105,8 @@
     keep_alive: bool,
     /// Whether the response was sent before the body of a streamed request was complete.
     responded_in_body: bool,
-    /// Whether reading is paused, as the client sends faster than it may be read. A timer or the progress of its body
-    /// resumes reading.
+    /// Whether reading is paused, as the client sends faster than the broker may read. Reading resumes by a timer, or
+    /// once the client's streamed body has room again.
     reading_paused: bool,
     /// The timer of the time limit that applies now.
     timer: Option<TimerKey>,
--- a/crates/dunepond-broker/src/downstream/read.rs
+++ b/crates/dunepond-broker/src/downstream/read.rs
@@ -12,11 +12,11 @@
 /// Maximum number of reads from one client before the other clients have their turn: keeps a turn short compared with
 /// the 50 ms by which any time limit may be exceeded.
 pub(super) const MAX_READS_PER_TURN: usize = 4;
-/// Delay before a client is read again that has sent more than one turn reads.
+/// Delay before the next read from a client that has sent more than is read in one turn.
 const RESUME_READING_SECONDS: f64 = 0.001;
 
-/// Appends the result of one read to `input` and returns its length. Reads from the read-ahead buffers as long as they hold
-/// bytes, or else from the socket, whose bytes arrived at `received_at` at the earliest.
+/// Appends the bytes of one read to `input` and returns their number. Reads from the read-ahead buffers as long as
+/// these contain bytes, and otherwise from the socket. The socket's bytes arrived at `received_at` at the earliest.
 fn read(
     input: &mut Buffer,
     read_ahead: &mut VecDeque<Buffer>,
@@ -153,8 +153,8 @@
         event
     }
 
-    /// Frees a read buffer: closes the connection that, among those other than `except` that occupy a buffer, has been
-    /// sending its request for the longest time.
+    /// Frees a read buffer by closing a connection: of the connections that occupy a buffer, except `except`, the one
+    /// that has been sending its request for the longest time.
     fn evict_for_buffer(&mut self, except: usize, timers: &mut Timers) {
         let holds_buffer = |client: &ClientConnection| {
             client.input.is_some() || matches!(client.phase, RequestPhase::ReadingBody(_))
--- a/crates/dunepond-broker/src/downstream/response.rs
+++ b/crates/dunepond-broker/src/downstream/response.rs
@@ -88,7 +88,8 @@
     pub(super) fn write(&mut self, now: f64, id: usize, timers: &mut Timers) {
         let Some(client) = self.connections.get_mut(id) else { return };
         if let Err(e) = client.output.flush(&*client.stream) {
-            // The client's query in flight, if any, ends when the end of the stream is read.
+            // The connection is not closed here. The next read finds the end of its stream, which also ends the
+            // client's query in flight, if any.
             debug!("client {id}: {e}");
             client.readable = true;
             return self.pending_clients.push(id);
--- a/crates/dunepond-broker/src/event_loop/endpoints.rs
+++ b/crates/dunepond-broker/src/event_loop/endpoints.rs
@@ -59,7 +59,8 @@
         self.apply_endpoints(update);
     }
 
-    /// Applies an endpoint update to the connections, the prefilter, the router and the restored state.
+    /// Applies an endpoint update to the connections, the prefilter and the router. Once the first endpoint list is in
+    /// use, saved state is restored as well.
     fn apply_endpoints(&mut self, update: EndpointUpdate) {
         let now = self.router_host.now;
         let mut endpoints = Vec::with_capacity(update.endpoints.len());
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -47,7 +47,8 @@
     /// answered or the list has been used.
     configured_endpoints: Option<EndpointUpdate>,
     times: IterationTimes,
-    /// The longest query timeout in seconds; lowered if the longest one of a reloaded configuration is shorter.
+    /// The longest query timeout in seconds, from which the schedule of a shutdown is computed; lowered if the longest
+    /// timeout of a reloaded configuration is shorter.
     longest_timeout: f64,
     /// The schedule of the graceful shutdown; `None` until a shutdown has been requested.
     shutdown: Option<Shutdown>,
@@ -124,7 +125,8 @@
         self.process_pending();
     }
 
-    /// Handles a readiness event of a connection to a node, after checking the clients whose queries wait to be written to it.
+    /// Handles a readiness event of a connection to a node, after checking whether the clients whose queries wait to be
+    /// written to it have disconnected.
     fn upstream_ready(&mut self, id: usize, readable: bool) {
         let now = self.refresh_clock_and_config();
         for query in self.router_host.upstream.queries_awaiting_write(id) {
--- a/crates/dunepond-broker/src/event_loop/pending.rs
+++ b/crates/dunepond-broker/src/event_loop/pending.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Reads from a client, and handles the request or disconnect that this brings.
+    /// Reads from a client, and handles the request or disconnect that was read.
     fn read_client(&mut self, now: f64, client: usize) {
         match self.router_host.downstream.next_event(now, client, &mut self.router_host.timers) {
             ClientEvent::Query(request) => {
--- a/crates/dunepond-broker/src/event_loop/startup.rs
+++ b/crates/dunepond-broker/src/event_loop/startup.rs
@@ -38,8 +38,8 @@
 use crate::signals::{CaughtSignals, catch_signals};
 use crate::upstream::Upstream;
 
-/// Share of the shortest query timeout for which accepting connections may wait for the first endpoint list. Guards
-/// against a client that learns of a rejection too late to ask another broker.
+/// Accepting connections may wait for the first endpoint list for at most this share of the shortest query timeout.
+/// Guards against a client that learns of a rejection too late to ask another broker.
 const MAX_ACCEPT_DELAY_RATIO: f64 = 0.5;
 
 /// What the caller of [`serve`] may replace or add.
@@ -253,7 +253,8 @@
     Ok(folder)
 }
 
-/// Starts the control plane's thread, and has frames checked against its active configuration before they are sent.
+/// Starts the control plane's thread, and sets it up to check frames against its active configuration before they are
+/// sent.
 fn start_control_plane(
     router_host: &mut RouterHost,
     config: &operator::FleetConfig,
--- a/crates/dunepond-broker/src/router/completion.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -12,7 +12,8 @@
 use crate::upstream::CompletedAttempt;
 
 impl RouterHost {
-    /// Records the end of an attempt and returns this end for the router; `None` if the query is not in flight.
+    /// Records the end of an attempt and returns what the router needs to know of it; `None` if the query is not in
+    /// flight.
     pub fn record_attempt_end(&mut self, completed: CompletedAttempt) -> Option<AttemptEnded> {
         let CompletedAttempt { mut ended, mut value, .. } = completed;
         let active = self.queries.get_mut(&ended.query)?;
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -84,7 +84,7 @@
             if let Some(keyed) = coordination.keyed_parts.get_mut(part) {
                 let is_first = keyed.outstanding == 0 && !keyed.may_have_run;
                 may_send &= is_first || gate.may_retry_keyed(&coordination.query_start);
-                // The attempt's end is reported whether or not it is sent.
+                // Counted even if the attempt is not sent, as its end is reported in both cases.
                 keyed.outstanding += 1;
             }
             if may_send && let Some(epoch) = gate.moved_epoch(&coordination.query_start, segment) {
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -45,10 +45,10 @@
     body_failure: Option<FallbackReason>,
     /// The segment of each part.
     segments: Vec<usize>,
-    /// The id of each part in the nodes' frames: request id and segment.
+    /// The id of each part in the frames to and from nodes: the request id and the segment.
     part_ids: Vec<Rc<str>>,
     /// The answer that a node returned for each part, as text; `None` until the part has been answered. For a search
-    /// API request it is an empty text, as the answer is merged into `search`.
+    /// API request the text is empty, as the answer is merged into `search`.
     values: Vec<Option<String>>,
     /// Segments that the prefilter pruned, each with the basis of that decision.
     pruned: Vec<PrunedSegment>,
@@ -241,7 +241,7 @@
         self.host_settings.query_classes.clone()
     }
 
-    /// Writes queued frames to the nodes, freeing file descriptors for new connections where they have run out.
+    /// Writes queued frames to the nodes, freeing file descriptors for new connections if none are left.
     pub fn flush(&mut self) {
         self.upstream.flush(self.now, &mut self.timers);
         while self.upstream.is_awaiting_descriptor() {
--- a/crates/dunepond-broker/src/router/streamed_bodies.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -122,7 +122,8 @@
         }
     }
 
-    /// Fails bodies and closes connections to nodes that make no progress; schedules the next check while there are bodies.
+    /// Fails bodies that make no progress, and closes connections to nodes that consume a body too slowly. Schedules
+    /// the next check if any body is left.
     pub fn check_bodies(&mut self) {
         let Some(bodies) = &mut self.body_store else { return };
         bodies.fail_overdue(self.now);
--- a/crates/dunepond-broker/src/router/transport.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -89,8 +89,8 @@
     }
 
     fn fail_unknown_outcome(&mut self, query: QueryId) {
-        // The router counts every attempt without an outcome as sent, but one whose frame still waits to be written
-        // here has not been sent.
+        // The router counts every attempt without an outcome as sent, but an attempt whose frame still waits in the
+        // broker to be written has not been sent.
         if self.try_withdraw_all(query) {
             return self.reject_retriable(query, 0.0);
         }
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -36,7 +36,7 @@
 /// own until the node reports their end.
 const MAX_FINISHED_REMEMBERED: usize = 512;
 
-/// An attempt to be sent, with all that its frame needs.
+/// An attempt to be sent, with all data from which its frame is encoded.
 pub struct AttemptRequest {
     /// The query that the attempt belongs to.
     pub query: QueryId,
@@ -117,7 +117,7 @@
 /// A node, with the connections to it.
 #[derive(Default)]
 struct NodeEntry {
-    /// The node's most recent row in the endpoint list; `None` if this index is free.
+    /// The node's most recent row in the endpoint list; `None` if no node has this index.
     endpoint: Option<EndpointInfo>,
     /// Indices of the connections to the node.
     connections: Vec<usize>,
@@ -155,7 +155,7 @@
 
 /// The nodes that are queried through the search API instead of frames.
 struct SearchApiNodes {
-    /// The IP networks of these nodes.
+    /// The IP networks whose nodes are queried through the search API.
     networks: Vec<IpNet>,
     /// For each query class, whether its queries must not run twice.
     non_idempotent: Vec<bool>,
@@ -240,7 +240,7 @@
 }
 
 impl AttemptRequest {
-    /// Returns the input of the check whether the node named `node` may get this attempt's part.
+    /// Returns the input for the check of whether the node named `node` may get this attempt's part.
     pub fn target<'a>(&'a self, node: &'a str) -> PartTarget<'a> {
         PartTarget {
             start: self.query_start.as_deref(),
--- a/crates/dunepond-broker/src/upstream/request.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -120,7 +120,7 @@
         } else {
             !connection.is_reserved_for_body()
         };
-        // The node would not read attempts beyond the limit yet, nor the cancel frames behind them.
+        // Attempts beyond the node's limit, and cancel frames behind them, would not be read by the node yet.
         let carried = connection.outstanding.len() + connection.cancelled.len();
         is_free && carried + requests.len() <= self.settings.max_parts_per_connection
     }
--- a/crates/dunepond-broker/src/upstream/response.rs
+++ b/crates/dunepond-broker/src/upstream/response.rs
@@ -74,14 +74,16 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     if input.is_empty() {
                         connection.input = None;
-                        // No frame is incomplete, so its timer is cancelled; the timer of an idle connection stays.
+                        // No frame is incomplete, so the timer for the rest of a frame is cancelled; the timer of an
+                        // idle connection stays.
                         timers.cancel(connection.timer.take_if(|key| !self.idle.contains_key(key)));
                     } else if connection.outstanding.is_empty() {
                         // The partial frame belongs to no outstanding attempt, and the next response would be read as
                         // its remainder.
                         return self.close(now, id, ConnectionEnd::ProtocolError, timers);
                     } else if connection.timer.is_none() {
-                        // The rest of the frame may never arrive, so it has to arrive within the connect timeout.
+                        // The rest of the frame may never arrive, so a time limit is set for it, as long as the connect
+                        // timeout.
                         let due = now + self.settings.connect_timeout_seconds;
                         connection.timer = Some(timers.schedule(due, TimerEvent::UpstreamConnection(id)));
                     }
@@ -190,7 +192,7 @@
             }
             let connection = &mut self.connections[id];
             connection.input.as_mut()?.consume(decoded.frame_bytes);
-            // The next frame has its own time limit.
+            // The frame is complete, so its timer is cancelled: the next frame has a time limit of its own.
             timers.cancel(connection.timer.take_if(|key| !self.idle.contains_key(key)));
         }
     }
@@ -208,7 +210,7 @@
             return Err(self.unexpected_frame(id, &frame));
         };
         let Some(position) = connection.outstanding.iter().position(|out| *out.request.id == *attempt) else {
-            // The end of a cancelled or finished attempt is ignored. An unknown id is an error: it could mean any
+            // The end of a cancelled or finished attempt is ignored. An unknown id is an error: it could stand for any
             // attempt on this connection.
             let cancelled = connection.cancelled.iter().position(|cancelled| **cancelled == *attempt);
             if cancelled.is_none() && !connection.finished.iter().any(|finished| **finished == *attempt) {
