--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -147,9 +147,9 @@
 struct BodyProgress {
     /// Offset in the body, in bytes.
     offset: u64,
-    /// Unix time in seconds since which this connection, as the slowest reader of the body, has consumed nothing and
-    /// has delayed the other readers. If it has consumed bytes since the previous check or delays no other reader, the
-    /// time of the most recent check.
+    /// Unix time in seconds since which this connection has consumed nothing while the body was full, which delays the
+    /// body's other readers. If the connection has consumed bytes since the previous check, or the body is not full,
+    /// the time of the most recent check.
     since: f64,
 }
 
