--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop: handles each event and timer in turn, and after each one all work that follows from it.
+//! The event loop: handles each event and timer in turn, and after each of them all the work that results from it.
 
 mod background;
 mod disconnects;
@@ -37,16 +37,18 @@
     /// The prefilter; `None` if the operator's file does not enable it.
     prefilter: Option<PrefilterHost>,
     background: Background,
-    /// The state that outlives the process; `None` if the operator's file names no folder for it.
+    /// Saves state that a restarted process restores; `None` if the operator's file names no folder for this state.
     persistence: Option<Persistence>,
     /// Whether a background job for a prefilter audit is scheduled.
     audit_scheduled: bool,
     config_reloader: ConfigReloader,
     operator: OperatorConfig,
-    /// The configured endpoint list; `None` once discovery has answered, or has not done so in time and this list is used.
+    /// The configured endpoint list, which is used if discovery does not answer in time; `None` once discovery has
+    /// answered or the list has been used.
     configured_endpoints: Option<EndpointUpdate>,
     times: IterationTimes,
-    /// The longest query timeout in seconds; lowered if the longest one of a reloaded configuration is shorter.
+    /// The longest query timeout in seconds, from which the schedule of a shutdown is computed; lowered if the longest
+    /// timeout of a reloaded configuration is shorter.
     longest_timeout: f64,
     /// The schedule of the graceful shutdown; `None` until a shutdown has been requested.
     shutdown: Option<Shutdown>,
@@ -123,7 +125,8 @@
         self.process_pending();
     }
 
-    /// Handles a readiness event of a connection to a node, after checking the clients whose queries wait to be written to it.
+    /// Handles a readiness event of a connection to a node, after checking whether the clients whose queries wait to be
+    /// written to it have disconnected.
     fn upstream_ready(&mut self, id: usize, readable: bool) {
         let now = self.refresh_clock_and_config();
         for query in self.router_host.upstream.queries_awaiting_write(id) {
