--- a/crates/dunepond-control-plane/src/audit_log/event.rs
+++ b/crates/dunepond-control-plane/src/audit_log/event.rs
@@ -1,4 +1,5 @@
-//! Records of the audit log. Their JSON names must not change: auditors read them, also from files of earlier builds.
+//! Records of the audit log. The names of their JSON fields must not change, as auditors also read files that earlier
+//! builds wrote.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -25,15 +26,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "act", rename_all = "lowercase")]
 pub enum AuditEvent {
-    /// The phase of the configuration and the configuration versions that apply from now on. Recorded whenever they
-    /// change, and with each lease.
+    /// From this record on, this phase of the configuration and these configuration versions apply. Recorded whenever
+    /// the phase or the versions change, and with each lease.
     Phase {
         /// Phase of the configuration.
         phase: AuditPhase,
-        /// Lowest number of the configuration versions that apply; 0 if none applies.
+        /// Number of the oldest configuration version that applies; 0 if none applies.
         #[serde(rename = "from")]
         first_version: u64,
-        /// Highest number of the configuration versions that apply; 0 if none applies.
+        /// Number of the newest configuration version that applies; 0 if none applies.
         #[serde(rename = "to")]
         last_version: u64,
         /// When the broker's lease expires, in seconds on the monotonic clock.
@@ -57,9 +58,9 @@
         /// Whether the part is non-idempotent, so that it must not run twice.
         #[serde(rename = "once")]
         non_idempotent: bool,
-        /// Phase of the configuration by which the attempt was allowed.
+        /// Phase of the configuration in which the attempt was allowed.
         phase: AuditPhase,
-        /// Numbers of the configuration versions by which the attempt was allowed.
+        /// Numbers of the configuration versions whose rules allowed the attempt.
         #[serde(rename = "numbers")]
         versions: Vec<u64>,
     },
@@ -76,7 +77,8 @@
         /// Ids of the segments whose parts are in the answer.
         #[serde(rename = "segs")]
         segments: Vec<u64>,
-        /// Epoch of the shard map under which the segments cover all keys of the query; `None` if there is no such map.
+        /// Epoch of the shard map in which the answer's segments cover all keys of the query; `None` if the answer is
+        /// not complete or there is no such map.
         #[serde(rename = "epoch")]
         map_epoch: Option<u64>,
     },
@@ -86,7 +88,7 @@
         /// Id of the query.
         #[serde(rename = "call")]
         request_id: String,
-        /// Reason, for people.
+        /// Human-readable reason.
         why: String,
     },
     /// A settlement from the log was applied.
@@ -105,8 +107,8 @@
     },
     /// The state of a fill changed.
     Fill {
-        /// Id of the fill, in the form `VERSION/SEGMENT/NODE`. A broker's own fills of started nodes have the suffix
-        /// `+INCARNATION`, with the incarnation of the node.
+        /// Id of the fill, in the form `VERSION/SEGMENT/NODE`. Fills that a broker plans itself for a recently started
+        /// node have the suffix `+INCARNATION`: the incarnation of the node.
         id: String,
         /// Id of the segment to be copied.
         segment: u64,
@@ -141,13 +143,13 @@
         /// Digest of the withdrawn configuration version.
         digest: String,
     },
-    /// The broker's share of the shared quotas, in units (millionths of a quota). From this record on the broker may
-    /// use the floor and, until the lease expires, the leased units. It may use nothing before `usable_from`, as until
-    /// then a window may still include units that its earlier incarnations used, and nothing if it is not `admitted`.
-    /// Recorded again with each lease.
+    /// The units (millionths of a quota) of the shared quotas that the broker may use from this record on:
+    /// `floor_units` of each quota and, until the lease expires, `leased_units` in addition. It may use nothing if it
+    /// is not `admitted`, and nothing before `usable_from`: until then the window over which use is counted may still
+    /// include units that earlier incarnations of the broker used. Recorded again with each lease.
     #[serde(rename = "share")]
     QuotaShare {
-        /// Generation of the quota allocation in the replicated log; 0 if there is none.
+        /// Generation of the quota allocation in the replicated log; 0 if the log has no allocation.
         generation: u64,
         /// Whether the quota allocation includes this broker.
         #[serde(rename = "counted")]
@@ -171,7 +173,7 @@
     /// Records were lost because the writer's queue was full or writing to the file failed.
     #[serde(rename = "lost")]
     RecordsLost {
-        /// Number of records lost since the last event of this kind.
+        /// Number of records lost since the previous `RecordsLost` event.
         count: u64,
     },
 }
@@ -182,11 +184,11 @@
     /// The broker has no valid lease and knows no configuration version.
     #[serde(rename = "none")]
     Unconfigured,
-    /// The lease is valid, and one configuration version applies, or none if there is none yet.
+    /// The lease is valid. One configuration version applies to the broker, or none if the fleet has none yet.
     #[serde(rename = "alone")]
     Active,
-    /// The lease is valid, and a configuration version is being replaced by a new one: the stricter rules of both
-    /// apply.
+    /// The lease is valid, and a configuration version is being replaced by a new one: of each rule, the stricter value
+    /// of the two versions applies.
     #[serde(rename = "joint")]
     Joint,
     /// The lease has expired: the strictest rules of all known configuration versions apply.
--- a/crates/dunepond-control-plane/src/audit_log/mod.rs
+++ b/crates/dunepond-control-plane/src/audit_log/mod.rs
@@ -82,7 +82,8 @@
         Ok((AuditSender { messages: messages.clone(), lost }, Self { messages, thread }))
     }
 
-    /// Waits until all records so far are in the file, within the shutdown timeout. Later events are lost.
+    /// Waits, with a timeout, until all records that were queued before this call are in the file. Events that are
+    /// recorded after this call are lost.
     pub fn finish(self) {
         let _ = self.messages.send_timeout(WriterMessage::Finish, crate::startup::SHUTDOWN_TIMEOUT);
         crate::startup::join_with_timeout(self.thread);
--- a/crates/dunepond-control-plane/src/audit_log/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/audit_log/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The audit log writes to a file on disk.
+//! Tests the audit log with a file on disk.
 
 use super::{AuditEvent, AuditLog, AuditPhase, AuditRecord};
 
--- a/crates/dunepond-control-plane/src/clock.rs
+++ b/crates/dunepond-control-plane/src/clock.rs
@@ -1,4 +1,5 @@
-//! The monotonic clock, which keeps counting while the machine is suspended and is never set back, and the Unix clock.
+//! The two clocks of the control plane: the monotonic clock, which is never set back and keeps counting while the
+//! machine is suspended, and the Unix clock.
 
 use rustix::time::{ClockId, clock_gettime};
 
--- a/crates/dunepond-control-plane/src/commitments.rs
+++ b/crates/dunepond-control-plane/src/commitments.rs
@@ -13,7 +13,8 @@
 /// Maximum number of settlement entries in one message to the leader.
 pub const MAX_ENTRIES_PER_MESSAGE: usize = 256;
 
-/// A fill of a node in slow start that this broker planned itself, from its start until the log has its settlement.
+/// A fill that this broker planned itself for a node in slow start. Stored before the fill starts, and removed once the
+/// log has the fill's settlement or the fill ends without one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommittedFill {
     /// The planned fill.
@@ -22,27 +23,28 @@
     pub done: bool,
 }
 
-/// Identifies one of this broker's own fills that is done. It is remembered so that the node is not filled again for
-/// the same start under a later configuration version.
+/// Identifies a completed fill that this broker planned itself. It is stored so that the node is not filled again under
+/// a later configuration version, unless the node has restarted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FinishedFill {
     /// Id of the segment that was filled.
     pub segment: u64,
     /// Name of the node that was filled.
     pub node: String,
-    /// Incarnation of the node in the endpoint list, which identifies one start of it.
+    /// Incarnation of the node in the endpoint list. It differs after each start of the node.
     pub incarnation: u64,
 }
 
-/// All commitments of this broker, stored together with the ledger that they are based on: if one were older than the
-/// other after a restart, the remaining share would appear larger than it is.
+/// All commitments of this broker, stored together with the ledger that they are based on: if after a restart the
+/// commitments were older than the ledger, or the ledger older than the commitments, the remaining share could appear
+/// larger than it is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Commitments {
     /// Settlements promised from this broker's own shares of debts.
     pub shares: SharePromises,
     /// The ledger of settlements that the promises in `shares` are checked against.
     pub ledger: SettlementLedger,
-    /// Number of settlement entries of the log that the ledger has applied.
+    /// Number of settlement entries of the log that are applied in `ledger`.
     pub applied_entries: u64,
     /// This broker's own fills that have started, by fill id.
     pub fills: BTreeMap<String, CommittedFill>,
--- a/crates/dunepond-control-plane/src/config.rs
+++ b/crates/dunepond-control-plane/src/config.rs
@@ -54,26 +54,26 @@
     pub name: String,
     /// Names of the partner's brokers, whose traffic counts are attributed to it.
     pub brokers: Vec<String>,
-    /// Whether the partner's brokers also count the traffic that its own nodes carry for others. If so, the lower of
-    /// both partners' counts is owed.
+    /// Whether the partner's brokers also count the traffic that the partner's own nodes carry for other partners. If
+    /// so, a debt for this traffic is the lower of the two partners' counts.
     pub metered: bool,
 }
 
 /// Maximum rate of the fills from one partner to another.
 #[derive(Clone, Debug)]
 pub struct LinkRate {
-    /// Name of the partner whose nodes are copied from.
+    /// Name of the partner from whose nodes segments are copied.
     pub from: String,
-    /// Name of the partner whose nodes are filled.
+    /// Name of the partner to whose nodes segments are copied.
     pub to: String,
-    /// Maximum rate of all fills together, in bytes per second.
+    /// Maximum total rate of the fills from one partner to the other, in bytes per second.
     pub bytes_per_second: u64,
 }
 
 /// Configuration of the quotas that all brokers share.
 #[derive(Clone, Debug)]
 pub struct QuotaConfig {
-    /// The shared quotas and the units of them that every broker may use without a lease.
+    /// The shared quotas, and how many units of each quota every broker may use without a lease.
     pub shared: SharedQuotas,
     /// Minimum time between two changes of the brokers' shares, in seconds.
     pub plan_interval_seconds: f64,
@@ -88,8 +88,8 @@
     pub max_concurrent_actions: usize,
     /// Pause between two steps of a plan, in seconds.
     pub settle_seconds: f64,
-    /// Maximum rate of fills between two partners without a [`LinkRate`], in bytes per second. With `None` there is no
-    /// maximum.
+    /// Maximum rate of the fills between two partners for which no [`LinkRate`] is configured, in bytes per second.
+    /// With `None` this rate is unlimited.
     pub default_link_rate: Option<u64>,
 }
 
@@ -106,22 +106,23 @@
     /// version requires and to the broker's own fills of nodes in slow start.
     pub max_concurrent_fills: usize,
     /// Whether each broker also fills the nodes in slow start that it is responsible for, and settles these fills from
-    /// its own share.
+    /// its own share of the debts.
     pub fill_started_nodes: bool,
 }
 
 /// A point at which a test may simulate a crash of the control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
-    /// The leader proposed the settlement of a fill that the proposed configuration version requires, but not the
-    /// fill's completion. Also reached if the fill has no settlement.
+    /// A fill that the proposed configuration version requires is done. The leader has proposed the fill's settlement,
+    /// if there is one, but not yet the log entry that the fill is completed.
     SettlementProposed,
-    /// One of the broker's own fills of nodes in slow start is done and its unsettled bytes are counted, but its
-    /// settlement was not sent to the leader.
+    /// A fill that the broker planned itself for a node in slow start is done. The bytes that it does not settle are
+    /// counted as traffic between the partners, but its settlement was not yet sent to the leader.
     OwnFillDone,
 }
 
-/// Called when a crash point is reached. If it returns true, the control plane ends there.
+/// Called with each crash point that the control plane reaches. If it returns true, the control plane ends there as in
+/// a crash.
 pub type CrashHook = Arc<dyn Fn(CrashPoint) -> bool + Send + Sync>;
 
 /// Replacements of external dependencies in tests.
--- a/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/attempts.rs
@@ -1,4 +1,5 @@
-//! Starts the attempts of active fills within the limits, and handles their results.
+//! Starts attempts at the active fills, up to the maximum number of concurrent attempts, and handles the attempts'
+//! results.
 
 use dunepond_settlement::{Fill, FillAction, FillEvent};
 use tracing::{info, warn};
@@ -60,16 +61,20 @@
                     self.audit_fill(&fill, AUDITED_START);
                     self.scheduler(kind).start_attempt(&fill);
                 }
-                // The fill service cannot stop a fill, so the next attempt requests it again with the same id.
+                // The fill service cannot stop a fill, so the next attempt requests the same fill again, with the same
+                // id.
                 FillAction::Stop(fill) => info!("fleet: fill {}: attempt timed out", fill.id),
-                // The capacity is released once the log has the fill as completed; see `remove_unneeded_fills`.
+                // Handled elsewhere: `propose_finished_fills` proposes a finished fill, and `remove_unneeded_fills`
+                // releases its capacity once the log records the fill as completed. For own fills,
+                // `finish_own_fill_if_done` releases the capacity.
                 FillAction::ReleaseCapacity(_) | FillAction::Propose(_) => {}
             }
         }
         self.remove_failed_fills(kind);
     }
 
-    /// Removes fills whose attempts have all failed. The planner plans them again, possibly from another source.
+    /// Removes fills for which all attempts have failed. The planner plans these fills again, possibly from another
+    /// source.
     fn remove_failed_fills(&mut self, kind: FillKind) {
         let mut failed = Vec::new();
         for (id, active) in &self.scheduler(kind).active {
@@ -86,7 +91,7 @@
         }
     }
 
-    /// Handles the result of an attempt; `None` once all senders of results are dropped.
+    /// Handles the result of an attempt. `result` is `None` once all senders of results are dropped.
     pub(in crate::control_loop) fn on_attempt_result(&mut self, result: Option<AttemptResult>) {
         let Some(AttemptResult { kind, id, outcome }) = result else { return };
         let now = monotonic_seconds();
@@ -124,8 +129,9 @@
         }
     }
 
-    /// Handles a failed attempt: if there is another source, removes the fill so that the next review plans it from
-    /// there. Otherwise the fill stays, and its source is tried again after the back-off.
+    /// Handles a failed attempt at a fill of the proposed version. If another source is usable, removes the fill, so
+    /// that the next review plans it from that source. Otherwise the fill stays active and is retried from the same
+    /// source after the back-off.
     fn avoid_source(&mut self, fill: &Fill) {
         self.version_fills.avoided_sources.note_failure(&fill.id, &fill.source);
         let Some(demands) = self.version_fill_demands() else { return };
--- a/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/log_entries.rs
@@ -1,5 +1,5 @@
-//! Log entries for the fills that the proposed configuration version requires: one before a fill starts, and its
-//! settlement and completion once it is done.
+//! Log entries for the fills that the proposed configuration version requires: an entry before a fill starts, and
+//! entries for its settlement and its completion once the fill is done.
 
 use dunepond_consensus::{Command, Rejection};
 use dunepond_settlement::{
@@ -13,18 +13,18 @@
 use crate::config::CrashPoint;
 use crate::fill_client::FillResult;
 
-/// Time after which an entry that is not in the log is proposed again.
+/// Time after which a proposed entry is proposed again if the log does not have it.
 const ENTRY_RETRY_SECONDS: f64 = 1.0;
-/// Name under which fills that a configuration version requires are settled. It does not depend on the leader:
-/// otherwise a fill could be settled once under the name of each leader. When debts are split in advance, this name
-/// gets a share, which only settlements of these fills spend.
+/// Share holder that settles the fills that a configuration version requires. Its name is the same under every leader:
+/// otherwise a fill could be settled once under the name of each leader. When a debt is split into shares in advance,
+/// this holder gets a share too, which only settlements of these fills use.
 pub const LOG_SHARE_HOLDER: &str = "fleet";
 
 impl ControlLoop {
-    /// Records when this broker first saw each started fill in the log. That is never earlier than the leader planned
-    /// the fill. If this broker knew of no started fill before, as after a restart, the time is computed from the
-    /// fill's start time in the log, which is by the leader's clock: the fill may have started long ago, and must not
-    /// count as just started in the planner's windows.
+    /// Records when this broker first saw each started fill in the log. This time is never before the leader planned
+    /// the fill. If this broker knew of no started fill before, for example after a restart, it computes the time from
+    /// the fill's start time in the log, which was taken from the leader's clock: the fill may have started long ago,
+    /// and must not count as just started in the planner's time windows.
     pub(in crate::control_loop) fn note_started_fills(&mut self) {
         let (now, fills) = (monotonic_seconds(), &mut self.version_fills);
         let ledger = self.traffic.balances.ledger();
@@ -36,8 +36,8 @@
         fills.first_seen_at.retain(|fill, _| ledger.has_started(&fill.id, &fill.source_partner));
     }
 
-    /// When this broker becomes the leader, resumes the fills that the previous leader started, and counts them in the
-    /// planner's windows.
+    /// If this broker has just become the leader, resumes the fills that the previous leader started, and counts them
+    /// in the planner's time windows.
     pub(super) fn resume_started_fills(&mut self, demands: &[FillDemand], now: f64) {
         let fills = &mut self.version_fills;
         if std::mem::replace(&mut fills.is_leading, true) {
@@ -48,7 +48,7 @@
             let started_at = fills.first_seen_at.get(&StartedFillKey::from(started)).copied().unwrap_or(now);
             let fill = started.fill();
             fills.planner.resume(&fill, started_at, false);
-            // A fill that is no longer required only counts in the planner's windows.
+            // A started fill that is no longer required is not resumed, but still counts in the planner's time windows.
             if demands.iter().any(|demand| demand.id() == started.id) {
                 resumed.push(fill);
             }
@@ -67,7 +67,8 @@
             if has_started(ledger, &active.progress.fill) {
                 continue;
             }
-            // The entry may be committed at any time, so the next review is due at once: it starts the fill.
+            // The entry may be committed at any time. The next review is due at once, so that the fill starts soon
+            // after the commit.
             self.version_fills.next_review_at = now;
             if now >= active.next_start_entry_at {
                 active.next_start_entry_at = now + ENTRY_RETRY_SECONDS;
@@ -81,9 +82,9 @@
         self.apply_voter_entries();
     }
 
-    /// Proposes the settlement and then the completion of each finished fill, until the log has them. The order
-    /// matters: after a crash in between, the fill is still required, and the fill service responds at once to the next
-    /// leader's request.
+    /// Proposes the settlement and then the completion of each finished fill, repeatedly until the log has both. In
+    /// this order a crash between the two proposals is harmless: the fill is still required, so the next leader
+    /// requests it again, and the fill service responds at once because the fill is done.
     pub(super) fn propose_finished_fills(&mut self) {
         for (fill, result) in self.due_finished_fills() {
             let settled = match self.settlement_of(&fill, &result) {
@@ -130,8 +131,8 @@
         self.propose(Command::FillCompleted { number: self.version_fills.version, segment, holder })
     }
 
-    /// Handles a settlement that is refused for good, because the share is spent or the fill is already settled. The
-    /// replica is filled nevertheless.
+    /// Handles a settlement that is refused permanently, because the share is spent or the fill is already settled. The
+    /// fill is completed nevertheless, as the segment is already copied.
     fn on_settlement_refused(&mut self, fill: &Fill, why: &SettlementError) {
         info!("fleet: fill {}: settlement refused: {why} ({})", fill.id, why.help());
         self.version_fills.planner.settlement_rejected(&fill.id);
--- a/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
@@ -2,9 +2,9 @@
 //! requires. Each broker plans fills of the nodes in slow start that it is responsible for ([`own`]). Attempts run on
 //! their own threads ([`scheduler`]).
 //!
-//! The id of a fill does not depend on who plans it or how often. So the fill service responds at once if a fill was
-//! already done before a crash, and a fill is settled only once. A leader adds a fill to the log before it starts
-//! ([`log_entries`]), so that the next leader continues it and counts it against its limits.
+//! A fill has the same id whichever broker plans it and however often it is planned. So the fill service responds at
+//! once if a fill was already done before a crash, and a fill is settled only once. The leader adds a fill to the log
+//! before the fill starts ([`log_entries`]), so that the next leader resumes the fill and counts it against the limits.
 
 mod attempts;
 mod demands;
@@ -62,7 +62,7 @@
     }
 
     /// Removes the fills of the proposed version that are completed in the log or no longer required. The bytes that a
-    /// completed fill did not settle are counted as carried.
+    /// completed fill did not settle are counted as traffic between the partners.
     fn remove_unneeded_fills(&mut self, demands: &[FillDemand]) {
         let required: BTreeSet<_> = demands.iter().map(FillDemand::id).collect();
         let fills = &mut self.version_fills;
@@ -96,12 +96,14 @@
         }
     }
 
-    /// Runs the scheduler's planner with this broker's part of all limits.
+    /// Runs the planner of the scheduler of this kind, with the fraction of all limits that this scheduler may use
+    /// (`capacity_ratio`).
     fn run_planner(&mut self, kind: FillKind, demands: &[FillDemand], now: f64) -> FillPlan {
         let capacity_ratio = self.capacity_ratio(kind);
         let slow_start = self.slow_start_capacity(now, kind);
         let balances = &self.traffic.balances;
-        // Fills of the proposed version are settled from the share of [`LOG_SHARE_HOLDER`], which is in the ledger.
+        // Own fills are settled from this broker's shares. Fills of the proposed version are settled from the share of
+        // [`LOG_SHARE_HOLDER`], which the planner takes from the ledger.
         let shares = (kind == FillKind::Own).then_some(&self.settlement.commitments.shares);
         let fills = match kind {
             FillKind::Version => &mut self.version_fills,
--- a/crates/dunepond-control-plane/src/control_loop/fills/own.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/own.rs
@@ -12,8 +12,8 @@
 use crate::fill_client::FillResult;
 use crate::slow_start::{COUNTING_UNIT_BYTES, StartedNode};
 
-/// Fraction of a node's warm-up time after which another broker takes over its fills if the responsible broker is not
-/// alive.
+/// Fraction of a node's warm-up time after which another broker takes over the fills of the node if the responsible
+/// broker is not alive.
 const TAKEOVER_RATIO: f64 = 1.0 / 3.0;
 
 impl ControlLoop {
@@ -24,9 +24,9 @@
         started.iter().filter(|node| now < node.started_at + policy.warm_up_seconds).cloned().collect()
     }
 
-    /// For each node in slow start, the capacity that this broker's fills of this kind may use. The underlying limit
-    /// applies to all brokers together; it is the lower of the deployment's limit and that of the configuration
-    /// versions that apply.
+    /// For each node in slow start, the capacity that this broker's fills of this kind may use. The capacity is a
+    /// fraction of the limit for all brokers together, which is the lower of the configured limit and the limit of the
+    /// configuration versions that apply.
     pub(super) fn slow_start_capacity(&self, now: f64, kind: FillKind) -> SlowStartCapacity {
         let rules_multiple = self
             .lease_client
@@ -48,9 +48,9 @@
         }
     }
 
-    /// Fraction that a scheduler of this broker may use of the limits that apply to all brokers together. If brokers
-    /// have their own fills, half is for the fills that the leader plans for the proposed configuration version, and
-    /// the brokers share the other half evenly; otherwise the leader may use it all.
+    /// Fraction of the limits for all brokers together that this broker's scheduler of this kind may use. If brokers
+    /// plan own fills, half of each limit is for the fills that the leader plans for the proposed configuration
+    /// version, and the brokers share the other half evenly. Otherwise the leader may use the full limits.
     pub(super) fn capacity_ratio(&self, kind: FillKind) -> f64 {
         match kind {
             FillKind::Version if self.settlement.fill_started_nodes => 0.5,
@@ -59,9 +59,10 @@
         }
     }
 
-    /// Whether this broker is responsible for filling a replica. The responsible broker is one of the replica's
-    /// partner, or one of all brokers if that partner has no brokers. Every broker computes the same one.
-    /// After the takeover time, the result depends on which brokers this one sees alive.
+    /// Whether this broker is responsible for filling a replica. The responsible broker is one of the brokers of the
+    /// replica's partner, or one of all brokers if that partner has none. Until the takeover time ([`TAKEOVER_RATIO`])
+    /// every broker computes the same responsible broker. After it, the result depends on which brokers are alive
+    /// according to this broker's membership.
     fn is_responsible_for(
         &self,
         replica: &Replica,
@@ -89,8 +90,9 @@
         responsible.is_some_and(|broker| **broker == self.name)
     }
 
-    /// Fill demands for nodes in slow start: one for each replica there that the active map marks as filled and that
-    /// this broker is responsible for. They do not depend on a valid lease.
+    /// Demands for this broker's own fills: one for each replica on a node in slow start that the active map marks as
+    /// filled, that this broker is responsible for, and that it has not filled yet since the node started. No valid
+    /// lease is needed.
     pub(super) fn own_fill_demands(&self, now: f64) -> Vec<FillDemand> {
         let warming = self.warming_nodes(now);
         if !self.settlement.fill_started_nodes || warming.is_empty() {
@@ -124,8 +126,8 @@
         demands
     }
 
-    /// Whether this broker has filled the segment's replica for this start of the node, under any configuration
-    /// version.
+    /// Whether this broker has already filled the segment's replica since this start of the node, no matter under which
+    /// configuration version.
     fn is_own_fill_finished(&self, segment: u64, started: &StartedNode) -> bool {
         self.settlement.commitments.finished.contains(&FinishedFill {
             segment,
@@ -135,7 +137,7 @@
     }
 
     /// Stores the commitment to one of this broker's own fills before it starts. Returns false if the fill must not
-    /// start, because the share does not suffice or the commitment could not be stored.
+    /// start, because this broker's share of the debt does not suffice or the commitment could not be stored.
     pub(super) fn commit_fill(&mut self, fill: &Fill) -> bool {
         let ledger = self.traffic.balances.ledger().clone();
         if let Some(settlement) = &fill.settles
@@ -153,17 +155,17 @@
         true
     }
 
-    /// Drops the commitment to a fill, for example because all its attempts failed. The change is stored later; a
-    /// restart before that resumes the fill.
+    /// Drops the commitment to a fill, for example because all its attempts failed. The commitments are stored later;
+    /// after a restart before then, the fill is resumed.
     pub(super) fn abandon_commitment(&mut self, id: &str) {
         self.settlement.commitments.shares.cancel(id);
         self.settlement.commitments.fills.remove(id);
         self.settlement.unsaved = true;
     }
 
-    /// Ends one of this broker's own fills once it has a result. From then on its settlement is sent to the leader
-    /// until the log has it. The fill's unsettled bytes are counted as carried after the commitments are stored, so a
-    /// crash in between can make a debt too small but never too large.
+    /// Ends one of this broker's own fills if the fill has a result. From then on, the fill's settlement is sent to the
+    /// leader until the log has it. The fill's unsettled bytes are counted as traffic only after the commitments are
+    /// stored: a crash between these two steps can make a debt too small, but never too large.
     pub(super) fn finish_own_fill_if_done(&mut self, id: &str) {
         let result = self.own_fills.active.get(id).and_then(|active| active.result.clone());
         let Some(result) = result else { return };
@@ -199,8 +201,8 @@
         replica.map_or(fill.to.clone(), |replica| replica.partner.clone())
     }
 
-    /// Remembers that a fill is done for this start of its node, as long as discovery lists the node with this
-    /// incarnation.
+    /// Records that a fill is done for this start of its node. Removes the records of nodes that discovery no longer
+    /// lists with the recorded incarnation.
     fn remember_finished_fill(&mut self, fill: &Fill) {
         let incarnation = fill.id.rsplit_once('+').and_then(|(_, suffix)| suffix.parse().ok()).unwrap_or(0);
         let started = self.started_nodes.load();
--- a/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
@@ -44,11 +44,11 @@
     pub(super) attempt_running: bool,
     /// The fill service's result, once the fill is done.
     pub(super) result: Option<FillResult>,
-    /// When the entry for the fill's start is proposed again, unless the log has it by then.
+    /// When the log entry for the fill's start is proposed next, unless the log has the entry by then.
     pub(super) next_start_entry_at: f64,
-    /// When the entry for the fill's completion is proposed again, unless the log has it by then.
+    /// When the log entry for the fill's completion is proposed next, unless the log has the entry by then.
     pub(super) next_completion_entry_at: f64,
-    /// Whether the fill's settlement was refused for good, so that all its bytes are a new debt.
+    /// Whether the fill's settlement was refused permanently, so that all bytes of the fill are a new debt.
     pub(super) settlement_refused: bool,
 }
 
@@ -65,7 +65,8 @@
     }
 }
 
-/// Identifies a fill that a leader has started. The same fill may be started again from another partner's node.
+/// Identifies a fill that a leader has started. The key includes the source's partner, as the same fill may be started
+/// again from another partner's node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct StartedFillKey {
     /// Id of the fill.
@@ -125,7 +126,7 @@
     pub limits: FillLimits,
     pub(super) planner: FillPlanner,
     pub(super) rng: Pcg64Mcg,
-    /// Number of the configuration version that requires the active fills.
+    /// Number of the configuration version that requires the active fills; 0 for own fills.
     pub(super) version: u64,
     /// Planned fills that have not ended yet, by id.
     pub(super) active: BTreeMap<String, ActiveFill>,
@@ -164,7 +165,8 @@
         }
     }
 
-    /// Whether a review is due. If so, schedules the next one after [`REVIEW_INTERVAL_SECONDS`].
+    /// Whether a review of the required fills is due. If so, schedules the next review after
+    /// [`REVIEW_INTERVAL_SECONDS`]. Never due without a fill service.
     pub(super) fn start_review(&mut self, now: f64) -> bool {
         if now < self.next_review_at || self.service.client.is_none() {
             return false;
@@ -173,8 +175,8 @@
         true
     }
 
-    /// Drops all active fills, because the proposed version or the leader has changed and this broker no longer runs
-    /// them.
+    /// Drops all active fills. Called when the proposed version has changed, and when this broker no longer leads or no
+    /// version with a map is proposed.
     pub(super) fn abandon_all(&mut self) {
         for (id, _) in std::mem::take(&mut self.active) {
             self.planner.fill_ended(&id, false);
@@ -188,7 +190,8 @@
         self.active.insert(id, ActiveFill::new(fill, self.retry_policy.clone(), now));
     }
 
-    /// Resumes fills that may still be running from before a restart or under the previous leader. They keep their ids.
+    /// Resumes fills that were started before a restart or by the previous leader, and may still be running. They keep
+    /// their ids.
     pub fn resume(&mut self, fills: impl IntoIterator<Item = Fill>, now: f64) {
         for fill in fills {
             self.planner.resume(&fill, now, true);
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Whether an active fill will settle a part of this debt.
+    /// Whether an active fill will settle a part of the debt of `debtor` to `creditor`.
     pub fn settles(&self, debtor: &str, creditor: &str) -> bool {
         let settlements = self.active.values().filter_map(|active| active.progress.fill.settles.as_ref());
         settlements
--- a/crates/dunepond-control-plane/src/control_loop/fills/sources.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/sources.rs
@@ -1,6 +1,6 @@
-//! Sources that a fill avoids while it has others: those from which an attempt has failed, and those that discovery
-//! lists as draining. Otherwise a fill could retry a failed source until the configuration version that requires it is
-//! withdrawn.
+//! Sources that a fill avoids as long as it has other sources: those from which an attempt has failed, and those that
+//! discovery lists as draining. Without this, a fill could be retried from a failed source until the configuration
+//! version that requires the fill is withdrawn.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,7 +16,7 @@
         self.0.entry(id.to_string()).or_default().insert(source.to_string());
     }
 
-    /// Removes the fills that are no longer required.
+    /// Removes the entries of fills that are no longer required.
     pub fn retain(&mut self, is_required: impl Fn(&str) -> bool) {
         self.0.retain(|id, _| is_required(id));
     }
--- a/crates/dunepond-control-plane/src/control_loop/leader_search.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leader_search.rs
@@ -17,8 +17,8 @@
         self.named_leader = leader;
     }
 
-    /// The voter to ask next: the leader as named by the last reply, else as known from leases, else the next voter in
-    /// turn.
+    /// The voter to send the next request to: the leader that the last reply named, else the leader known from leases,
+    /// else the next voter in turn.
     pub fn next_voter(&mut self, lease_client: &LeaseClient) -> String {
         if let Some(voter) = self.named_leader.take() {
             return voter;
--- a/crates/dunepond-control-plane/src/control_loop/leases.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leases.rs
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Handles a lease reply that the leader sends as a message, after another voter forwarded this broker's request to
-    /// it.
+    /// Handles a lease reply that arrives as a message of its own. The leader sends such a message if this broker sent
+    /// its lease request to another voter, which forwarded the request to the leader.
     pub(super) fn on_pushed_reply(&mut self, from: &str, body: &[u8]) {
         // Only voters may send lease replies.
         if !self.lease_client.voters().iter().any(|voter| voter == from) {
--- a/crates/dunepond-control-plane/src/control_loop/messages.rs
+++ b/crates/dunepond-control-plane/src/control_loop/messages.rs
@@ -1,5 +1,5 @@
-//! Dispatch of messages between brokers: peers' requests to their handlers, and responses to the handlers of what was
-//! requested.
+//! Dispatch of messages between brokers: a peer's request goes to the handler of its kind, and a response to the
+//! handler of the request that it answers.
 
 use std::collections::HashMap;
 
@@ -16,11 +16,11 @@
     PushedLease,
     /// A lease request to this voter.
     Lease { voter: String },
-    /// A document proposed to this voter.
+    /// An operator's document, proposed to this voter.
     Proposal { voter: String },
     /// A rebalancing plan offered to this voter.
     Plan { voter: String },
-    /// This broker's traffic counts; the response has the peer's.
+    /// This broker's traffic counts. The response contains the peer's traffic counts.
     Counts,
     /// Settlement entries for the leader.
     SettlementEntries,
@@ -117,14 +117,15 @@
             RequestKind::RebalancePlan => self.handle_offer(&from, body, responder),
             RequestKind::TransferCounts => self.handle_counts(&from, body, responder),
             RequestKind::Fill => self.handle_entries(&from, body, responder),
-            // Never passed here: the membership crate responds to liveness checks itself.
+            // Never received here: the membership crate responds to liveness checks itself.
             RequestKind::LivenessCheck => drop(responder),
         }
     }
 
     fn handle_counts(&mut self, from: &str, body: &[u8], responder: Responder) {
         self.merge_counts(from, body);
-        // Counts must be stored before they are sent.
+        // Counts must be stored before they are sent. Otherwise a peer could have higher counts of an ended incarnation
+        // of this broker than this broker itself has after a restart.
         let message = if self.save_traffic() { self.traffic.message_to(from).ok() } else { None };
         self.peers.respond(responder, message.ok_or(RefusalReason::Busy));
     }
--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -56,7 +56,7 @@
     pub(crate) lease_seconds: f64,
     /// This broker's voter; `None` if the broker is not a voter.
     pub(crate) voter: Option<Voter>,
-    /// Requests this broker's leases, and holds the configuration that came with the last lease.
+    /// Requests this broker's leases, and stores the configuration that came with the latest lease.
     pub(crate) lease_client: LeaseClient,
     pub(crate) data: DataDirectory,
     pub(crate) peers: Peers,
@@ -139,7 +139,8 @@
                 recv(self.attempt_results) -> result => self.on_attempt_result(result.ok()),
                 recv(after(Duration::from_secs_f64(wait))) -> _ => {}
             }
-            // Handles queued messages only until the next tick is due, as each of them may wait for the disk.
+            // Handles queued messages only until the next tick is due, as the handling of each message may wait for the
+            // disk and would delay the tick.
             while monotonic_seconds() < self.state.last_tick + tick
                 && let Ok(event) = self.events.try_recv()
             {
--- a/crates/dunepond-control-plane/src/control_loop/proposals.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals.rs
@@ -1,4 +1,5 @@
-//! Proposals of the operator's document: it is read from its file and proposed to the leader until the log has it.
+//! Proposals of the operator's document, a configuration version or a list of voters. The document is read from its
+//! file and proposed to the leader repeatedly until the log has it.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -20,10 +21,10 @@
 
 /// Timeout of a proposal, as a multiple of the lease duration.
 const PROPOSAL_TIMEOUT_LEASES: f64 = 1.0;
-/// Time between two proposals of a document without a reply, as a multiple of the lease duration.
+/// Time after which a document is proposed again if no reply has arrived, as a multiple of the lease duration.
 const PROPOSAL_INTERVAL_LEASES: f64 = 0.25;
-/// Time after which this broker's leases would show its document as known if the log had it, as a multiple of the lease
-/// duration.
+/// Time for which a document is still proposed after a voter has reported its number as used, as a multiple of the
+/// lease duration. If the log had this same document, this broker's leases would show it as known by then.
 const NUMBER_USED_LEASES: f64 = 2.0;
 
 /// The operator's document that is to be proposed, and the state of its proposal.
@@ -36,7 +37,7 @@
     constraints: MapConstraints,
     /// Whether the file must be read before the next proposal.
     must_read: bool,
-    /// The document that the log does not have yet.
+    /// The document that is to be proposed; `None` if there is none, and once the log has it or it was refused.
     document: Option<Document>,
     /// When the document is proposed next.
     next_proposal_at: f64,
@@ -56,7 +57,7 @@
     /// The document cannot be accepted now, for this reason, but may be later.
     RetryLater(String),
     /// The document's number was used by an earlier proposal, possibly of the same document. The next leases show
-    /// which.
+    /// whether it was the same document.
     NumberUsed {
         /// The next free number.
         expected: u64,
@@ -148,7 +149,7 @@
             return;
         }
         self.proposals.next_proposal_at = now + self.lease_seconds * PROPOSAL_INTERVAL_LEASES;
-        // Another version is proposed, so this one would be refused now.
+        // As long as another version is proposed, the leader would refuse this one.
         if config.proposed_number().is_some() && matches!(document, Document::Version(_)) {
             return;
         }
@@ -208,7 +209,7 @@
         let proposals = &mut self.proposals;
         let name = proposals.document.as_ref().map_or(String::from("the proposed document"), Document::name);
         if !matches!(reply, ProposalReply::NotLeader(_)) {
-            // The next leases show what became of the proposal.
+            // Waits for the next leases, which show whether the log has the document.
             proposals.next_proposal_at = now + self.lease_seconds;
         }
         match reply {
--- a/crates/dunepond-control-plane/src/control_loop/proposals/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The encoding of the reply to a proposal, which brokers with other builds read.
+//! The encoding of the reply to a proposal, which brokers of other builds must be able to decode.
 
 use super::ProposalReply;
 use crate::tests::golden::{assert_same, golden};
--- a/crates/dunepond-control-plane/src/control_loop/publish.rs
+++ b/crates/dunepond-control-plane/src/control_loop/publish.rs
@@ -35,7 +35,8 @@
     fn version_events(&mut self, config: &ActiveConfig) -> Vec<AuditEvent> {
         let (active, proposed) = config.versions();
         let mut events = Vec::new();
-        // The cost of a digest grows with the map, so it is computed only if the version has changed.
+        // The cost of computing a digest grows with the version's map, so a digest is computed only if the version has
+        // changed.
         if self.active != config.active_number()
             && let Some(version) = active
         {
@@ -62,7 +63,8 @@
 
 impl ControlLoop {
     /// Publishes the active configuration to the event loop and records it in the audit log, if the phase or the
-    /// configuration versions that apply have changed, or if `leased` is set, which means that there is a new lease.
+    /// configuration versions that apply have changed, or if `leased` is set. It is set for each new lease and when the
+    /// control loop starts.
     pub(super) fn publish(&mut self, leased: bool) {
         let (config, now) = (self.lease_client.active_config(), monotonic_seconds());
         let (phase, versions) = audit_phase(&config, now);
@@ -99,8 +101,8 @@
     /// Handles a newly granted lease: stores the configuration if it has changed, and publishes it.
     pub(super) fn on_lease(&mut self) {
         self.counters.leases.fetch_add(1, Relaxed);
-        // The configuration is stored before the event loop acts on it: after a restart this broker must know the
-        // strictest configuration version that its leases have named.
+        // The configuration is stored before the event loop can use it: after a restart this broker must know the
+        // strictest of the configuration versions that came with its leases.
         let revision = self.lease_client.persisted_revision();
         if self.state.saved_config != Some(revision) {
             match self.data.save_config(&self.lease_client.persisted_state()) {
--- a/crates/dunepond-control-plane/src/control_loop/quotas.rs
+++ b/crates/dunepond-control-plane/src/control_loop/quotas.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The audit event that states what this broker may use from now on.
+    /// The audit event with the units of the shared quotas that this broker may use from now on.
     pub fn audit_event(&self, config: &ActiveConfig, lease_expires_at: f64) -> AuditEvent {
         let (floor_units, usable_from) =
             (self.local.floor_units, self.local.started_at + self.local.window_seconds);
@@ -83,7 +83,7 @@
         }));
     }
 
-    /// Proposes the next change of the quota allocation if this broker leads.
+    /// Proposes the next change of the quota allocation, if this broker leads and a review of the shares is due.
     pub(super) fn plan_quotas(&mut self, now: f64) {
         let (Some(quotas), Some(voter)) = (&mut self.quotas, &self.voter) else { return };
         if now < quotas.next_plan_at {
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
@@ -1,7 +1,8 @@
 //! Rebalancing plans: brokers offer the operator's plan to the leader ([`offers`]), and the leader carries out the
 //! accepted plan ([`steps`]).
 //!
-//! The progress of a plan is only in the log, so a new leader continues exactly where the previous one stopped.
+//! The progress of a plan is recorded only in the log, so a new leader continues exactly where the previous leader
+//! stopped.
 
 mod offers;
 mod steps;
@@ -17,8 +18,8 @@
 
 /// Default pause between two steps of a plan, in seconds.
 pub const DEFAULT_SETTLE_SECONDS: f64 = 1.0;
-/// Time after which an offer is sent again to another leader, and an entry that is not committed is proposed again, as
-/// a multiple of the lease duration.
+/// Time after which a plan is offered to another voter because the first one does not lead, and after which an entry
+/// that is not committed is proposed again, as a multiple of the lease duration.
 const RETRY_LEASES: f64 = 0.25;
 
 /// The operator's plan and the state of its offer, and the leader's state between two steps.
@@ -37,16 +38,18 @@
     /// When the plan is offered next.
     next_offer_at: f64,
     leader_search: LeaderSearch,
-    /// The turn that the plan is in, if this broker leads.
+    /// The current turn of the running plan, if this broker leads.
     current_turn: Option<CurrentTurn>,
-    /// When the last entry was proposed; negative infinity once the plan's progress shows that none is outstanding.
+    /// When an entry or a configuration version was last proposed for the plan. Negative infinity if the plan has
+    /// nothing to propose at present, so that its next proposal is not delayed.
     last_proposal_at: f64,
     overload_monitor: OverloadMonitor,
     /// The reason to wait that was logged last.
     reported_wait: Option<PlanWait>,
 }
 
-/// The turn of the running plan that the leader works on.
+/// The current turn of the running plan. A turn is one started attempt at a step; the next turn begins when the
+/// configuration version of that attempt is activated, withdrawn or abandoned.
 struct CurrentTurn {
     /// Id of the plan.
     plan: String,
@@ -119,7 +122,7 @@
 }
 
 impl ControlLoop {
-    /// Whether the running plan is paused during a step, so that no further fill of it may start.
+    /// Whether the running plan was paused during a step, so that no further fill of the step may start.
     pub(super) fn fills_are_paused(&self) -> bool {
         let state = self.voter.as_ref().map(|voter| voter.state());
         let running = state.and_then(|state| state.rebalance().running.as_ref());
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -34,7 +34,7 @@
     /// The leader added an entry for the offer to its log. The plan is offered again until a voter reports its status
     /// in the log.
     Accepted,
-    /// No log entry is added, because the offer would change nothing. Holds the plan's status in the log.
+    /// No log entry is added, because the offer would change nothing. Contains the plan's status in the log.
     Known(String),
     /// The voter does not lead. Names the leader if the voter knows it.
     NotLeader(Option<String>),
@@ -45,7 +45,7 @@
 }
 
 impl OfferReply {
-    /// The reply for an offer that was rejected.
+    /// The reply to an offer that was rejected for the reason `why`.
     fn of(why: &Rejection) -> Self {
         match why {
             Rejection::NotLeader(leader) => Self::NotLeader(leader.clone()),
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
@@ -40,8 +40,9 @@
         }
     }
 
-    /// The next action for the running plan: to pause or resume it because of the brokers' load, else as its progress
-    /// requires. `None` without a running plan, and while the last proposed entry may still be committed.
+    /// The next action for the running plan: pausing or resuming the plan if the brokers' load requires it, otherwise
+    /// the action that the plan's progress requires. `None` if no plan is running, or if the last proposal is so recent
+    /// that it may still be committed.
     fn next_step(&mut self, now: f64) -> Option<LeaderAction> {
         let voter = self.voter.as_ref()?;
         let (state, rebalancing) = (voter.state(), &mut self.rebalancing);
@@ -76,7 +77,7 @@
         })
     }
 
-    /// Logs the reason to wait, unless it was logged last.
+    /// Logs why the plan waits, unless the same reason was logged last.
     fn log_wait(&mut self, wait: PlanWait) {
         if self.rebalancing.reported_wait.as_ref() == Some(&wait) {
             return;
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/tests/mod.rs
@@ -1,5 +1,5 @@
-//! The format of the operator's plan file, and the encodings of offers and replies, which brokers with other builds
-//! read.
+//! The format of the operator's plan file, and the encodings of offers and replies, which brokers of other builds must
+//! be able to decode.
 
 use std::collections::BTreeMap;
 
--- a/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
@@ -13,7 +13,8 @@
     /// Applies new settlement entries from the log of this broker's voter, if it is a voter.
     pub(in crate::control_loop) fn apply_voter_entries(&mut self) {
         while let Some(state) = self.voter.as_ref().map(Voter::state) {
-            // After a restart the voter may have applied fewer entries of the log than this broker had stored.
+            // After a restart the voter may have applied fewer entries of the log than the stored ledger of this
+            // broker.
             if state.settlements.count <= self.settlement.applied_entries {
                 break;
             }
@@ -22,8 +23,8 @@
         }
     }
 
-    /// Applies the settlement entries that came with a lease. If this broker is a voter, it applies the entries of its
-    /// own log instead, and from a lease only the ledger of another fleet.
+    /// Applies the settlement entries that came with a lease. A voter applies the entries of its own log instead. From
+    /// a lease it applies only a ledger of another fleet, which replaces its own.
     pub(in crate::control_loop) fn apply_leased_entries(&mut self) {
         for update in self.lease_client.take_settlement_updates() {
             // A ledger with fewer entries than this broker has applied belongs to another fleet and replaces this
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Replaces the ledger if the update has one, then applies the update's entries. Entries that do not start right
-    /// after the last one applied are ignored.
+    /// Replaces the ledger if the update has one, then applies the update's entries. Ignores entries that do not
+    /// directly follow the last applied entry.
     fn apply_entries(&mut self, update: SettlementUpdate) {
         if let Some(ledger) = update.ledger {
             self.traffic.balances.replace_ledger(*ledger);
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Drops the commitments that are in the log by now.
+    /// Drops the commitments for which the log has an entry by now.
     fn release_logged_commitments(&mut self) {
         let (commitments, ledger) = (&mut self.settlement.commitments, self.traffic.balances.ledger());
         let due_before = commitments.due_entries().len();
--- a/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
@@ -23,9 +23,10 @@
 pub struct Settlements {
     /// The commitments. They are stored before this broker starts a fill and before it releases a part of a share.
     pub commitments: Commitments,
-    /// Whether each broker fills nodes in slow start; if so, debts are allotted in advance.
+    /// Whether each broker fills nodes in slow start. If so, the leader splits debts into shares of the brokers in
+    /// advance.
     pub fill_started_nodes: bool,
-    /// Number of settlement entries of the log that the ledger has applied.
+    /// Number of settlement entries of the log that are applied to this broker's ledger.
     pub applied_entries: u64,
     /// Whether the commitments have changed since they were last stored.
     pub unsaved: bool,
@@ -46,8 +47,9 @@
     }
 }
 
-/// Whether a broker other than the leader may propose the entry. Settlements and releases of shares may only come from
-/// the broker whose share they use, as only that broker knows its promises; other entries only from the leader itself.
+/// Whether `broker`, which is not the leader, may propose this entry. Only the broker whose share is used may propose a
+/// settlement or a release of a share, as only that broker knows what it has promised. All other entries may come only
+/// from the leader itself.
 fn may_propose(broker: &str, entry: &SettlementEntry) -> bool {
     match entry {
         SettlementEntry::Settle(settlement) => settlement.broker() == broker,
@@ -115,7 +117,7 @@
     }
 
     /// Handles settlement entries from another broker: proposes them if this broker leads. The response only confirms
-    /// that they were received; the sender sees in the log what became of them.
+    /// that they were received; the sender learns from the log whether they were accepted.
     pub(in crate::control_loop) fn handle_entries(&mut self, from: &str, body: &[u8], responder: Responder) {
         if !self.is_leading() {
             let reason = RefusalReason::Declined("another leads".to_string());
--- a/crates/dunepond-control-plane/src/control_loop/settlements/shares.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/shares.rs
@@ -6,8 +6,8 @@
 
 use crate::control_loop::{ControlLoop, LOG_SHARE_HOLDER};
 
-/// The segment size divided by this is the minimum amount of a debt that is allotted or released at once. The minimum
-/// avoids a log entry for every few bytes.
+/// The segment size divided by this number is the minimum amount of a debt that is allotted or released at once.
+/// Without a minimum, every few bytes could cause a log entry.
 const SEGMENT_PARTS: u64 = 8;
 
 /// A part of this broker's share of a debt that it will not spend.
@@ -31,7 +31,8 @@
         holders.push(LOG_SHARE_HOLDER.to_string());
         for debt in self.traffic.balances.net_debts() {
             let (debtor, creditor) = (debt.debtor, debt.creditor);
-            // A fill that was planned before the first allotment uses no share, so it must be settled first.
+            // A fill that was planned before the first allotment uses no share, so it must be settled before the debt
+            // is split.
             let is_split = self.traffic.balances.ledger().is_split(&debtor, &creditor);
             if !is_split && self.version_fills.settles(&debtor, &creditor) {
                 continue;
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Releases the part of this broker's share of a debt that it will not spend, for one pair of partners at a time.
+    /// Starts to release the part of this broker's share of a debt that it will not spend, unless another release is
+    /// pending. Releases are made for one pair of partners at a time.
     pub(super) fn release_surplus(&mut self) {
         if self.settlement.commitments.shares.releasing().is_some() {
             return;
@@ -72,9 +74,10 @@
         None
     }
 
-    /// Bytes of this broker's share of a debt that it will not spend. If brokers have no own fills, that is the whole
-    /// remaining share. Otherwise it is this broker's part of the unspent allotments in excess of the current debt. The
-    /// debt shrinks, and can leave an excess, when the debtor carries traffic for the creditor.
+    /// The part of this broker's share of a debt that it will not spend, in bytes. If brokers plan no own fills, this
+    /// is the entire remaining share. Otherwise it is this broker's proportion of the excess, by which all unspent
+    /// shares together exceed the current debt. An excess arises when the debtor carries traffic for the creditor, as
+    /// this reduces the debt.
     fn surplus_bytes(&self, debtor: &str, creditor: &str) -> u64 {
         let ledger = self.traffic.balances.ledger();
         let remaining = self.settlement.commitments.shares.remaining(ledger, debtor, creditor);
--- a/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
+++ b/crates/dunepond-control-plane/src/control_loop/traffic_counts.rs
@@ -1,5 +1,5 @@
-//! Counts of the bytes that partners carried for each other. They are exchanged with one random peer about every
-//! second.
+//! Counts of the bytes that partners carried for each other. Each broker exchanges its counts with one random peer
+//! about every second.
 
 use std::sync::Arc;
 
@@ -17,14 +17,14 @@
 use crate::clock::{monotonic_seconds, unix_seconds};
 use crate::handle::CarriedBytes;
 
-/// Mean time between two exchanges with a peer. Each interval varies randomly by up to half of it.
+/// Mean time between two exchanges with a peer. Each interval differs from it by a random amount of up to half of it.
 const EXCHANGE_INTERVAL_SECONDS: f64 = 1.0;
 /// Timeout of an exchange with a peer.
 const EXCHANGE_TIMEOUT_SECONDS: f64 = 1.0;
 
 /// This broker's counts, and the balances between partners that follow from all brokers' counts.
 pub struct TrafficCounts {
-    /// Names of the partners, in the order of the event loop's indexes.
+    /// Names of the partners, in the order of the indexes in `carried`.
     pub partners: Vec<String>,
     /// Counters that the event loop adds to.
     pub carried: Arc<CarriedBytes>,
@@ -40,8 +40,8 @@
 }
 
 impl TrafficCounts {
-    /// Creates the state from the stored `counts` and `balances`. `partners` are in the order of the event loop's
-    /// indexes.
+    /// Creates the state from the stored `counts` and `balances`. `partners` are in the order of the indexes in
+    /// `carried`.
     pub fn new(
         partners: Vec<String>,
         carried: Arc<CarriedBytes>,
@@ -50,7 +50,7 @@
         broker_partners: BrokerPartners,
         mut rng: Pcg64Mcg,
     ) -> Self {
-        // The time is mixed in because a restored data directory can lead to the same seed again.
+        // The Unix time is mixed in because a restored data directory can lead to the same seed again.
         let replication = CountsReplication::new(rng.random::<u64>() ^ unix_seconds().to_bits());
         Self { partners, carried, counts, balances, broker_partners, rng, replication, next_exchange_at: 0.0 }
     }
@@ -72,7 +72,7 @@
 }
 
 impl ControlLoop {
-    /// Sends this broker's counts to a random peer, if an exchange is due.
+    /// Sends this broker's counts to a random peer, if an exchange is due. Also publishes the counters of the links.
     pub(super) fn exchange_counts(&mut self) {
         let now = monotonic_seconds();
         if now < self.traffic.next_exchange_at {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Merges a peer's counts into this broker's.
+    /// Merges a peer's counts into this broker's counts.
     pub(super) fn merge_counts(&mut self, from: &str, body: &[u8]) {
         let Some(message) = decode_counts(body) else {
             return debug!("fleet: counts from {from} cannot be decoded");
--- a/crates/dunepond-control-plane/src/control_loop/voter.rs
+++ b/crates/dunepond-control-plane/src/control_loop/voter.rs
@@ -13,9 +13,9 @@
 use crate::explain::{Explanation, ProposedEntry};
 use crate::handle::increment;
 
-/// Time after a failed write until the journal is rewritten, and between further tries.
+/// Time after a failed write until the journal is rewritten, and between two attempts to rewrite it.
 const STORAGE_RETRY_SECONDS: f64 = 0.5;
-/// Timeout of a message between voters, which is obsolete by then.
+/// Timeout of a message between voters. An undelivered message is obsolete by then.
 const CONSENSUS_TIMEOUT_SECONDS: f64 = 1.0;
 
 /// State that the control loop keeps for its voter.
@@ -38,7 +38,7 @@
         !self.is_voter_silent() && self.voter.as_ref().is_some_and(Voter::is_leader)
     }
 
-    /// Ticks the voter, unless it is silent. After a failed write, first rewrites the journal if that is due.
+    /// Ticks the voter, unless it is silent. After a failed write, first rewrites the journal if a rewrite is due.
     pub(super) fn tick_voter(&mut self, now: f64) {
         self.retry_storage(now);
         if self.is_voter_silent() {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Rewrites the journal after a failed write, if that is due. If it succeeds, the voter is no longer silent.
+    /// Rewrites the journal after a failed write, if a rewrite is due. If it succeeds, the voter is no longer silent.
     fn retry_storage(&mut self, now: f64) {
         let is_due = self.state.voter.storage_retry_at.is_some_and(|retry_at| now >= retry_at);
         let Some(voter) = self.voter.as_ref().filter(|_| is_due) else { return };
--- a/crates/dunepond-control-plane/src/data_directory.rs
+++ b/crates/dunepond-control-plane/src/data_directory.rs
@@ -17,7 +17,7 @@
 use crate::commitments::Commitments;
 use crate::error::ControlPlaneError;
 
-/// Format version of all files. Files of a later format are ignored.
+/// Format version of all files. Files with a later format version are ignored.
 const FORMAT_VERSION: u32 = 1;
 /// Length above which the journal is rewritten as one record.
 const MAX_JOURNAL_BYTES: u64 = 1 << 20;
@@ -47,7 +47,7 @@
 pub struct StoredState {
     /// Incarnation of this start, greater than that of any earlier start.
     pub incarnation: u64,
-    /// The voter as recorded in its journal; empty if this broker is not a voter.
+    /// The voter's state as recorded in its journal; empty if this broker is not a voter.
     pub voter_records: StoredVoter,
     /// The stored configuration; `None` if it was never stored or is damaged.
     pub config: Option<PersistedState>,
@@ -62,8 +62,8 @@
     /// Path of the directory, for error messages.
     path: &'a Path,
     files: Arc<dyn FileStore>,
-    /// Whether the files are on disk rather than a test double. Only then can the directory be checked for being a
-    /// copy.
+    /// Whether the files are read from disk, not from a test double. Without files on disk it cannot be checked whether
+    /// the directory is a copy.
     is_real: bool,
 }
 
@@ -88,8 +88,8 @@
         Ok(loaded.newest.map(|snapshot| snapshot.bytes))
     }
 
-    /// Returns the decoded payload of the newest valid snapshot. If it cannot be decoded, logs that together with
-    /// `consequence`, which tells operators what the loss means, and returns `None`.
+    /// Returns the decoded payload of the newest valid snapshot. If the payload cannot be decoded, logs the error and
+    /// returns `None`. The log line ends with `consequence`, which explains to operators what the loss means.
     fn load_as<T: DeserializeOwned>(
         &self,
         name: &str,
@@ -148,15 +148,16 @@
         Ok((journal, StoredVoter::new()))
     }
 
-    /// Whether the directory is a copy. `is_new` is set if the journal is empty: then the directory is marked as the
-    /// original, and the result is false.
+    /// Whether the directory is a copy. `is_new` must be true if the journal is empty: then the directory is marked as
+    /// the original, and the result is false.
     fn is_copy(&self, is_new: bool) -> Result<bool, ControlPlaneError> {
         let checked = if self.is_real { origin::is_copy(self.path, is_new) } else { Ok(false) };
         checked.map_err(|e| self.error(format!("origin: {e}")))
     }
 }
 
-/// The voter as recorded in a journal; `None` if the journal is damaged, so that promises of the voter may be missing.
+/// The voter's state as recorded in a journal; `None` if the journal is damaged, so that promises of the voter may be
+/// missing.
 fn stored_voter(recovered: &RecoveredJournal) -> Option<StoredVoter> {
     let (mut stored, mut damaged) = (StoredVoter::new(), false);
     match &recovered.fault {
--- a/crates/dunepond-control-plane/src/data_directory/origin.rs
+++ b/crates/dunepond-control-plane/src/data_directory/origin.rs
@@ -1,8 +1,9 @@
 //! Detects whether the data directory is a copy, such as a restored backup.
 //!
-//! A restored backup lacks what the voter promised after the backup was made, and the stored incarnation does not
-//! reveal that if the backup was made during the last run. So a file in the directory holds its own inode and creation
-//! time, which differ in a copy. A restored image of the whole disk is not detected.
+//! A restored backup lacks what the voter promised after the backup was made. The stored incarnation does not reveal
+//! that if the backup was made after the broker's last start, as the incarnation changes only at a start. So a file in
+//! the directory contains its own inode and creation time, which differ in a copy. A restored disk image is not
+//! detected.
 
 use std::fs::File;
 use std::io::{self, ErrorKind, Write};
@@ -10,7 +11,7 @@
 use std::path::Path;
 use std::time::UNIX_EPOCH;
 
-/// Name of the file that holds its own inode and creation time.
+/// Name of the file that contains its own inode and creation time.
 const FILE_NAME: &str = "origin";
 
 /// Inode and creation time of a file, separated by a space. The time is in nanoseconds since the Unix epoch, or 0 if
--- a/crates/dunepond-control-plane/src/documents.rs
+++ b/crates/dunepond-control-plane/src/documents.rs
@@ -97,8 +97,8 @@
     VersionError::Invalid { path: path.to_path_buf(), line, column, why: e.to_string() }
 }
 
-/// Reads and verifies a configuration version. If the digest of its map is empty, it is computed. `nodes` are the nodes
-/// that discovery lists; if there are none, the map is not checked against them.
+/// Reads and verifies a configuration version. If the digest of the version's map is empty, it is computed. `nodes` are
+/// the nodes that discovery lists; if there are none, the map is not checked against them.
 pub fn read_version(
     path: &Path,
     query_classes: usize,
@@ -161,8 +161,8 @@
     Ok(extensions)
 }
 
-/// Collects the values that are in `given` but not in `known`, with their dot-separated key paths. `path` is the key
-/// path of `given`.
+/// Adds to `unknown` the values that are in `given` but not in `known`, with their dot-separated key paths. `path` is
+/// the key path of `given`.
 fn collect_unknown(given: &Value, known: &Value, path: &str, unknown: &mut Vec<(String, Value)>) {
     match (given, known) {
         (Value::Object(given), Value::Object(known)) => {
--- a/crates/dunepond-control-plane/src/documents/tests/mod.rs
+++ b/crates/dunepond-control-plane/src/documents/tests/mod.rs
@@ -107,7 +107,7 @@
         partner: partner.to_string(),
         draining: false,
     };
-    // For a node without a partner in discovery, the map's partner applies.
+    // Discovery names no partner for s-2, so the partner that the map names is used.
     let mut nodes = vec![node("s-1", "north"), node("s-2", ""), node("s-3", "south")];
     assert!(read_as(&documented(), &nodes).is_ok());
     nodes[0].partner = "south".to_string();
--- a/crates/dunepond-control-plane/src/error.rs
+++ b/crates/dunepond-control-plane/src/error.rs
@@ -20,7 +20,7 @@
     DataDirectory {
         /// The directory.
         path: PathBuf,
-        /// Reason, for people.
+        /// Human-readable reason.
         why: String,
     },
     /// The shared secret cannot be read.
@@ -28,7 +28,7 @@
     Key {
         /// The key file.
         path: PathBuf,
-        /// Reason, for people.
+        /// Human-readable reason.
         why: String,
     },
     /// The audit log cannot be opened.
@@ -36,13 +36,13 @@
     AuditLog {
         /// The audit log's file.
         path: PathBuf,
-        /// Reason, for people.
+        /// Human-readable reason.
         why: String,
     },
     /// The operating system refuses to start a thread.
     #[error("the control plane's thread cannot be started: {why}")]
     Thread {
-        /// Reason, for people.
+        /// Human-readable reason.
         why: String,
     },
     /// The operator's recovery order for a lost majority of voters is invalid or does not match this voter's state.
@@ -50,7 +50,7 @@
     LostMajority {
         /// The file with the recovery order.
         path: PathBuf,
-        /// Reason, for people.
+        /// Human-readable reason.
         why: String,
         /// What an operator can do.
         help: String,
@@ -58,7 +58,7 @@
     /// The stored voter, traffic counts or commitments cannot be opened.
     #[error("stored state: {why}")]
     Consensus {
-        /// Reason, for people.
+        /// Human-readable reason.
         why: String,
         /// What an operator can do.
         help: String,
@@ -101,10 +101,10 @@
     Unreadable {
         /// The version file.
         path: PathBuf,
-        /// Reason, for people.
+        /// Human-readable reason.
         why: String,
     },
-    /// The file is not JSON of the documented form.
+    /// The version file is not JSON, or not of the documented form.
     #[error("{path}:{line}:{column}: {why}")]
     Invalid {
         /// The version file.
@@ -113,10 +113,10 @@
         line: usize,
         /// Column of the error, counted from 1.
         column: usize,
-        /// Reason, for people.
+        /// Human-readable reason.
         why: String,
     },
-    /// A list by query class does not have one entry for each query class of the deployment.
+    /// A list in the rules does not have exactly one entry for each query class of the deployment.
     #[error(
         "{path}: rules: {key} has {found} entries, but this deployment has {expected} query classes ('table-type')"
     )]
@@ -230,7 +230,7 @@
     Unreadable {
         /// The plan file.
         path: PathBuf,
-        /// Reason, for people.
+        /// Human-readable reason.
         why: String,
     },
     /// The file does not contain a valid plan.
@@ -264,7 +264,7 @@
     Unreachable {
         /// Address of the fill service.
         at: String,
-        /// Reason, for people.
+        /// Human-readable reason.
         why: String,
     },
     /// The response had a status other than 200.
@@ -284,7 +284,7 @@
         at: String,
         /// Id of the fill.
         id: String,
-        /// Reason, for people.
+        /// Human-readable reason.
         why: String,
     },
 }
--- a/crates/dunepond-control-plane/src/explain/changes.rs
+++ b/crates/dunepond-control-plane/src/explain/changes.rs
@@ -8,9 +8,9 @@
 use super::{Explanation, Subject};
 
 impl Explanation {
-    /// Explains a log entry that made this change; `state` is the state after the entry. `None` for settlements, which
-    /// each broker explains when it applies them ([`Explanation::for_settlement`]), and for changes that are not
-    /// decisions (`VoterSlot`).
+    /// Explains the log entry at `index`, which made this change; `state` is the replicated state after the entry.
+    /// Returns `None` for settlements, which each broker explains when it applies them
+    /// ([`Explanation::for_settlement`]), and for `VoterSlot`, which is not a decision.
     pub fn for_change(index: u64, change: &StateChange, state: &ReplicatedState) -> Option<Self> {
         match change {
             StateChange::Proposed(number) => Self::for_proposed(index, *number, state),
@@ -42,7 +42,8 @@
     fn for_proposed(index: u64, number: u64, state: &ReplicatedState) -> Option<Self> {
         let config = &state.config;
         let Some(open) = state.open.as_ref().filter(|open| open.version.number == number) else {
-            // Entries that were applied together with the proposal have already ended it.
+            // Later entries, which were applied together with the proposal, have already activated or withdrawn the
+            // version.
             let ended = state.history.iter().rev().find(|ended| ended.number == number)?;
             let authority = format!("{}: {}", shortened(&ended.proposed_by), shortened(&ended.reason));
             let what = format!("{number} was proposed, entry {index}");
@@ -130,12 +131,13 @@
     }
 }
 
-/// How many segments the transition changes, out of all.
+/// Text that states how many of all segments the transition changes.
 fn changed_segments(transition: &MapTransition) -> String {
     format!("{} of {} segments change", transition.changed_segments(), transition.to().len())
 }
 
-/// How many segments the open transition changes, or that none moves if there is no transition.
+/// Text that states how many segments the transition to the proposed map changes, or that no segment moves if no other
+/// map is proposed.
 fn open_transition(state: &ReplicatedState) -> String {
     state.map_transition().map_or(String::from("no segment moves"), changed_segments)
 }
--- a/crates/dunepond-control-plane/src/explain/mod.rs
+++ b/crates/dunepond-control-plane/src/explain/mod.rs
@@ -1,5 +1,5 @@
 //! Explanations: one log line for each decision of the control plane, with who decided it and why, the limit that
-//! applied, and the alternatives. A line depends only on the decision and the state that it is built from.
+//! applied, and the alternatives. The same decision and state always result in the same line.
 //!
 //! Names and reasons come from operators' files and other brokers, so each field is truncated: no line is longer than
 //! [`MAX_LINE_BYTES`], and none contains a line break.
@@ -59,11 +59,11 @@
     pub subject: Subject,
     /// The decision and its outcome.
     pub what: String,
-    /// Who made or requested the decision, and why. Its log field is `word`.
+    /// Who made or requested the decision, and why. Logged in the field `word`.
     pub authority: String,
     /// The limits that applied.
     pub limit: String,
-    /// The alternatives, or the state that the decision was based on. Its log field is `weighed`.
+    /// The alternatives, or the state that the decision was based on. Logged in the field `weighed`.
     pub alternatives: String,
 }
 
@@ -142,7 +142,7 @@
         Self::new(Subject::Fill, &what, &authority, &limit, &alternatives)
     }
 
-    /// Explains a settlement that this broker's balances have applied.
+    /// Explains a settlement that is already applied in `balances`.
     pub fn for_settlement(settlement: &Settlement, balances: &Balances) -> Self {
         let Settlement { id, debtor, creditor, bytes, source, .. } = settlement;
         let what = format!(
--- a/crates/dunepond-control-plane/src/explain/text.rs
+++ b/crates/dunepond-control-plane/src/explain/text.rs
@@ -2,7 +2,7 @@
 
 use dunepond_consensus::ConfigVersion;
 
-/// Maximum length of a field.
+/// Maximum length of a field of an explanation, in bytes.
 const MAX_FIELD_BYTES: usize = 160;
 /// Maximum length of an explanation's line, in bytes.
 pub const MAX_LINE_BYTES: usize = 4 * MAX_FIELD_BYTES + 64;
@@ -32,7 +32,7 @@
     }
 }
 
-/// The first [`MAX_NAMED_COUNT`] names, and how many more there are.
+/// The first [`MAX_NAMED_COUNT`] names as a list, with the number of names that are left out.
 pub(super) fn abbreviated_list(names: impl Iterator<Item = String>) -> String {
     let names: Vec<String> = names.collect();
     let more = names.len().saturating_sub(MAX_NAMED_COUNT);
--- a/crates/dunepond-control-plane/src/handle.rs
+++ b/crates/dunepond-control-plane/src/handle.rs
@@ -183,7 +183,7 @@
         self.started_nodes.store(Arc::new(nodes));
     }
 
-    /// Sets this broker's demand by shared quota, in units ([`dunepond_quota::TOTAL_UNITS`] are the whole quota). The
+    /// Sets this broker's demand by shared quota, in units ([`dunepond_quota::TOTAL_UNITS`] are a full quota). The
     /// demand is reported with lease requests.
     pub fn set_demand(&self, demand_units: BTreeMap<String, u32>) {
         self.demand.store(Arc::new(demand_units));
@@ -191,7 +191,7 @@
 
     /// Asks the control loop to read the version file again from this path.
     pub fn reload_version(&self, path: Option<PathBuf>) {
-        // If the queue is full, other reloads are already waiting in it.
+        // If the queue is full, this request is dropped; other reloads are already queued.
         let _ = self.requests.try_send(LoopRequest::ReloadVersion(path));
     }
 
--- a/crates/dunepond-control-plane/src/lib.rs
+++ b/crates/dunepond-control-plane/src/lib.rs
@@ -3,8 +3,7 @@
 //! active configuration to the broker's event loop.
 //!
 //! The control plane has its own thread because consensus waits for the disk, and the event loop must not block. The
-//! event loop holds a [`ControlHandle`], which always returns the configuration that currently applies without
-//! blocking.
+//! event loop holds a [`ControlHandle`], which returns the currently applicable configuration without blocking.
 //!
 //! Unless stated otherwise, times are in seconds on the monotonic clock ([`monotonic_seconds`]).
 #![warn(missing_docs)]
--- a/crates/dunepond-control-plane/src/link_limits.rs
+++ b/crates/dunepond-control-plane/src/link_limits.rs
@@ -11,8 +11,9 @@
 /// Queued events for each connection: a request from the peer, and a response to a request from this broker.
 const EVENTS_PER_CONNECTION: usize = 2;
 
-/// Limits for the brokers that are named in the configuration. All of them may use all their connections to one leader
-/// at the same time, so the limits allow for that. Brokers that are not named add nothing to the limits.
+/// Limits for the brokers that are named in the configuration. All these brokers may use all their connections to the
+/// leader at the same time, so the limits of each broker allow for that. Brokers that are not named add nothing to the
+/// limits.
 pub fn limits_for(config: &ControlPlaneConfig) -> Limits {
     let known = config.known_brokers.iter().map(|known| &known.0);
     let partners = config.partners.iter().flat_map(|partner| &partner.brokers);
--- a/crates/dunepond-control-plane/src/lost_majority.rs
+++ b/crates/dunepond-control-plane/src/lost_majority.rs
@@ -15,8 +15,8 @@
 /// Name to which the recovery order is renamed once it has been carried out.
 const DONE_FILE: &str = "majority-lost.done";
 
-/// Recovers the voter by the recovery order, if there is one, and stores the recovered state. Returns `None` without an
-/// order.
+/// Recovers the voter by the recovery order, if there is one, and stores the recovered state. Returns `None` if there
+/// is no recovery order.
 ///
 /// # Errors
 /// If the order cannot be read or does not match the stored voter: the operator expects it to be carried out, so the
@@ -70,7 +70,7 @@
     serde_json::from_str(&text).map(Some).map_err(|e| failed(e.to_string(), help))
 }
 
-/// Logs the state of the voter that a recovery order must state. Called at each start of a voter.
+/// Logs the values of this voter that an operator has to write into a recovery order. Called at each start of a voter.
 pub fn log_recovery_position(voter: &Voter) {
     let (folder_id, last_index) = voter.recovery_position();
     let state = voter.state();
--- a/crates/dunepond-control-plane/src/slow_start.rs
+++ b/crates/dunepond-control-plane/src/slow_start.rs
@@ -20,7 +20,7 @@
 /// A deployment's limits on traffic to nodes in slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartPolicy {
-    /// Fraction of its capacity that a node has when it starts.
+    /// Fraction of its full capacity that a node has when it starts.
     pub initial_share: f64,
     /// Time from its start until a node has its full capacity, in seconds.
     pub warm_up_seconds: f64,
@@ -31,10 +31,10 @@
 }
 
 impl SlowStartPolicy {
-    /// Capacity that fills may use on a node that started `age` seconds ago. The node's current capacity grows up to
-    /// `rate` (bytes per second of a warm node). All brokers together may use `multiple` times the current capacity, and
-    /// the caller may use the fraction `capacity_ratio` of this product. The limit on the node's traffic adds a margin
-    /// for random variation; the margin counts as used by queries, so fills do not get it.
+    /// Capacity that the caller's fills may use on a node that started `age` seconds ago. The node's current capacity
+    /// grows during the warm-up to `rate`, in bytes per second. All brokers together may use `multiple` times the
+    /// current capacity, and the caller may use the fraction `capacity_ratio` of this product. The limit on the node's
+    /// traffic also has a margin for random variation. Fills must not use the margin, so it counts as used by queries.
     pub fn fill_capacity(&self, age: f64, multiple: f64, rate: f64, capacity_ratio: f64) -> NodeCapacity {
         let warmth = (age / self.warm_up_seconds).clamp(0.0, 1.0);
         let share = self.initial_share + (1.0 - self.initial_share) * warmth;
--- a/crates/dunepond-control-plane/src/startup/fills.rs
+++ b/crates/dunepond-control-plane/src/startup/fills.rs
@@ -48,7 +48,7 @@
         let setup = FillSetup::new(config, client, result_sender);
         let version = setup.scheduler(FillKind::Version, LOG_SHARE_HOLDER, &mut stored.rng);
         let mut own = setup.scheduler(FillKind::Own, &config.consensus.name, &mut stored.rng);
-        // These fills may be done already: then the fill service responds at once.
+        // The fill service may have completed these fills in the meantime; it then responds at once.
         let unfinished = commitments.fills.values().filter(|fill| !fill.done);
         own.resume(unfinished.map(|committed| committed.fill.clone()), stored.opened_at);
         Self { version, own, attempt_results }
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Creates a scheduler. `share_holder` is the name from whose shares its fills are settled.
+    /// Creates a scheduler. `share_holder` is the name of the holder from whose shares the scheduler's fills are
+    /// settled.
     fn scheduler(&self, kind: FillKind, share_holder: &str, rng: &mut Pcg64Mcg) -> FillScheduler {
         let limits = FillLimits {
             links: LinkCapacities {
--- a/crates/dunepond-control-plane/src/startup/mod.rs
+++ b/crates/dunepond-control-plane/src/startup/mod.rs
@@ -55,7 +55,7 @@
     if config.voters.contains(&config.name) { "voter" } else { "not a voter" }
 }
 
-/// Creates the event loop's handle with this active configuration and all else empty.
+/// Creates the event loop's handle with this active configuration. All other shared state is empty at first.
 fn new_handle(
     active_config: ActiveConfig,
     partner_count: usize,
@@ -127,7 +127,8 @@
     config.consensus.check()?;
     let name = config.consensus.name.clone();
     let key = config.key_file.take().map(read_key).transpose()?;
-    // The components draw their seeds from `stored.rng`, so their order here must not change.
+    // The components draw their seeds from `stored.rng` one after the other, so the order in which they are created
+    // must not change.
     let mut stored = OpenedStorage::open(&config, doubles.storage)?;
     let incarnation = stored.incarnation;
     let (audit_sender, audit_log) = start_audit_log(config.audit_log_file.take(), &name, incarnation)?;
@@ -149,7 +150,8 @@
     Ok(ControlPlane { handle, listen_address, thread, audit_log })
 }
 
-/// FNV-1a hash of a name. It makes the random numbers of brokers with the same configured seed differ.
+/// FNV-1a hash of a name. Mixed into the seed, so that brokers with the same configured seed have different random
+/// numbers. Also used to assign nodes to brokers.
 pub(crate) fn name_hash(name: &str) -> u64 {
     name.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
@@ -173,7 +175,7 @@
         self.handle.clone()
     }
 
-    /// The address that this broker is bound to for other brokers.
+    /// The address at which this broker listens for the other brokers.
     pub fn listen_address(&self) -> SocketAddr {
         self.listen_address
     }
--- a/crates/dunepond-control-plane/src/startup/settlement.rs
+++ b/crates/dunepond-control-plane/src/startup/settlement.rs
@@ -20,7 +20,7 @@
 }
 
 impl Accounts {
-    /// Takes the stored commitments and counts out of `stored`, computes the balances, and tells the lease client how
+    /// Takes the stored commitments and counts out of `stored`, computes the balances, and sets in the lease client how
     /// many settlement entries this broker has already applied.
     pub(super) fn open(
         config: &ControlPlaneConfig,
@@ -35,14 +35,15 @@
     }
 }
 
-/// Opens the stored traffic counts to be continued by this incarnation.
+/// Opens the stored traffic counts, to which this incarnation of the broker will add.
 fn open_counts(
     stored: Option<LocalCounts>,
     broker: &str,
     incarnation: u64,
 ) -> Result<LocalCounts, ControlPlaneError> {
     let opened = match LocalCounts::open(stored.clone(), broker, incarnation) {
-        // The stored incarnation was lost and the clock was set back, so the counts have a later incarnation.
+        // The counts have a later incarnation than this start, because the stored incarnation was lost and the clock
+        // was set back.
         Err(SettlementError::StaleIncarnation { stored: newest, .. }) => {
             LocalCounts::open(stored, broker, newest + 1)
         }
--- a/crates/dunepond-control-plane/src/startup/voter.rs
+++ b/crates/dunepond-control-plane/src/startup/voter.rs
@@ -32,7 +32,8 @@
     let voter = match recovered {
         Some(voter) => voter,
         None => match Voter::open(consensus.clone(), stored, now, rng.random()) {
-            // The other voters handle an empty journal as they handle the loss of a data directory.
+            // To the other voters, a voter with an empty journal is the same as a voter that has lost its data
+            // directory, which they can handle.
             Err(e @ (ConsensusError::CorruptRecord(_) | ConsensusError::CorruptLog(_))) => {
                 error!("fleet: {e} ({}); this voter starts with an empty journal", e.help());
                 Voter::open(consensus.clone(), StoredVoter::new(), now, rng.random())
--- a/crates/dunepond-control-plane/src/tests/golden.rs
+++ b/crates/dunepond-control-plane/src/tests/golden.rs
@@ -24,7 +24,7 @@
 use crate::documents::{self, Document};
 use crate::lost_majority;
 
-/// When the stored directory was opened, in Unix milliseconds.
+/// When the golden data directory (`folder`) was opened first, in Unix milliseconds.
 const OPENED_UNIX_MILLIS: u64 = 1_790_000_000_000;
 /// Names of the snapshots in the data directory.
 const SNAPSHOTS: [&str; 4] = ["counts", "kept", "promises", "starts"];
@@ -55,7 +55,7 @@
     text.to_string()
 }
 
-/// A settlement of the fill by this share holder.
+/// A settlement of the fill from the share of `share_holder`.
 fn settlement(fill_id: &str, share_holder: &str, bytes: u64) -> Settlement {
     Settlement {
         id: format!("{fill_id}@{share_holder}"),
@@ -115,7 +115,7 @@
     ledger
 }
 
-/// Commitments to a fill that is running with a settlement, and to one that is done without.
+/// Commitments to two fills: one is running and has a promised settlement, the other is done and has none.
 fn commitments() -> Commitments {
     let ledger = ledger();
     let mut shares = SharePromises::new("n1").unwrap();
@@ -214,7 +214,8 @@
     }
 }
 
-/// The origin file holds its inode and creation time as decimal numbers. Later builds read it in the same directory.
+/// The origin file contains its own inode and creation time as decimal numbers, which later builds must be able to
+/// read.
 #[test]
 fn origin_file_format() {
     let directory = tempfile::tempdir().unwrap();
@@ -337,7 +338,7 @@
         .unwrap()
 }
 
-/// The operator's documents are read, and encoded for the leader as the same bytes as by earlier builds.
+/// The operator's documents can be read, and their encoding for the leader has the same bytes as in earlier builds.
 #[test]
 fn version_and_voter_file_formats() {
     let documents =
@@ -350,7 +351,7 @@
     }
 }
 
-/// Covers the settlement entries that brokers send to the leader, and the counts that they exchange.
+/// Covers the settlement entries that brokers send to the leader, and the traffic counts that brokers exchange.
 #[test]
 fn settlement_message_formats() {
     let mut shares = commitments().shares;
--- a/crates/dunepond-control-plane/tests/control_loop.rs
+++ b/crates/dunepond-control-plane/tests/control_loop.rs
@@ -56,8 +56,8 @@
     TestDoubles { storage: Some(Arc::new(files.clone())), ..TestDoubles::default() }
 }
 
-/// Waits until `condition` returns true. Its arguments are the present phase of the configuration and whether the lease is
-/// valid.
+/// Waits until `condition` returns true. Its arguments are the current phase of the configuration and whether the lease
+/// is valid.
 fn wait(control_plane: &ControlPlane, what: &str, condition: impl Fn(ConfigPhase, bool) -> bool) {
     let started = Instant::now();
     let active = || control_plane.handle().active_config();
@@ -137,8 +137,9 @@
     );
 }
 
-/// Three brokers may exist, so the floors of two stay unused. The only running broker has a demand, so it is leased all
-/// units above the floors, and again with the first lease after a restart.
+/// The quotas are configured for three brokers, so the floors of the two that do not run remain unused. The only
+/// running broker reports a demand, so its leases grant it all units above the three floors, both before and after a
+/// restart.
 #[test]
 fn spare_quota_is_leased_by_demand() {
     let shared = SharedQuotas::new(vec!["cold".to_string()], 3, 0.3, 100).unwrap();
@@ -206,8 +207,8 @@
         let responses = connections.iter_mut().filter_map(|connection| connection.read(&mut [0; 64]).ok());
         responses.filter(|bytes| *bytes > 0).count()
     };
-    // Retried, as a connection without a request is closed after two seconds, which may pass before the request on a
-    // busy machine.
+    // Retried because a connection without a request is closed after two seconds. On a busy machine, this time may pass
+    // before the test sends the request.
     assert!((0..5).any(|_| response_count() == 200));
     control_plane.stop();
 }
--- a/crates/dunepond-control-plane/tests/explain.rs
+++ b/crates/dunepond-control-plane/tests/explain.rs
@@ -63,8 +63,8 @@
     }
 }
 
-/// The command to propose a configuration version. `proposer` is also its reason. If `unfilled`, its map has a replica
-/// that must be filled.
+/// The command to propose a configuration version. The version's reason is the same text as its `proposer`. If
+/// `unfilled`, the version's map has a replica that must be filled.
 fn propose(number: u64, unfilled: bool, proposer: &str) -> Command {
     Command::Propose(Box::new(ConfigVersion {
         proposed_by: proposer.to_string(),
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -27,7 +27,7 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 const SEGMENT_BYTES: u64 = 8 << 20;
 const BYTES_PER_SECOND: u64 = 16 << 20;
-/// Debt of the partner north to south.
+/// Bytes that the partner north owes to the partner south.
 const DEBT_BYTES: u64 = 20 << 20;
 
 /// A fill service that responds at once for fills that are done.
@@ -281,8 +281,8 @@
     };
     wait("fills", || total_rate() > 0.0);
     thread::sleep(Duration::from_millis(400));
-    // The version's multiple of 1.5 is stricter than the configured 2.0. The margin of 2% allows for the node's warm-up
-    // since.
+    // The version's multiple of 1.5 is stricter than the configured 2.0. The margin of 2% allows for the growth of the
+    // limit while the test waits, as the node warms up.
     assert!(
         total_rate() <= max_rate * 1.02 && total_rate() > 0.8 * max_rate,
         "{} of {max_rate}",
@@ -303,7 +303,8 @@
     wait("a settlement", || broker.settled().len() == 1);
     thread::sleep(Duration::from_millis(700));
     control_plane.stop();
-    // This broker's share is half of the debt, which is enough for one segment. The other half is the log's share.
+    // This broker's share is half of the debt, which is enough for one segment. The other half is the share of `fleet`,
+    // for fills that a configuration version requires.
     assert_eq!(broker.settled(), [("1/0/s1+77@n1".to_string(), SEGMENT_BYTES)]);
     assert_eq!(broker.fill_service.requests.lock().unwrap().len(), 1, "filled once");
 }
--- a/crates/dunepond-control-plane/tests/golden.rs
+++ b/crates/dunepond-control-plane/tests/golden.rs
@@ -1,5 +1,5 @@
 //! Formats that auditors, the fill service and readers of the log depend on: files of earlier builds can be read, and
-//! equal values are written as the same bytes.
+//! the same values are still written as the same bytes.
 
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/dunepond-control-plane/tests/rebalancing.rs
+++ b/crates/dunepond-control-plane/tests/rebalancing.rs
@@ -173,7 +173,8 @@
         requested.iter().all(|id| *id == requested[0]),
         "all requests must be for one fill: {requested:?}"
     );
-    // Whatever the order of the split, the fill, the switch and the merge, each step's version is proposed once.
+    // The split, the fill, the switch and the merge may be distributed over the steps in different ways, but the
+    // version of each step is proposed only once.
     assert!(
         (4..=5).contains(&control_plane.handle().active_config().active_number()),
         "{}",
