--- a/crates/dunepond-control-plane/src/audit_log/event.rs
+++ b/crates/dunepond-control-plane/src/audit_log/event.rs
@@ -41,7 +41,7 @@
         #[serde(rename = "until")]
         lease_expires_at: f64,
     },
-    /// An attempt for a part of a query was sent: its frame was passed to the connection to a node.
+    /// An attempt at a part of a query was sent: its frame was passed to the connection to a node.
     #[serde(rename = "dispatch")]
     AttemptSent {
         /// Id of the query.
@@ -52,15 +52,16 @@
         segment_id: u64,
         /// Name of the node that the attempt was sent to.
         node: String,
-        /// Number of this attempt among the attempts of the part.
+        /// Index of this attempt among the attempts at the part, counted from 0.
         #[serde(rename = "shot")]
         attempt: u64,
         /// Whether the part is non-idempotent, so that it must not run twice.
         #[serde(rename = "once")]
         non_idempotent: bool,
-        /// Phase of the configuration in which the attempt was allowed.
+        /// Phase of the configuration: the stricter of the phase at the query's start and the phase when the attempt
+        /// was allowed.
         phase: AuditPhase,
-        /// Numbers of the configuration versions whose rules allowed the attempt.
+        /// Numbers of the configuration versions that applied at the query's start or when the attempt was allowed.
         #[serde(rename = "numbers")]
         versions: Vec<u64>,
     },
@@ -119,7 +120,7 @@
         source: String,
         /// Number of bytes to be copied.
         bytes: u64,
-        /// State of the current attempt: `begun`, `done` or `failed`.
+        /// State of the current attempt at the fill: `begun`, `done` or `failed`.
         state: String,
     },
     /// A configuration version was proposed.
--- a/crates/dunepond-control-plane/src/audit_log/mod.rs
+++ b/crates/dunepond-control-plane/src/audit_log/mod.rs
@@ -24,7 +24,7 @@
 
 /// A message to the writer's thread.
 enum WriterMessage {
-    /// Write a record of an event at `at`, in seconds on the monotonic clock.
+    /// Write a record of an event that occurred at `at`, in seconds on the monotonic clock.
     Record { at: f64, event: AuditEvent },
     /// Write the records that are queued, then end the thread.
     Finish,
--- a/crates/dunepond-control-plane/src/commitments.rs
+++ b/crates/dunepond-control-plane/src/commitments.rs
@@ -1,5 +1,5 @@
 //! Commitments of this broker that are not in the replicated log yet: settlements that it has promised from its own
-//! shares of debts between partners, and its own fills in progress.
+//! shares of debts between partners, and fills in progress that it has planned itself.
 //!
 //! A partitioned broker settles from its own shares only, so its commitments must survive a restart. They are stored
 //! before this broker starts a fill and before it releases a part of a share. The encoding is postcard, so the order of
@@ -46,9 +46,9 @@
     pub ledger: SettlementLedger,
     /// Number of settlement entries of the log that are applied in `ledger`.
     pub applied_entries: u64,
-    /// This broker's own fills that have started, by fill id.
+    /// Fills that this broker has planned itself for nodes in slow start, by fill id.
     pub fills: BTreeMap<String, CommittedFill>,
-    /// This broker's own fills that are done, for nodes that may still be in slow start.
+    /// Completed fills that this broker has planned itself, for nodes that may still be in slow start.
     pub finished: BTreeSet<FinishedFill>,
 }
 
--- a/crates/dunepond-control-plane/src/config.rs
+++ b/crates/dunepond-control-plane/src/config.rs
@@ -41,7 +41,8 @@
     /// Configuration of rebalancing plans (splits, merges and moves of segments). With `None` this broker reads no plan
     /// file.
     pub rebalancing: Option<RebalanceConfig>,
-    /// Number of query classes. Lists by query class in a configuration version must have this many entries.
+    /// Number of query classes. In a configuration version, lists with an entry for each query class must have this
+    /// length.
     pub query_class_count: usize,
     /// Seed of the random number generator, combined with the broker's name and incarnation.
     pub seed: u64,
@@ -52,7 +53,7 @@
 pub struct Partner {
     /// Name of the partner.
     pub name: String,
-    /// Names of the partner's brokers, whose traffic counts are attributed to it.
+    /// Names of the partner's brokers. Their traffic counts are attributed to the partner.
     pub brokers: Vec<String>,
     /// Whether the partner's brokers also count the traffic that the partner's own nodes carry for other partners. If
     /// so, a debt for this traffic is the lower of the two partners' counts.
--- a/crates/dunepond-control-plane/src/control_loop/fills/demands.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/demands.rs
@@ -7,8 +7,8 @@
 use super::ControlLoop;
 
 impl ControlLoop {
-    /// The fills that the map of the proposed configuration version requires and that are not completed in the log.
-    /// `None` if this broker does not lead, or if no version with a map is proposed.
+    /// The fills that the map of the proposed configuration version requires and that the log does not record as
+    /// completed. `None` if this broker does not lead, or if no version with a map is proposed.
     pub(super) fn version_fill_demands(&mut self) -> Option<Vec<FillDemand>> {
         if !self.is_leading() {
             return None;
--- a/crates/dunepond-control-plane/src/control_loop/fills/own.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/own.rs
@@ -136,8 +136,8 @@
         })
     }
 
-    /// Stores the commitment to one of this broker's own fills before it starts. Returns false if the fill must not
-    /// start, because this broker's share of the debt does not suffice or the commitment could not be stored.
+    /// Stores the commitment to one of this broker's own fills before the fill starts. Returns false if the fill must
+    /// not start, because this broker's share of the debt does not suffice or the commitment could not be stored.
     pub(super) fn commit_fill(&mut self, fill: &Fill) -> bool {
         let ledger = self.traffic.balances.ledger().clone();
         if let Some(settlement) = &fill.settles
@@ -155,8 +155,8 @@
         true
     }
 
-    /// Drops the commitment to a fill, for example because all its attempts failed. The commitments are stored later;
-    /// after a restart before then, the fill is resumed.
+    /// Drops the commitment to a fill, for example because all attempts at the fill have failed. The commitments are
+    /// stored later; after a restart before then, the fill is resumed.
     pub(super) fn abandon_commitment(&mut self, id: &str) {
         self.settlement.commitments.shares.cancel(id);
         self.settlement.commitments.fills.remove(id);
--- a/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/scheduler.rs
@@ -23,7 +23,8 @@
 pub enum FillKind {
     /// Fills that the proposed configuration version requires, planned by the leader.
     Version,
-    /// Fills of replicas that this broker is responsible for, on nodes in slow start. Planned with or without a lease.
+    /// Fills of replicas that this broker is responsible for, on nodes in slow start. Planned with or without a valid
+    /// lease.
     Own,
 }
 
--- a/crates/dunepond-control-plane/src/control_loop/fills/sources.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/sources.rs
@@ -11,7 +11,7 @@
 pub struct AvoidedSources(BTreeMap<String, BTreeSet<String>>);
 
 impl AvoidedSources {
-    /// Records that an attempt of the fill failed from this source.
+    /// Records that an attempt at the fill failed with this source.
     pub fn note_failure(&mut self, id: &str, source: &str) {
         self.0.entry(id.to_string()).or_default().insert(source.to_string());
     }
--- a/crates/dunepond-control-plane/src/control_loop/leader_search.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leader_search.rs
@@ -1,4 +1,4 @@
-//! Selects the voter to send a request to that only the leader can handle.
+//! Selects the voter to which this broker sends a request that only the leader can handle.
 
 use dunepond_consensus::LeaseClient;
 
@@ -12,7 +12,7 @@
 }
 
 impl LeaderSearch {
-    /// Handles the reply of a voter that does not lead. `leader` is the leader if the voter knows it.
+    /// Handles the reply of a voter that does not lead. `leader` is the leader that the reply names, if any.
     pub fn on_not_leader(&mut self, leader: Option<String>) {
         self.named_leader = leader;
     }
--- a/crates/dunepond-control-plane/src/control_loop/leases.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leases.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Logs the leader known from leases if it has changed.
+    /// Logs the leader that this broker knows from its leases, if that leader has changed.
     fn log_leader(&mut self) {
         let leader = self.lease_client.leader().map(str::to_string);
         if leader != self.state.leader {
--- a/crates/dunepond-control-plane/src/control_loop/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/mod.rs
@@ -1,6 +1,6 @@
 //! The control loop: the thread that owns the voter, the lease client, the data directory and the links.
 //!
-//! Each iteration waits for an event, handles the queued messages from peers, and if a tick is due runs the periodic
+//! Each iteration waits for an event, handles the queued messages from peers, and, if a tick is due, runs the periodic
 //! tasks in a fixed order ([`ControlLoop::tick`]).
 
 mod fills;
--- a/crates/dunepond-control-plane/src/control_loop/proposals.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals.rs
@@ -67,7 +67,7 @@
 }
 
 impl ProposalReply {
-    /// The reply for the outcome of a proposal to this broker's voter.
+    /// The reply that reports the outcome of a proposal to this broker's voter.
     fn of(outcome: Result<(), Rejection>) -> Self {
         match outcome {
             Ok(()) => Self::Accepted,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Requests that the document is read again, from this path.
+    /// Requests that the document is read again, from this path; `None` if there is no document any more.
     pub fn reload(&mut self, path: Option<PathBuf>) {
         self.path = path;
         self.must_read = true;
--- a/crates/dunepond-control-plane/src/control_loop/publish.rs
+++ b/crates/dunepond-control-plane/src/control_loop/publish.rs
@@ -16,7 +16,7 @@
 pub(super) struct Published {
     /// Phase of the configuration; `None` before the first publication.
     phase: Option<AuditPhase>,
-    /// Numbers of the configuration versions that applied in the phase.
+    /// Numbers of the configuration versions that applied when `phase` was published.
     versions: Vec<u64>,
     /// Number of the active configuration version; 0 if there is none.
     active: u64,
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/mod.rs
@@ -30,7 +30,7 @@
     settle_seconds: f64,
     /// Whether the plan file must be read before the next offer.
     must_read: bool,
-    /// The plan that is to be offered, until a voter reports its status in the log or refuses it.
+    /// The plan that is to be offered. Dropped once a voter reports the plan's status in the log or refuses the plan.
     plan: Option<Plan>,
     /// Whether the leader has accepted an offer of this plan. Later offers are marked as repeats: they must not resume
     /// the plan if it was paused in the meantime.
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -24,7 +24,8 @@
 pub(super) struct PlanOffer {
     pub(super) plan: Plan,
     pub(super) max_concurrent_actions: usize,
-    /// Whether this offer was accepted before. A repeat must not resume a plan that was paused after the first offer.
+    /// Whether the leader has accepted an earlier offer of this plan. A repeated offer must not resume a plan that was
+    /// paused after the first offer.
     pub(super) is_repeat: bool,
 }
 
@@ -130,7 +131,7 @@
     }
 
     /// Handles an offer if this broker leads: proposes the log entry that accepts a new plan, or that carries out the
-    /// operator's command for a known one.
+    /// operator's command for a plan that is already in the log.
     fn accept_offer(&mut self, offer: PlanOffer) -> OfferReply {
         let Some(voter) = self.voter.as_ref().filter(|voter| voter.is_leader()) else {
             let leader = self.voter.as_ref().and_then(|voter| voter.leader());
--- a/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
@@ -10,11 +10,11 @@
 use crate::handle::increment;
 
 impl ControlLoop {
-    /// Applies new settlement entries from the log of this broker's voter, if it is a voter.
+    /// Applies new settlement entries from the log of this broker's voter, if this broker is a voter.
     pub(in crate::control_loop) fn apply_voter_entries(&mut self) {
         while let Some(state) = self.voter.as_ref().map(Voter::state) {
-            // After a restart the voter may have applied fewer entries of the log than the stored ledger of this
-            // broker.
+            // After a restart the voter may have applied fewer entries of the log than are applied in this broker's
+            // stored ledger.
             if state.settlements.count <= self.settlement.applied_entries {
                 break;
             }
--- a/crates/dunepond-control-plane/src/data_directory/origin.rs
+++ b/crates/dunepond-control-plane/src/data_directory/origin.rs
@@ -22,7 +22,7 @@
     Ok(format!("{} {}", metadata.ino(), created.map_or(0, |created| created.as_nanos())))
 }
 
-/// Whether the directory is a copy. With `is_new` the directory is marked as the original, and the result is false.
+/// Whether the directory is a copy. If `is_new`, marks the directory as the original and returns false.
 pub fn is_copy(directory: &Path, is_new: bool) -> io::Result<bool> {
     let path = directory.join(FILE_NAME);
     if is_new {
--- a/crates/dunepond-control-plane/src/error.rs
+++ b/crates/dunepond-control-plane/src/error.rs
@@ -159,7 +159,7 @@
         path: PathBuf,
         /// Name of the voter.
         name: String,
-        /// The voter's address as it stands in the file.
+        /// The voter's address as written in the file.
         at: String,
     },
     /// This build does not know a key that every broker must know.
--- a/crates/dunepond-control-plane/src/handle.rs
+++ b/crates/dunepond-control-plane/src/handle.rs
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Returns the bytes that were added since the last call, for each pair of partners with any, and resets the
-    /// counters.
+    /// Returns the bytes that were added since the last call, for each pair of partners with a count above zero, and
+    /// resets the counters.
     pub fn drain(&self) -> Vec<CarriedAmount> {
         let mut amounts = Vec::new();
         for (index, counter) in self.counters.iter().enumerate() {
@@ -100,7 +100,7 @@
     pub settled: AtomicU64,
     /// Journal writes, each of which waited for the disk.
     pub syncs: AtomicU64,
-    /// Whether the nodes were overloaded when the event loop last checked. Not a counter.
+    /// Whether this broker's nodes were overloaded when the event loop last checked. Not a counter.
     pub overloaded: AtomicBool,
 }
 
--- a/crates/dunepond-control-plane/src/link_limits.rs
+++ b/crates/dunepond-control-plane/src/link_limits.rs
@@ -8,7 +8,8 @@
 
 /// Maximum size of a message between brokers.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
-/// Queued events for each connection: a request from the peer, and a response to a request from this broker.
+/// Maximum number of events that are queued for each connection: a request from the peer, and a response to a request
+/// from this broker.
 const EVENTS_PER_CONNECTION: usize = 2;
 
 /// Limits for the brokers that are named in the configuration. All these brokers may use all their connections to the
--- a/crates/dunepond-control-plane/src/lost_majority.rs
+++ b/crates/dunepond-control-plane/src/lost_majority.rs
@@ -15,12 +15,12 @@
 /// Name to which the recovery order is renamed once it has been carried out.
 const DONE_FILE: &str = "majority-lost.done";
 
-/// Recovers the voter by the recovery order, if there is one, and stores the recovered state. Returns `None` if there
-/// is no recovery order.
+/// Recovers the voter by the operator's recovery order, if there is one, and stores the recovered state. Returns `None`
+/// if there is no recovery order.
 ///
 /// # Errors
-/// If the order cannot be read or does not match the stored voter: the operator expects it to be carried out, so the
-/// broker must not start without it. Also if the recovered state cannot be stored.
+/// If the order cannot be read or does not match the stored voter: the operator expects the order to be carried out, so
+/// the broker must not start without doing so. Also if the recovered state cannot be stored.
 pub fn recover(
     directory: &Path,
     data: &mut DataDirectory,
--- a/crates/dunepond-control-plane/src/tests/golden.rs
+++ b/crates/dunepond-control-plane/src/tests/golden.rs
@@ -131,7 +131,7 @@
     Commitments { shares, ledger, applied_entries: 3, fills, finished }
 }
 
-/// Journal records of one of three voters, with configuration version 1 active.
+/// Records of the golden journal, which is that of one of three voters. Configuration version 1 is active in it.
 fn journal_records() -> Vec<Vec<u8>> {
     let files = DiskStore::open_read_only(&golden_path("folder")).unwrap();
     let recovered = Journal::read(&files, "voter", 1);
@@ -146,8 +146,8 @@
     PersistedState::decode(&newest.bytes).unwrap()
 }
 
-/// A copy of the stored directory. Its files are passed to the data directory like a test double, as it would otherwise
-/// be detected as a copy.
+/// A copy of the stored directory. Its files are passed to the data directory like a test double. Otherwise the
+/// directory would be detected as a copy and its journal would be emptied.
 fn copy_of_stored_directory() -> (tempfile::TempDir, Arc<DiskStore>) {
     let directory = tempfile::tempdir().unwrap();
     for name in SNAPSHOTS.map(|name| snapshot(name, 1)).iter().map(String::as_str).chain([JOURNAL]) {
--- a/crates/dunepond-control-plane/tests/control_loop.rs
+++ b/crates/dunepond-control-plane/tests/control_loop.rs
@@ -107,7 +107,8 @@
     journal.extend_from_slice(appended);
     files.overwrite("voter.journal", journal);
     let (control_plane, _) = start_on(&files, config(None));
-    // Before the first lease the strictest known rules apply, so the phase has the stored version.
+    // Before the first lease the strictest rules of all known versions apply, so the phase contains the number of the
+    // stored version.
     assert!(matches!(
         control_plane.handle().active_config().phase(monotonic_seconds()),
         ConfigPhase::LeaseExpired(1) | ConfigPhase::Active(1)
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -217,7 +217,7 @@
     });
 }
 
-/// Lists the node in discovery as started `age` seconds ago.
+/// Sets the node as one that, according to discovery, started `age` seconds ago.
 fn set_started(control_plane: &ControlPlane, node: &str, age: f64) {
     let started_at = monotonic_seconds() - age;
     control_plane.handle().set_started_nodes(vec![StartedNode {
@@ -227,8 +227,8 @@
     }]);
 }
 
-/// Guards against a second settlement of a fill that is requested again, after a crash between its settlement and its
-/// completion.
+/// Guards against a second settlement of a fill that is requested again, after a crash between the proposals of the
+/// fill's settlement and of its completion.
 #[test]
 fn fill_is_settled_once_after_a_crash_before_its_completion() {
     let mut broker = TestBroker::new(false);
--- a/crates/dunepond-control-plane/tests/rebalancing.rs
+++ b/crates/dunepond-control-plane/tests/rebalancing.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// Configuration version 1, with two segments that are both at node a.
+/// Configuration version 1. Its two segments are both on node a.
 fn version() -> Value {
     let replica = |node: &str| json!({"node": node, "partner": "north", "filled": true, "share": 1.0});
     json!({"number": 1, "who": "a test", "why": "", "at": 0.0,
