--- a/crates/dunepond-control-plane/src/audit_log/mod.rs
+++ b/crates/dunepond-control-plane/src/audit_log/mod.rs
@@ -24,7 +24,7 @@
 
 /// A message to the writer's thread.
 enum WriterMessage {
-    /// Write a record of an event at `at`, in seconds on the monotonic clock.
+    /// Write a record of an event that occurred at `at`, in seconds on the monotonic clock.
     Record { at: f64, event: AuditEvent },
     /// Write the records that are queued, then end the thread.
     Finish,
@@ -82,7 +82,8 @@
         Ok((AuditSender { messages: messages.clone(), lost }, Self { messages, thread }))
     }
 
-    /// Waits until all records so far are in the file, within the shutdown timeout. Later events are lost.
+    /// Waits, with a timeout, until all records that were queued before this call are in the file. Events that are
+    /// recorded after this call are lost.
     pub fn finish(self) {
         let _ = self.messages.send_timeout(WriterMessage::Finish, crate::startup::SHUTDOWN_TIMEOUT);
         crate::startup::join_with_timeout(self.thread);
--- a/crates/dunepond-control-plane/src/control_loop/fills/sources.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/sources.rs
@@ -1,6 +1,6 @@
-//! Sources that a fill avoids while it has others: those from which an attempt has failed, and those that discovery
-//! lists as draining. Otherwise a fill could retry a failed source until the configuration version that requires it is
-//! withdrawn.
+//! Sources that a fill avoids as long as it has other sources: those from which an attempt has failed, and those that
+//! discovery lists as draining. Without this, a fill could be retried from a failed source until the configuration
+//! version that requires the fill is withdrawn.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,12 +11,12 @@
 pub struct AvoidedSources(BTreeMap<String, BTreeSet<String>>);
 
 impl AvoidedSources {
-    /// Records that an attempt of the fill failed from this source.
+    /// Records that an attempt at the fill failed with this source.
     pub fn note_failure(&mut self, id: &str, source: &str) {
         self.0.entry(id.to_string()).or_default().insert(source.to_string());
     }
 
-    /// Removes the fills that are no longer required.
+    /// Removes the entries of fills that are no longer required.
     pub fn retain(&mut self, is_required: impl Fn(&str) -> bool) {
         self.0.retain(|id, _| is_required(id));
     }
--- a/crates/dunepond-control-plane/src/control_loop/leader_search.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leader_search.rs
@@ -1,4 +1,4 @@
-//! Selects the voter to send a request to that only the leader can handle.
+//! Selects the voter to which this broker sends a request that only the leader can handle.
 
 use dunepond_consensus::LeaseClient;
 
@@ -12,13 +12,13 @@
 }
 
 impl LeaderSearch {
-    /// Handles the reply of a voter that does not lead. `leader` is the leader if the voter knows it.
+    /// Handles the reply of a voter that does not lead. `leader` is the leader that the reply names, if any.
     pub fn on_not_leader(&mut self, leader: Option<String>) {
         self.named_leader = leader;
     }
 
-    /// The voter to ask next: the leader as named by the last reply, else as known from leases, else the next voter in
-    /// turn.
+    /// The voter to send the next request to: the leader that the last reply named, else the leader known from leases,
+    /// else the next voter in turn.
     pub fn next_voter(&mut self, lease_client: &LeaseClient) -> String {
         if let Some(voter) = self.named_leader.take() {
             return voter;
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -24,7 +24,8 @@
 pub(super) struct PlanOffer {
     pub(super) plan: Plan,
     pub(super) max_concurrent_actions: usize,
-    /// Whether this offer was accepted before. A repeat must not resume a plan that was paused after the first offer.
+    /// Whether the leader has accepted an earlier offer of this plan. A repeated offer must not resume a plan that was
+    /// paused after the first offer.
     pub(super) is_repeat: bool,
 }
 
@@ -34,7 +35,7 @@
     /// The leader added an entry for the offer to its log. The plan is offered again until a voter reports its status
     /// in the log.
     Accepted,
-    /// No log entry is added, because the offer would change nothing. Holds the plan's status in the log.
+    /// No log entry is added, because the offer would change nothing. Contains the plan's status in the log.
     Known(String),
     /// The voter does not lead. Names the leader if the voter knows it.
     NotLeader(Option<String>),
@@ -45,7 +46,7 @@
 }
 
 impl OfferReply {
-    /// The reply for an offer that was rejected.
+    /// The reply to an offer that was rejected for the reason `why`.
     fn of(why: &Rejection) -> Self {
         match why {
             Rejection::NotLeader(leader) => Self::NotLeader(leader.clone()),
@@ -130,7 +131,7 @@
     }
 
     /// Handles an offer if this broker leads: proposes the log entry that accepts a new plan, or that carries out the
-    /// operator's command for a known one.
+    /// operator's command for a plan that is already in the log.
     fn accept_offer(&mut self, offer: PlanOffer) -> OfferReply {
         let Some(voter) = self.voter.as_ref().filter(|voter| voter.is_leader()) else {
             let leader = self.voter.as_ref().and_then(|voter| voter.leader());
