--- a/crates/dunepond-broker/examples/toy_store.rs
+++ b/crates/dunepond-broker/examples/toy_store.rs
@@ -1,6 +1,7 @@
 //! A toy store to try the broker with: a discovery agent at 127.0.0.1:8500, and three nodes that hold four segments.
 //!
-//! `cargo run --example toy_store` starts it; `-- hang 1` lets node 1 accept attempts and answer none.
+//! `cargo run --example toy_store` starts it. With the arguments `-- hang 1`, node 1 accepts attempts but never
+//! answers them.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -43,7 +44,8 @@
     }
 }
 
-/// Answers a request for the list at once, and a watch after its wait, as nothing ever changes.
+/// Answers a request for the endpoint list at once. Answers a watch with an empty list of changes, but only after the
+/// wait that it asks for, as the nodes never change.
 fn run_discovery(stream: TcpStream) -> io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut stream = stream;
@@ -77,7 +79,7 @@
     println!("listening on {address}");
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            // Small frames must not wait for each other's acknowledgement.
+            // Disables Nagle's algorithm, with which a small frame would wait until the previous one is acknowledged.
             let _ = stream.set_nodelay(true);
             let handler = handler.clone();
             thread::spawn(move || handler(stream));
--- a/crates/dunepond-broker/src/background.rs
+++ b/crates/dunepond-broker/src/background.rs
@@ -12,7 +12,7 @@
     scheduler: Scheduler,
     /// The thread pool; `None` if there are no blocking jobs.
     pool: Option<Pool>,
-    /// When the pending timer fires, and its key.
+    /// When the pending timer for the next job fires, in Unix seconds, and its key; `None` if no timer is pending.
     timer: Option<(f64, clock::TimerKey)>,
 }
 
--- a/crates/dunepond-broker/src/body.rs
+++ b/crates/dunepond-broker/src/body.rs
@@ -1,6 +1,6 @@
-//! The bytes of one request body, in blocks that all its readers share: in memory, spilled to a file, or passed through.
-//! `body_store` decides where a body is kept; this module holds the bytes that have arrived and drops those that no reader
-//! needs any more.
+//! The bytes of one request body, in blocks that all its readers share: in memory, spilled to a file, or passed
+//! through (sent on to nodes as they arrive). `body_store` decides where a body is kept; this module holds the bytes
+//! that have arrived and drops those that no reader needs any more.
 
 mod payload;
 mod reader;
@@ -50,7 +50,8 @@
     readers: Slab<u64>,
     /// Whether blocks are dropped once all readers have consumed them.
     pass_through: bool,
-    /// Whether all readers are attached. Before that no block is dropped.
+    /// Whether all readers of the body are attached. Until then no block is dropped, as a reader still to come needs
+    /// it.
     all_readers_attached: bool,
     /// Numbers of the blocks that a reader waits for and that are only in the file.
     requested_blocks: BTreeSet<u64>,
@@ -62,7 +63,7 @@
     loss: Option<FallbackReason>,
 }
 
-/// Collects the ids of dropped bodies.
+/// Collects the ids of bodies that were dropped, until the body store releases their resources.
 pub type DroppedBodies = Rc<RefCell<Vec<BodyId>>>;
 
 /// A request body. It exists while its client sends it or an attempt may need it.
@@ -229,7 +230,8 @@
         }
     }
 
-    /// Undoes `next_write` for all blocks that are not in the file, because none of them is being written any more.
+    /// Marks the blocks that are not in the file as not handed to the disk threads. Called after a disk fault, when
+    /// none of the body's writes is pending any more.
     pub fn unsubmit_unwritten(&self) {
         let mut state = self.state.borrow_mut();
         state.blocks.iter_mut().for_each(|b| b.submitted = b.on_file);
@@ -251,14 +253,14 @@
         }
     }
 
-    /// Returns whether all that has arrived is in the file.
+    /// Returns whether all bytes of the body that have arrived are in the file.
     pub fn is_on_disk(&self) -> bool {
         let state = self.state.borrow();
         state.tail.is_empty() && state.blocks.iter().all(|b| b.on_file)
     }
 
-    /// Returns the blocks to be read from the file now, as offset and length. At most `max_cached` blocks (at least
-    /// one) that are in the file may also be in memory.
+    /// Returns the blocks to be read from the file now, as offset and length. Their number is limited, so that at most
+    /// `max_cached` blocks (at least one) of the file are also in memory.
     pub fn next_reads(&self, max_cached: usize) -> Vec<(u64, usize)> {
         let mut state = self.state.borrow_mut();
         let mut reads = Vec::new();
@@ -307,7 +309,7 @@
         if let Some(block) = state.block(number).filter(|_| is_cached) {
             block.bytes = Some(bytes);
         }
-        // The reader that requested the block may be gone.
+        // Frees the block again if the reader that requested it is gone.
         state.release_block(number);
     }
 }
--- a/crates/dunepond-broker/src/body_store.rs
+++ b/crates/dunepond-broker/src/body_store.rs
@@ -28,9 +28,9 @@
     body: Weak<Body>,
     query_class: usize,
     tier: Tier,
-    /// The body is being moved from memory to its file.
+    /// Whether the body is being moved from memory to its file.
     is_spilling: bool,
-    /// The query waits until the body is buffered.
+    /// Whether the query waits until the body is buffered.
     awaiting_buffering: bool,
     /// Number of bytes that are being written.
     writing_bytes: u64,
@@ -39,7 +39,7 @@
     /// When the body's most recent disk operation completed or, before that, when the first pending one was
     /// submitted, in Unix seconds; `None` while no operation is pending.
     io_pending_since: Option<f64>,
-    /// Some of the body has been handed to the disk threads.
+    /// Whether some of the body has been handed to the disk threads.
     has_file: bool,
 }
 
@@ -49,7 +49,7 @@
     spool: Option<Spool>,
     tracked: HashMap<BodyId, TrackedBody>,
     dropped: DroppedBodies,
-    /// Bodies whose blocks did not fit into the queue of the disk threads.
+    /// Bodies whose blocks did not fit into the queue of the disk threads; tried again after the next disk operation.
     awaiting_disk: Vec<BodyId>,
     query_classes: Vec<String>,
     /// Events of bodies that have not been handled yet.
@@ -81,7 +81,7 @@
         self.manager.limits()
     }
 
-    /// Changes the limits. Those for files are ignored if there are no disk threads.
+    /// Changes the limits. The limits for files are ignored if there are no disk threads.
     pub fn reconfigure(&mut self, mut limits: BufferLimits) {
         if self.spool.is_none() {
             limits.spill = None;
@@ -146,8 +146,8 @@
                     tracked.tier = tier;
                     body.set_memory_limit(self.manager.limits().window_bytes);
                 }
-                // Allows at least one block more than has arrived. Otherwise nothing could arrive that makes the
-                // reservation grow.
+                // Sets the memory limit to at least one block more than has arrived. With a lower limit no more bytes
+                // would be received, and the reservation grows only when bytes arrive.
                 Ok(Tier::Memory) => body.set_memory_limit(
                     self.manager.reserved_memory(id).max(body.received_bytes() + BLOCK_BYTES as u64),
                 ),
@@ -178,7 +178,8 @@
         }
     }
 
-    /// Hands blocks of a body to the disk threads, up to the window size. Returns `false` if that has failed.
+    /// Hands blocks of a body to the disk threads, up to the window size. Returns `false` if none of the
+    /// body could be handed over and this was handled as a disk fault.
     fn submit_writes(&mut self, now: f64, id: BodyId, body: &Rc<Body>) -> bool {
         let window = self.limits().window_bytes;
         let (Some(spool), Some(tracked)) = (&self.spool, self.tracked.get_mut(&id)) else { return true };
@@ -239,7 +240,7 @@
                     (tracked.writing_bytes > 0 || tracked.pending_reads > 0).then_some(now);
                 body.on_block_read(offset, bytes);
             }
-            // If several pending writes fail, only the first failure is handled.
+            // If several pending writes fail, only the first failure is handled, which resets `writing_bytes`.
             DiskEvent::Failed { fault, .. }
                 if fault != DiskFault::Unreadable && tracked.writing_bytes == 0 => {}
             DiskEvent::Failed { fault, .. } => self.on_disk_fault(now, id, fault),
@@ -286,7 +287,7 @@
         for (id, tracked) in &mut self.tracked {
             let Some(body) = tracked.body.upgrade().filter(|body| body.has_pending_reads()) else { continue };
             let window = self.manager.limits().window_bytes.saturating_sub(body.unwritten_bytes());
-            // If the queue is full, an operation is pending, and this is called again after it.
+            // If the queue is full, a disk operation is pending. `submit_reads` is called again after that operation.
             if !spool.has_room() {
                 return;
             }
@@ -342,8 +343,9 @@
         self.manager.set_other_usage(OtherUsage::PendingWrites, pending.saturating_sub(counted));
     }
 
-    /// Logs counters: the memory and files in use, and how often a body was not kept at a tier, by tier, reason and query
-    /// class. `copied_bytes` is the number of payload bytes copied into frames.
+    /// Logs counters: the memory and files in use, and how often a body could not be kept in a tier (memory, file or
+    /// pass-through), by tier, reason and query class. `copied_bytes` is the number of payload bytes copied into
+    /// frames.
     pub fn log_counters(&self, copied_bytes: u64) {
         let usage = self.manager.usage();
         let counts =
--- a/crates/dunepond-broker/src/buffers.rs
+++ b/crates/dunepond-broker/src/buffers.rs
@@ -13,8 +13,9 @@
 /// Maximum number of free buffers that a pool keeps; the others are deallocated when they are returned after a burst.
 const MAX_FREE_BUFFERS: usize = 32;
 
-/// Has the allocator use one arena for all threads. Guards the bound on memory: with an arena per thread, blocks that the
-/// disk threads allocate and the event loop frees would stay in the arenas of the disk threads.
+/// Has the allocator use one arena for all threads, to keep the process within its memory limit: with an arena per
+/// thread, blocks that the disk threads allocate and the event loop frees would stay in the arenas of the disk
+/// threads.
 pub fn use_single_malloc_arena() {
     #[cfg(all(target_os = "linux", target_env = "gnu"))]
     // SAFETY: mallopt only sets the allocator's own options; it may be called at any time.
--- a/crates/dunepond-broker/src/clock.rs
+++ b/crates/dunepond-broker/src/clock.rs
@@ -1,4 +1,5 @@
-//! A monotonic clock that counts in Unix time, as the endpoint list does, and the event loop's timers.
+//! A monotonic clock that returns Unix times, in which the endpoint list also states start times, and the event
+//! loop's timers.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -34,7 +35,7 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TimerEvent {
-    /// The time at which the router has asked to be called has come.
+    /// The router is to be called, at the time that it asked for.
     RouterWake,
     /// The deadline of the query with this id has passed.
     QueryDeadline(u64),
@@ -42,7 +43,7 @@
     UpstreamConnection(usize),
     /// A time limit of the prefilter connection with this index has passed.
     PrefilterConnection(usize),
-    /// The time for prefilter responses to some query has passed.
+    /// The time limit for the prefilter responses of a query has passed.
     Prefilter,
     /// A snapshot of the learned state is due.
     Snapshot,
@@ -56,7 +57,7 @@
     Discovery,
     /// Accepting connections resumes after a pause.
     ResumeAccept,
-    /// Discovery has not answered in time since the start.
+    /// Discovery has not delivered a first endpoint list in time after the broker's start.
     FirstListTimeout,
     /// The next stage of the shutdown is due.
     ShutdownStage,
@@ -66,7 +67,7 @@
     Counters,
 }
 
-/// Identifies a scheduled timer; ordered by time, and at the same time in the order of scheduling.
+/// Identifies a scheduled timer. Keys are ordered by time, and keys of the same time in the order of scheduling.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerKey {
     /// Unix time in microseconds.
--- a/crates/dunepond-broker/src/config.rs
+++ b/crates/dunepond-broker/src/config.rs
@@ -1,5 +1,5 @@
-//! Reads the startup configuration: the environment, the file that it names and the settings in that file. Checks and
-//! defaults are here only.
+//! Reads the startup configuration: the environment, the file that it names and the settings in that file. No other
+//! module of the broker checks these values or has defaults for them.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -18,9 +18,9 @@
 const RESERVED_DESCRIPTORS: u64 = 24;
 const DEFAULT_MEMORY_MIB: f64 = 192.0;
 const DEFAULT_DESCRIPTORS: u64 = 1024;
-/// The broker does not start if the limits leave fewer connections.
+/// Minimum number of connections. The broker does not start if the limit on file descriptors leaves fewer.
 const MIN_CONNECTIONS: u64 = 16;
-/// The broker does not start if the limits leave fewer buffers.
+/// Minimum number of buffers. The broker does not start if the limit on memory leaves fewer.
 const MIN_BUFFERS: usize = 16;
 
 /// The configuration that a broker is started with.
@@ -36,8 +36,8 @@
     pub log_level: LevelFilter,
     /// Maximum number of open client connections.
     pub max_clients: usize,
-    /// Number of buffers in use from which on a client connection is evicted before a new buffer is taken for
-    /// reading.
+    /// Limit on the number of buffers in use. Once it is reached, a client connection is evicted before another
+    /// buffer is acquired for reading.
     pub max_buffers: usize,
     /// Maximum number of open connections to nodes.
     pub max_node_connections: usize,
@@ -48,9 +48,9 @@
     pub unsupported_setting: Option<&'static str>,
     /// Bounds on requests, and the names of query classes, tenants and zones.
     pub host_settings: HostSettings,
-    /// The configured endpoint list in the format of discovery's responses; null without one.
+    /// The configured endpoint list in the format of discovery's responses; null if none is configured.
     pub configured_endpoints: Value,
-    /// The content of the operator's file; the default without one.
+    /// The content of the operator's file; the defaults if there is no such file.
     pub operator: OperatorConfig,
 }
 
@@ -73,8 +73,9 @@
     parse(&file, variable)
 }
 
-/// Reads the configuration of a running process again. Of the environment, which is still that of the start, only
-/// `GW_CONFIG` and `GW_LOG` count: otherwise a new address of discovery in the file could be overridden by the old one.
+/// Reads the configuration again while the process runs. The environment is still that of the start, so only
+/// `GW_CONFIG` and `GW_LOG` are read from it. Otherwise an old discovery address in the environment would override a
+/// new one in the file.
 pub fn reload(variable: impl Fn(&str) -> Option<String>) -> Result<StartupConfig, ConfigError> {
     read(|name| Some(name).filter(|name| matches!(*name, "GW_CONFIG" | "GW_LOG")).and_then(&variable))
 }
--- a/crates/dunepond-broker/src/config_reload.rs
+++ b/crates/dunepond-broker/src/config_reload.rs
@@ -23,7 +23,8 @@
     operator_file: Option<PathBuf>,
     /// Whether a reload is running.
     is_running: bool,
-    /// Whether a reload was requested while one was running, which may have read the old files.
+    /// Whether a reload was requested while another one was running. The running one may already have read the old
+    /// files, so a further one has to follow.
     reload_again: bool,
 }
 
--- a/crates/dunepond-broker/src/connection_end.rs
+++ b/crates/dunepond-broker/src/connection_end.rs
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Returns the outcome of an attempt on a connection that has ended. Whether the attempt may have run depends only on
-    /// `written`, whether the last byte of its frame had been written: the system reports the same errors for a broken
-    /// connection as for one that was never established.
+    /// Returns the outcome of an attempt on a connection that has ended. `written` says whether the last byte of the
+    /// attempt's frame had been written. Whether the attempt may have run depends only on that: the system reports
+    /// the same errors for a broken connection as for one that was never established.
     pub fn attempt_outcome(self, written: bool) -> AttemptOutcome {
         match (self, written) {
-            // A shortage of this process must not count against the node.
+            // A shortage of resources in this process must not count against the node.
             (Self::LocalResources | Self::DescriptorsExhausted, _) => AttemptOutcome::NotSent,
             (_, false) => AttemptOutcome::ConnectFailed,
             (_, true) => AttemptOutcome::ConnectionLost,
--- a/crates/dunepond-broker/src/control_plane/endpoints.rs
+++ b/crates/dunepond-broker/src/control_plane/endpoints.rs
@@ -10,7 +10,7 @@
 
 impl ControlPlaneClient {
     /// Records rows of the endpoint list, and returns them with the active configuration applied. `complete` says
-    /// whether they are the whole list; `zone_name` returns a zone's name by its index.
+    /// whether the rows are the complete list; `zone_name` returns a zone's name by its index.
     pub fn on_endpoint_update(
         &mut self,
         now: f64,
--- a/crates/dunepond-broker/src/control_plane/fence.rs
+++ b/crates/dunepond-broker/src/control_plane/fence.rs
@@ -1,19 +1,19 @@
 //! Decides what is done with an attempt while the owner of its segment changes.
 //!
-//! The fence is the joint phase of a configuration version that changes the owner. During it no node may get a
-//! non-idempotent attempt of the segment, and attempts that were sent before must be known to have ended before the new
-//! owner gets any.
+//! A configuration version that changes the owner of a segment has a joint phase, in which the segment is fenced: no
+//! node may get a non-idempotent attempt of the segment. The new owner gets such attempts only after those sent
+//! earlier are known to have ended.
 
 use dunepond_routing::{AttemptOutcome, Idempotency};
 
-/// How far an attempt has come, relative to the beginning of the joint phase.
+/// The progress of an attempt, in relation to the beginning of the joint phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStage {
-    /// The query has begun, and the attempt is not sent.
+    /// The query has started, and the attempt has not been sent.
     NotSent,
-    /// The attempt waits for a connection, or is assigned to one and not framed.
+    /// The attempt waits for a connection, or is assigned to one but not in a frame yet.
     Queued,
-    /// The attempt is framed, and its frame is not completely written.
+    /// The attempt is in a frame that is not completely written.
     PartlyWritten,
     /// The frame is completely written, and the node has not answered.
     AwaitingAnswer,
@@ -37,7 +37,7 @@
 /// What is done with an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceAction {
-    /// The attempt is treated as without a change of owner: it may be sent, and retried as its idempotency allows.
+    /// The change of owner does not affect the attempt: it may be sent, and retried as its idempotency allows.
     Allowed,
     /// The attempt is returned unsent. Its query is rejected as retriable if none of the query's parts has run.
     Returned,
@@ -46,7 +46,7 @@
     Aborted,
     /// The attempt ends only with its own answer or with the query's timeout, and is not sent again.
     AwaitOwnAnswer,
-    /// The answer is used once, under the shard map at the query's start.
+    /// The answer is used once, and counts under the shard map that was active at the query's start.
     Accepted,
 }
 
--- a/crates/dunepond-broker/src/control_plane/gate.rs
+++ b/crates/dunepond-broker/src/control_plane/gate.rs
@@ -181,7 +181,8 @@
             SegmentOwner::Node(owner) => owner == target.node,
             SegmentOwner::Unavailable(_) => false,
         };
-        // The same configuration has the same owner, unless its lease began or expired in between.
+        // If both are the same configuration, both have the same owner, unless the lease became valid or expired in
+        // between.
         let is_same = |start: &QueryStart| {
             Arc::ptr_eq(&start.config, &check.config)
                 && start.config.lease_valid(start.began_at) == check.config.lease_valid(check.checked_at)
--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Reports the demand for the fleet-wide quotas if the last report is long enough ago. `demand` is called with the
-    /// number of seconds that the report covers.
+    /// Reports the demand for the fleet-wide quotas, unless the last report was made less than a sample interval ago.
+    /// `demand` is called with the number of seconds that the report covers.
     pub fn record_demand(&mut self, demand: impl FnOnce(f64) -> QuotaDemand) {
         if let Some(quotas) = &mut self.quotas {
             quotas.record_sample(&self.gate, monotonic_seconds(), demand);
--- a/crates/dunepond-broker/src/control_plane/quotas.rs
+++ b/crates/dunepond-broker/src/control_plane/quotas.rs
@@ -53,8 +53,8 @@
 struct AppliedQuotas {
     config: Arc<ActiveConfig>,
     lease_was_valid: bool,
-    /// Whether quota use by an earlier incarnation of this broker may still have counted when the shares were
-    /// computed.
+    /// Whether quota use by an earlier process of this broker could still count when the shares were computed,
+    /// because the current process had started less than a quota window before.
     was_settling: bool,
 }
 
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Reports the demand since the last sample if that is long enough ago. `demand` is called with the number of
-    /// seconds that the report covers.
+    /// Reports the demand since the last sample, unless that was taken less than `SAMPLE_INTERVAL_SECONDS` ago.
+    /// `demand` is called with the number of seconds that the report covers.
     pub fn record_sample(&mut self, gate: &Gate, now: f64, demand: impl FnOnce(f64) -> QuotaDemand) {
         let seconds = now - self.last_sample_at;
         if seconds < SAMPLE_INTERVAL_SECONDS {
@@ -198,7 +198,7 @@
 }
 
 impl AppliedQuotas {
-    /// Returns whether the shares computed from both inputs are the same.
+    /// Returns whether the same shares follow from both inputs.
     fn is_same(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.config, &other.config)
             && self.lease_was_valid == other.lease_was_valid
--- a/crates/dunepond-broker/src/discovery/call.rs
+++ b/crates/dunepond-broker/src/discovery/call.rs
@@ -27,7 +27,8 @@
 
 /// What the discovery client knows of the endpoint list, against which a response is checked.
 pub(super) struct ListState {
-    /// The version to watch from; `None` until a complete list has been received, and after each interruption.
+    /// Version of the endpoint list from which the next watch continues; `None` until a complete list has been
+    /// received, and after each interruption.
     pub(super) version: Option<u64>,
     /// Whether the most recent list had an invalid row.
     pub(super) had_invalid_row: bool,
@@ -60,8 +61,8 @@
     /// The list has an invalid field.
     #[error("{0}")]
     List(String),
-    /// The response holds changes up to a version that is older than the list held, or there is no list to apply them
-    /// to.
+    /// The response holds changes up to a version that is older than the stored list, or no list is stored to which
+    /// they could be applied.
     #[error("changes up to version {0} do not follow the endpoint list held")]
     NotContiguous(u64),
 }
@@ -109,7 +110,7 @@
 }
 
 impl ListState {
-    /// Accepts a parsed list and its version, or fails if it holds changes that do not follow the list held.
+    /// Accepts a parsed list and its version. Fails if it holds changes that cannot be applied to the stored list.
     fn accept(&mut self, parsed: ParsedList) -> Result<EndpointUpdate, ResponseError> {
         let ParsedList { version, update, had_invalid_row } = parsed;
         if !update.complete && self.version.is_none_or(|known| version < known) {
--- a/crates/dunepond-broker/src/discovery/mod.rs
+++ b/crates/dunepond-broker/src/discovery/mod.rs
@@ -24,10 +24,10 @@
 use call::{DiscoveryCall, ListState, Response};
 use list::Directory;
 
-/// How long the endpoint list counts as current after the agent has stopped answering. The platform assumes that a
-/// broker knows a change of the list at the latest this long after the agent had it and could be reached, whether or
-/// not the broker has heard of the change. A call whose response has been due for that long is closed, so that a
-/// fresh call can bring the change. The other times of this module are fractions of this one.
+/// How long the endpoint list counts as current after the agent has stopped answering. The platform does not check
+/// whether a broker has received a change of the list. It assumes that the broker knows the change at the latest this
+/// long after the agent had it and could be reached. A call whose response has been due for that long is closed, so
+/// that a new call can bring the change. The other times of this module are fractions of this one.
 const STALE_AFTER_SECONDS: f64 = 6.0;
 /// How long the agent may hold a watch open. It is short enough that several calls can follow an unanswered one before
 /// the endpoint list is stale.
@@ -136,9 +136,9 @@
         }
     }
 
-    /// Sends a watch if this is the only call and a version is known. Otherwise it requests a complete list, as the
-    /// other call is not being answered: the agent answers such a request at once, and it may have restarted, after
-    /// which its versions begin with 1 again.
+    /// Sends a watch if this is the only call and a version is known. Otherwise requests a complete list: if there
+    /// are other calls, they are not being answered, and the agent may have restarted, after which its versions begin
+    /// with 1 again. The agent answers a request for a complete list at once.
     fn send_request(&mut self, now: f64, at: usize, timers: &mut Timers) {
         let watch_from = self.list.version.filter(|_| self.calls.len() == 1);
         let (path, wait_milliseconds) = match watch_from {
@@ -207,8 +207,8 @@
         self.on_call_ended(now, reason, timers);
     }
 
-    /// Schedules another call after a backoff, unless the timer of a remaining call is pending. The last endpoint list
-    /// stays in use until then.
+    /// Schedules another call after a backoff, unless the timer of a remaining call is pending. The last endpoint
+    /// list stays in use until a response arrives.
     fn on_call_ended(&mut self, now: f64, reason: ConnectionEnd, timers: &mut Timers) {
         warn!("discovery {}: connection {reason}; keeping the last endpoint list", self.address);
         self.reset_version_without_watch();
--- a/crates/dunepond-broker/src/frames.rs
+++ b/crates/dunepond-broker/src/frames.rs
@@ -78,7 +78,7 @@
     [a, b, c, d, b'A']
 }
 
-/// Encodes a prefilter request (`P`): which of these segments can match a query.
+/// Encodes a prefilter request (`P`), which asks which of the segments can match the query `text`.
 pub fn encode_prefilter_request(id: u64, text: &str, segments: &[SegmentIndex]) -> Vec<u8> {
     let segments: Vec<_> = segments.iter().map(SegmentIndex::to_string).collect();
     encode_frame(b'P', format!("{id} {} {}\n{text}", text.len(), segments.join(",")).as_bytes())
