--- a/crates/dunepond-broker/src/body_store.rs
+++ b/crates/dunepond-broker/src/body_store.rs
@@ -52,7 +52,7 @@
     /// Bodies whose blocks did not fit into the queue of the disk threads; tried again after the next disk operation.
     awaiting_disk: Vec<BodyId>,
     query_classes: Vec<String>,
-    /// Events of bodies that have not been handled yet.
+    /// Events that have not been handled yet, each with the id of its body, oldest first.
     pub events: VecDeque<(BodyId, BodyEvent)>,
     /// Whether a timer is set for the next check for overdue disk operations.
     pub check_scheduled: bool,
@@ -136,7 +136,8 @@
         info!(table_type = name, reason = %reason, "body {placement}");
     }
 
-    /// Takes the next steps for a body after more of it has arrived or some of it has been written.
+    /// Buffers, writes or completes a body as far as possible, after more of it has arrived or some of it has been
+    /// written.
     pub fn advance(&mut self, now: f64, id: BodyId) {
         let Some(tracked) = self.tracked.get_mut(&id) else { return };
         let Some(body) = tracked.body.upgrade() else { return };
@@ -281,7 +282,7 @@
         }
     }
 
-    /// Hands the reads of blocks that readers wait for to the disk threads.
+    /// Has the disk threads read the blocks that readers wait for.
     pub fn submit_reads(&mut self, now: f64) {
         let Some(spool) = &self.spool else { return };
         for (id, tracked) in &mut self.tracked {
--- a/crates/dunepond-broker/src/buffers.rs
+++ b/crates/dunepond-broker/src/buffers.rs
@@ -106,7 +106,8 @@
         self.end -= count;
     }
 
-    /// Appends the result of one read and returns its length. `Ok(0)` is the end of the stream, unless the buffer is full.
+    /// Reads from `stream` once, appends the bytes and returns their number. `Ok(0)` means the end of the stream,
+    /// unless the buffer is full.
     pub fn read_from(&mut self, mut stream: impl Read) -> io::Result<usize> {
         if self.end == BUFFER_BYTES {
             self.bytes.copy_within(self.start..self.end, 0);
--- a/crates/dunepond-broker/src/clock.rs
+++ b/crates/dunepond-broker/src/clock.rs
@@ -119,7 +119,7 @@
     }
 }
 
-/// Whether the time of a timer has come.
+/// Whether the timer with this key is due at `now`, in Unix seconds.
 pub fn is_due(key: TimerKey, now: f64) -> bool {
     key.micros <= to_micros(now)
 }
--- a/crates/dunepond-broker/src/iteration.rs
+++ b/crates/dunepond-broker/src/iteration.rs
@@ -27,9 +27,9 @@
     pub const ALL: [Self; 2] = [Self::Queries, Self::SearchApi];
 }
 
-/// An event of the event loop. A readiness event holds a flag that says whether the connection can be read. The index
-/// in it may already belong to a new connection, if the old one was closed within the iteration; the new connection
-/// is then read once without need.
+/// An event of the event loop. A readiness event holds the index of a connection and a flag that says whether the
+/// connection can be read. The index may already belong to a new connection, if the old one was closed in the same
+/// iteration; the new connection is then read once unnecessarily.
 pub enum LoopEvent {
     /// Connections wait in the backlog of this port.
     Accept(Port),
@@ -41,7 +41,7 @@
     PrefilterReady(usize, bool),
     /// A connection to the discovery agent is ready; the flag says whether it can be read.
     DiscoveryReady(bool),
-    /// The disk spill for bodies has completed an operation.
+    /// A disk operation on the file of a body has ended.
     DiskDone(DiskEvent),
     /// A blocking background job has ended.
     JobFinished(FinishedJob),
@@ -80,7 +80,8 @@
     Ok(sender)
 }
 
-/// Registers a stream with the event loop, edge-triggered; `to_event` makes its event from whether the stream can be read.
+/// Registers a stream with the event loop, edge-triggered; `to_event` returns the event for a readiness notification;
+/// its argument says whether the stream can be read.
 pub fn watch(
     handle: &EventLoopHandle,
     stream: &Rc<TcpStream>,
--- a/crates/dunepond-broker/src/logger.rs
+++ b/crates/dunepond-broker/src/logger.rs
@@ -22,8 +22,8 @@
 /// How many lines per second one call site may write.
 const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// Longest line without its line end. A pipe that is ready for writing accepts at least one page without blocking
-/// (pipe(7), PIPE_BUF), and one byte of it is needed for the line end.
+/// Longest line that is written, in bytes without its line end. A pipe that is ready for writing accepts at least one
+/// page without blocking (pipe(7), PIPE_BUF), and one byte of it is needed for the line end.
 const PIPE_LINE_BYTES: usize = 4096 - 1;
 
 /// The format of log lines.
@@ -67,8 +67,8 @@
     }
 }
 
-/// How many lines were dropped because standard error had no room. The next line that is written reports and resets the
-/// count.
+/// How many lines were dropped because a write to standard error would have blocked. The next line that is written
+/// reports and resets the count.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Writes to standard error without blocking. Lines are dropped if it has no room: otherwise a pipe that nobody reads
@@ -98,7 +98,8 @@
             let report = format!("{dropped} log lines dropped, as standard error was not read\n");
             out.write_all(report.as_bytes())?;
         }
-        // A longer write to a pipe could block.
+        // Truncates the line, as a longer write to a pipe could block. A report of dropped lines takes up part of the
+        // limit.
         let max_bytes = if dropped > 0 { PIPE_LINE_BYTES / 2 } else { PIPE_LINE_BYTES };
         out.write_all(&line[..line.len().min(max_bytes)])?;
         if line.len() > max_bytes {
--- a/crates/dunepond-broker/src/main.rs
+++ b/crates/dunepond-broker/src/main.rs
@@ -136,7 +136,7 @@
     }
 }
 
-/// Converts the configuration in `old`; writes the result to `out`, or prints it without one.
+/// Converts the configuration in `old`; writes the result to `out`, or prints it if `out` is `None`.
 fn migrate_config(
     old: &Path,
     out: Option<&Path>,
@@ -194,7 +194,7 @@
 }
 
 fn main() -> ExitCode {
-    // Before anything else, as SIGHUP kills a process that does not catch it yet.
+    // Catches the signals before anything else, as SIGHUP kills a process that does not catch it yet.
     let signals = catch_signals();
     let command = CommandLine::parse().command;
     // Only a running broker handles the signals; dropping them restores the default handling for the other commands.
--- a/crates/dunepond-broker/src/persistence/mod.rs
+++ b/crates/dunepond-broker/src/persistence/mod.rs
@@ -45,7 +45,7 @@
 /// The broker's state folder, and the background jobs that use it.
 pub struct Persistence {
     config: RecoveryConfig,
-    /// Replaces the files of the folder in tests.
+    /// The files to use instead of those in the folder; `None` except in tests.
     files: Option<Arc<dyn FileStore>>,
     /// The open folder.
     storage: SharedStorage,
@@ -63,7 +63,8 @@
 }
 
 impl Persistence {
-    /// Opens and reads the folder, and waits for that for a limited time. `files` replaces the folder in tests.
+    /// Opens and reads the folder, and waits at most `STARTUP_READ_TIMEOUT` for it. `files` replaces the folder in
+    /// tests.
     pub fn start(
         now: f64,
         config: RecoveryConfig,
@@ -273,7 +274,8 @@
         }
     }
 
-    /// Writes learned state and spent budgets at a graceful shutdown, and waits for that for a limited time.
+    /// Writes learned state and spent budgets at a graceful shutdown, and waits at most `SHUTDOWN_WRITE_TIMEOUT` for
+    /// it.
     pub fn write_final_state(
         &mut self,
         now: f64,
--- a/crates/dunepond-broker/src/prefilter.rs
+++ b/crates/dunepond-broker/src/prefilter.rs
@@ -48,7 +48,7 @@
 /// What the prefilter needs to know of a query class.
 struct QueryClass {
     idempotent: bool,
-    /// The share of the parts' weights from which on a response counts as complete.
+    /// The share of the parts' total weight that must be served for a response to count as complete.
     complete_at: f64,
 }
 
@@ -69,13 +69,13 @@
     query_classes: Vec<QueryClass>,
     /// The queries in the prefilter phase or searched after it.
     queries: HashMap<QueryId, ActiveQuery>,
-    /// The queries that were pruned last, for audits, by a number that grows with each.
+    /// The most recently pruned queries, for audits. The key is a sequence number.
     audit_texts: BTreeMap<u64, AuditText>,
     /// The number of the last entry in `audit_texts`.
     last_audit_text: u64,
     /// The audits in flight, by the query that runs each.
     audits: HashMap<QueryId, Audit>,
-    /// When the pending timer fires, and its key.
+    /// When the pending timer for the end of a prefilter phase fires, in Unix seconds, and its key.
     timer: Option<(f64, clock::TimerKey)>,
 }
 
@@ -187,8 +187,9 @@
         self.execute(router, router_host, actions);
     }
 
-    /// Handles the end of an attempt, before the router does. Its search report may confirm or refute answers; segments
-    /// that were pruned because of refuted answers then have to be searched before the response is complete.
+    /// Handles the end of an attempt, before the router does. The attempt's search report may confirm or refute
+    /// prefilter answers. Segments that were pruned because of refuted answers have to be searched before the
+    /// response is complete.
     pub fn on_attempt_ended(
         &mut self,
         router: &mut Router,
@@ -255,7 +256,8 @@
         self.prefilter.has_audits()
     }
 
-    /// Starts one audit, if the nodes are not congested.
+    /// Starts one audit (a search of a pruned segment, to check the prefilter answers that excluded it), if the nodes
+    /// are not congested.
     pub fn start_audit(&mut self, router: &mut Router, router_host: &mut RouterHost) {
         if let Some(audit) = self.prefilter.audit(&RouterView(router)) {
             let pruned = self.audit_texts.values().rev().find(|pruned| pruned.key == audit.key).cloned();
--- a/crates/dunepond-broker/src/prefilter_connections.rs
+++ b/crates/dunepond-broker/src/prefilter_connections.rs
@@ -1,6 +1,6 @@
-//! Connections to nodes that carry only prefilter requests, which ask which segments can match a query. They are
-//! separate from those for attempts because a node that does not support the request closes the connection, which must
-//! not fail an attempt.
+//! Connections to nodes that are used only for prefilter requests, which ask which segments can match a query. They
+//! are separate from those for attempts because a node that does not support the request closes the connection, which
+//! must not fail an attempt.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -23,8 +23,8 @@
 
 /// How long a node may take to answer a prefilter request before the connection to it is closed.
 const ANSWER_TIMEOUT_SECONDS: f64 = 3.0;
-/// Share of the configured idle timeout after which the broker closes an idle connection. It is below 1 so that no
-/// request is in transit when the node closes the connection.
+/// Share of the configured idle timeout after which the broker closes an idle connection. It is below 1 so that the
+/// broker closes it before the node does, while no request is in transit.
 const IDLE_CLOSE_RATIO: f64 = 0.9;
 /// How many bytes may wait to be written to one node; beyond that, requests to it fail.
 const MAX_QUEUED_BYTES: usize = 256 * 1024;
@@ -51,7 +51,7 @@
     output: WriteQueue,
     /// Requests without an answer, oldest first.
     outstanding: VecDeque<OutstandingRequest>,
-    /// Timer for connecting, for an answer, or for being idle.
+    /// Timer for the connect timeout, the answer timeout or the idle timeout, depending on the connection's state.
     timer: Option<TimerKey>,
 }
 
--- a/crates/dunepond-broker/src/query_command.rs
+++ b/crates/dunepond-broker/src/query_command.rs
@@ -1,5 +1,5 @@
-//! `dunepond-broker query`, which queries a broker at either port and prints the response. It is for people and scripts; the
-//! broker itself does not use it.
+//! `dunepond-broker query`, which queries a broker at its port for clients or its search API's port and prints the
+//! response. It is for people and scripts; the broker itself does not use it.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/dunepond-broker/src/query_request.rs
+++ b/crates/dunepond-broker/src/query_request.rs
@@ -10,7 +10,8 @@
     pub request_id: String,
     /// Index of the query's class among the configured query classes.
     pub query_class: usize,
-    /// Index of the tenant among the configured tenants; one more than the last index for an unlisted tenant.
+    /// Index of the tenant among the configured tenants; the number of configured tenants if the tenant is not
+    /// configured.
     pub tenant: usize,
     /// When the client stops waiting, in Unix seconds.
     pub deadline: f64,
--- a/crates/dunepond-broker/src/search_api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -40,7 +40,8 @@
 pub struct SearchRequest {
     /// The API call that is requested.
     pub call: ApiRequest,
-    /// Index of the tenant among the configured tenants; one more than the last index for an unlisted tenant.
+    /// Index of the tenant among the configured tenants; the number of configured tenants if the tenant is not
+    /// configured.
     pub tenant: usize,
     /// Whether the client marks the request as a retry.
     pub is_retry: bool,
@@ -197,7 +198,7 @@
     is_count: bool,
     /// When the search started, in Unix seconds.
     started_at: f64,
-    /// Why the most recent failed attempt for each segment failed.
+    /// For each segment with a failed attempt, why the most recent one failed.
     failures: HashMap<usize, String>,
 }
 
--- a/crates/dunepond-broker/tests/agent/mod.rs
+++ b/crates/dunepond-broker/tests/agent/mod.rs
@@ -8,8 +8,8 @@
 use serde_json::{Value, json};
 use socket2::SockRef;
 
-/// Longest time until the broker applies a new endpoint list: half of the 6 s that is allowed while discovery is silent. The
-/// other half is tolerance for a busy machine.
+/// Longest time that the tests allow until the broker applies a new endpoint list. It is half of the 6 s that the
+/// platform allows while discovery is silent. The other half is tolerance for a busy machine.
 pub const MAX_UPDATE_DELAY: Duration = Duration::from_secs(3);
 
 /// A stand-in for the discovery agent: it accepts connections and responds only when the test calls its methods.
--- a/crates/dunepond-broker/tests/client_close/attempts.rs
+++ b/crates/dunepond-broker/tests/client_close/attempts.rs
@@ -9,7 +9,7 @@
 
 use crate::harness::{BusyLoad, Scenario, close};
 
-/// The node's failure arrives together with the client's close.
+/// The failure of the attempt and the client's close reach the broker together.
 #[test]
 fn failed_attempt_is_not_retried_after_close() {
     let mut scenario = Scenario::start();
--- a/crates/dunepond-broker/tests/client_close/harness.rs
+++ b/crates/dunepond-broker/tests/client_close/harness.rs
@@ -17,7 +17,7 @@
     /// `A` for an attempt, `B` for a cancellation.
     pub kind: char,
     content: String,
-    /// Index in [`Received::connections`] of the connection that carried the frame.
+    /// Index in [`Received::connections`] of the connection on which the frame arrived.
     connection: usize,
 }
 
@@ -105,7 +105,7 @@
             "health": "ready", "share": 1.0, "born_ms": 0})
     }
 
-    /// Waits until this holds for what the node received.
+    /// Waits until `until` returns `true` for what the node has received.
     pub fn wait(&self, until: impl Fn(&Received) -> bool) {
         let (lock, changed) = &*self.received;
         let late = changed
@@ -120,7 +120,8 @@
         self.wait(|received| received.frames.iter().any(|f| f.is_of_part(kind, part)));
     }
 
-    /// Sends the last received attempt's response with this outcome, on the connection that carried the attempt.
+    /// Answers the most recent attempt of this part with this outcome, on the connection on which the attempt
+    /// arrived.
     pub fn end_attempt(&self, part: &str, outcome: &str) {
         let received = self.received.0.lock().unwrap();
         let connection = received.frames.iter().rfind(|f| f.is_of_part('A', part)).unwrap().connection;
@@ -186,7 +187,8 @@
     }
 }
 
-/// Clients that send so many requests at once that the broker is busy for longer than an attempt may be sent after a close.
+/// Clients that send so many requests at once that the broker stays busy beyond the time limit for sending attempts
+/// after a client's close.
 pub struct BusyLoad(Vec<Client>);
 
 impl BusyLoad {
--- a/crates/dunepond-broker/tests/client_disconnect.rs
+++ b/crates/dunepond-broker/tests/client_disconnect.rs
@@ -26,12 +26,13 @@
 }
 
 impl Harness {
-    /// With one client whose query is in flight since `now`, in seconds.
+    /// Creates a harness with one client whose query has been in flight since `now`, in seconds.
     fn with_query(now: f64) -> Self {
         Self::with_bound(64, now)
     }
 
-    /// With this maximum number of client connections, and one client whose query is in flight since `now`, in seconds.
+    /// Creates a harness with this maximum number of client connections, and one client whose query has been in
+    /// flight since `now`, in seconds.
     fn with_bound(max_clients: usize, now: f64) -> Self {
         let mut event_loop = EventLoop::try_new().unwrap();
         let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
--- a/crates/dunepond-broker/tests/connection_close.rs
+++ b/crates/dunepond-broker/tests/connection_close.rs
@@ -28,12 +28,12 @@
 }
 
 impl Harness {
-    /// With this maximum number of client connections.
+    /// Creates a harness with this maximum number of client connections.
     fn new(max_clients: usize) -> Self {
         Self::with_settings(max_clients, settings())
     }
 
-    /// With this deadline for every query class, in milliseconds.
+    /// Creates a harness with this deadline for every query class, in milliseconds.
     fn with_timeouts(ms: f64) -> Self {
         let mut settings = settings();
         for service in settings["services"].as_array_mut().unwrap() {
@@ -87,7 +87,7 @@
         (Client::from_stream(socket.into()), self.clients.pending_clients.pop().unwrap())
     }
 
-    /// Sends a query and reads it.
+    /// Sends a query from the client and reads it on the broker's side.
     fn send_query(&mut self, client: &mut Client, id: usize) {
         client.send(&query_request("find", "c1", &[1], "2.0"));
         self.wait_readable(id);
@@ -252,7 +252,8 @@
     let mut harness = Harness::with_timeouts(timeout);
     let (mut client, id) = harness.connect();
     if responded_in_body {
-        // Answered before its body has arrived: the client reads the response only after sending the body.
+        // The request is answered before its body has arrived: the client reads the response only after sending the
+        // body.
         harness.clients.accepts_streamed = true;
         let head = "POST /nowhere HTTP/1.1\r\nX-Buckets: 1=1.0\r\nContent-Length: 9000000\r\n\r\n";
         harness.send(&mut client, id, head);
@@ -313,7 +314,7 @@
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
 }
 
-/// The request arrives before the response that would announce the close.
+/// The next request arrives before the response to the previous one, which would have announced the close.
 #[test]
 fn request_during_the_last_response_is_accepted() {
     let mut harness = Harness::new(64);
--- a/crates/dunepond-broker/tests/discovery/descriptors.rs
+++ b/crates/dunepond-broker/tests/discovery/descriptors.rs
@@ -1,4 +1,4 @@
-//! Connections to the discovery agent and to nodes while idle clients hold all file descriptors.
+//! Connections to the discovery agent and to nodes while idle clients occupy all file descriptors.
 
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -12,8 +12,8 @@
 /// Number of idle clients, more than the broker has descriptors.
 const IDLE_CLIENTS: usize = 300;
 
-/// Starts a broker whose descriptors are all held by idle clients, although its configuration allows more; returns it with its
-/// agent, its discovery call, a connected client and the idle clients.
+/// Starts a broker whose descriptors are all used by idle clients, although its configuration allows more; returns it
+/// with its agent, its discovery call, a connected client and the idle clients.
 fn broker_without_descriptors(nodes: &[Node; 2]) -> (Broker, Agent, Call, Client, Vec<TcpStream>) {
     let agent = Agent::start();
     let known = vec![nodes[0].endpoint("ready")];
--- a/crates/dunepond-broker/tests/discovery/first_list.rs
+++ b/crates/dunepond-broker/tests/discovery/first_list.rs
@@ -29,7 +29,8 @@
     assert!(since.elapsed() < MAX_UPDATE_DELAY, "{:?}", since.elapsed());
 }
 
-/// The system establishes connections before the broker has its first list; their requests are rejected within their deadlines.
+/// The system establishes connections that the broker does not accept before its first list or the timeout for it.
+/// Their requests are rejected within their deadlines.
 #[test]
 fn query_before_first_list_rejected_in_time() {
     let nodes = nodes();
--- a/crates/dunepond-broker/tests/discovery/full_list.rs
+++ b/crates/dunepond-broker/tests/discovery/full_list.rs
@@ -27,7 +27,7 @@
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// A watch does not repeat a change, so that an invalid row would stay unknown without a complete list.
+/// A watch does not repeat a change, so the state in an invalid row would stay unknown without a complete list.
 #[rstest]
 #[case::health("health", json!("drain"))]
 #[case::block("block", json!("0"))]
--- a/crates/dunepond-broker/tests/discovery/port.rs
+++ b/crates/dunepond-broker/tests/discovery/port.rs
@@ -12,8 +12,8 @@
 
 use crate::agent::{broker_with_watch, nodes};
 
-/// Starts a broker whose port is still held, and waits until it logs that; returns its discovery server, its process, its
-/// configuration file and its further log lines.
+/// Starts a broker whose port is still in use, and waits until it logs an error for the port; returns its discovery
+/// server, its process, its configuration file and its further log lines.
 fn broker_awaiting_port(
     address: SocketAddr,
     nodes: &[Node; 2],
--- a/crates/dunepond-broker/tests/endpoint_list.rs
+++ b/crates/dunepond-broker/tests/endpoint_list.rs
@@ -70,7 +70,8 @@
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// Guards against regarding the later one of two crossing responses as the newer list.
+/// Two calls are open, and both are answered. Guards against regarding the response that arrives second as the newer
+/// list.
 #[rstest]
 fn first_of_crossed_answers_wins(#[values(false, true)] late_first: bool) {
     let nodes = nodes();
--- a/crates/dunepond-broker/tests/fleet/harness.rs
+++ b/crates/dunepond-broker/tests/fleet/harness.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Waits until this broker is without a lease according to the last phase in its audit log.
+    /// Waits until the last phase in this broker's audit log is one without a lease.
     pub fn wait_lease_expired(&self, broker: usize) {
         self.wait(broker, "lease expired", |_| {
             let log = self.audit_log(broker);
--- a/crates/dunepond-broker/tests/fleet/main.rs
+++ b/crates/dunepond-broker/tests/fleet/main.rs
@@ -62,13 +62,13 @@
         "a rejection of b",
         |line| matches!(&line.event, AuditEvent::Rejected { request_id, .. } if request_id == "b"),
     );
-    // The excluded node gets nothing new in the joint phase.
+    // The excluded node gets no new attempts in the joint phase.
     let left = fleet.nodes[1].frames('A').len();
     (0..6).for_each(|i| assert_eq!(send_query(&broker, "find", &format!("c{i}"), &[0, 1, 2]).status, 200));
     assert_eq!(fleet.nodes[1].frames('A').len(), left);
     fleet.wait_active(0, 2);
     assert_eq!(send_query(&broker, "fix", "d", &[0]).status, 200);
-    // It gets nothing new in the active phase either, although discovery lists it as ready.
+    // The excluded node gets no new attempts in the active phase either, although discovery lists it as ready.
     let before = fleet.nodes[1].frames('A').len();
     (0..12).for_each(|i| assert_eq!(send_query(&broker, "find", &format!("e{i}"), &[0, 1, 2]).status, 200));
     assert_eq!(fleet.nodes[1].frames('A').len(), before);
@@ -156,7 +156,7 @@
     fleet.offer(0, &first);
     let broker = fleet.start(0);
     fleet.wait_active(0, 1);
-    // First samples for the usual latency, then a query whose attempts all fail.
+    // The first queries provide latency samples. The attempts of the query after them all fail.
     (0..20).for_each(|i| drop(send_query(&broker, "find", &format!("a{i}"), &[0])));
     fleet.nodes.iter().for_each(|node| node.set_behavior(NodeBehavior::ReplyStatus("fault")));
     let sent = || fleet.nodes.iter().map(|node| node.frames('A').len()).sum::<usize>();
--- a/crates/dunepond-broker/tests/golden.rs
+++ b/crates/dunepond-broker/tests/golden.rs
@@ -18,7 +18,8 @@
 /// Longest wait for an expected event.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Compares a transcript with its golden file; one that differs is written to the target folder and the test fails.
+/// Compares a transcript with its golden file. If they differ, writes the transcript to the target folder and fails
+/// the test.
 fn check(name: &str, transcript: &str) {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/golden").join(name);
     let golden = std::fs::read_to_string(&file).unwrap_or_default();
@@ -323,8 +324,8 @@
     check("answers-raw.txt", &transcript.0);
 }
 
-/// A node that records each frame that it receives. If it serves, it answers attempts, and answers prefilter questions that all
-/// shards but the first cannot match.
+/// A node that records each frame that it receives. If started with `serves`, it answers all attempts, and its
+/// prefilter answers say that only shard 0 may match.
 struct RecordingNode {
     address: SocketAddr,
     /// The received frames, with the time limits masked.
--- a/crates/dunepond-broker/tests/migrate.rs
+++ b/crates/dunepond-broker/tests/migrate.rs
@@ -52,7 +52,7 @@
     assert_eq!(config["settings"]["familyInfo"]["slabs"], 6);
     assert_eq!(config["settings"]["rules"], old_format()["settings"]["rules"]);
 
-    // Three sets of two nodes each; segments 1 and 4 belong to set 1 alone.
+    // Three replica groups (sets) of two nodes each; segments 1 and 4 belong to set 1 alone.
     let nodes: Vec<_> = (0..6).map(|i| Node::start(&format!("s-{i}"))).collect();
     let row = |(i, node): (usize, &Node)| {
         let mut row = node.endpoint("ready");
--- a/crates/dunepond-broker/tests/node_connections/answers.rs
+++ b/crates/dunepond-broker/tests/node_connections/answers.rs
@@ -11,7 +11,8 @@
     wait_until_processed,
 };
 
-/// A request and the close of the idle connection arrive while the broker is stopped, and are handled in one iteration.
+/// A request and the close of the idle node connection arrive while the broker is stopped, and are handled in one
+/// iteration.
 #[rstest]
 fn closed_idle_connection_not_reused(#[values(false, true)] resets: bool) {
     let node = ManualNode::start();
@@ -28,7 +29,8 @@
     assert_eq!(client.read_answer().unwrap().status, 200);
 }
 
-/// The connection's idle timeout has passed, but the broker handles a new request before the timeout.
+/// The idle timeout of the node connection has passed, but the broker handles a new request before it handles the
+/// timeout.
 #[test]
 fn stale_idle_connection_not_reused() {
     let node = ManualNode::start();
@@ -111,7 +113,8 @@
     assert!(connection.read_to_close().is_empty() && other.read_to_close().is_empty());
 }
 
-/// Each read ends within a response; the timeout must count per response, as each one is complete in time.
+/// Each of the broker's reads ends within a response. The timeout must count for each response separately, as each
+/// one is complete in time.
 #[test]
 fn fragmented_answers_are_timed_individually() {
     let node = ManualNode::start();
--- a/crates/dunepond-broker/tests/node_connections/cancellation.rs
+++ b/crates/dunepond-broker/tests/node_connections/cancellation.rs
@@ -37,7 +37,8 @@
     assert_eq!(next.read_answer().unwrap().status, 200);
 }
 
-/// Guards against treating late responses to cancelled parts as protocol errors when there are more than a connection remembers.
+/// Guards against treating late responses to cancelled parts as protocol errors when more parts were cancelled than a
+/// connection remembers.
 #[test]
 fn cancelled_parts_do_not_affect_others() {
     let node = ManualNode::start();
@@ -64,7 +65,8 @@
     assert_eq!(beside.read_answer().unwrap().status, 200);
 }
 
-/// A connection whose streams are all occupied by cancelled parts can carry no further attempt.
+/// If all streams of a connection are occupied by cancelled parts, it cannot be used for another attempt and is
+/// closed.
 #[test]
 fn connection_with_only_cancelled_parts_is_closed() {
     let node = ManualNode::start();
--- a/crates/dunepond-broker/tests/node_connections/harness.rs
+++ b/crates/dunepond-broker/tests/node_connections/harness.rs
@@ -271,7 +271,8 @@
 pub fn start_broker(rows: Vec<Value>, keys: &[(&str, Value)]) -> (Broker, DiscoveryServer) {
     let list = DiscoveryServer::start(rows.clone());
     let mut config = config(list.address, rows);
-    // On a busy machine the usual latency would exceed a shorter objective, and queries would be rejected.
+    // Sets a long latency objective: on a busy machine the measured latency would exceed a shorter one, and queries
+    // would be rejected.
     for service in config["settings"]["services"].as_array_mut().unwrap() {
         service["aimMs"] = json!(3000.0);
     }
@@ -332,7 +333,7 @@
         Self { broker, list, manual, connection, first, second }
     }
 
-    /// Publishes a list with a second node, which serves, and with the blocked node at this health.
+    /// Publishes a list with a second node, which serves, and the blocked node, which has this health.
     pub fn add_node(&self, health: &str) -> Node {
         let node = Node::start("s-1");
         self.list.publish(vec![self.manual.row("s-0", health), node.endpoint("ready")]);
--- a/crates/dunepond-broker/tests/node_connections/late_connect.rs
+++ b/crates/dunepond-broker/tests/node_connections/late_connect.rs
@@ -49,7 +49,7 @@
     (broker, list, late, fill, client)
 }
 
-/// The query's time is over before the broker handles the established connection.
+/// The query's time budget is used up before the broker handles the established connection.
 #[test]
 fn expired_query_not_sent_on_late_connect() {
     let (broker, _list, late, fill, mut client) = connecting_query("0.5");
--- a/crates/dunepond-broker/tests/oncall.rs
+++ b/crates/dunepond-broker/tests/oncall.rs
@@ -78,7 +78,7 @@
     occurs(text) || (text.contains([':', ';', '/']) && separated()) || in_two_pieces()
 }
 
-/// Whether `piece` stands in the source as all the text between quotation marks or format placeholders.
+/// Whether `piece` is somewhere in the source the whole text between quotation marks or format placeholders.
 fn is_literal_piece(source: &str, piece: &str) -> bool {
     let starts = ["\"", "}", "} "];
     let ends = ["\"", "{", " {"];
--- a/crates/dunepond-broker/tests/scenarios/attempts.rs
+++ b/crates/dunepond-broker/tests/scenarios/attempts.rs
@@ -62,7 +62,8 @@
     }
 }
 
-/// The attempt may have run, and its connection can no longer be read: it fails with unknown outcome at once.
+/// The attempt may have run, and its connection can no longer be read: the attempt fails at once, with an unknown
+/// outcome.
 #[rstest]
 #[case::another_id(NodeBehavior::ReplyRaw(b"\0\0\0\x10Ec9.2 hit 7 -\nv-q"))]
 #[case::incomplete_frame(NodeBehavior::ReplyRaw(b"\0\0\0\x30Ec0.2 hit 7 -\nv-"))]
@@ -80,7 +81,8 @@
     assert_eq!(client.request(&query_request("fix", "c1", &[2], "2.0")).status, 200);
 }
 
-/// Once the last byte of its frame is written, an attempt may have run: a retriable rejection would be wrong.
+/// Once the last byte of its frame is written, an attempt may have run, unless the node rejects it. Rejecting its
+/// query as retriable would be wrong.
 #[rstest]
 #[case(NodeBehavior::CloseMidFrame, 502)]
 #[case(NodeBehavior::ReplyStatus("fault"), 502)]
@@ -102,7 +104,8 @@
 fn refused_connection_is_retriable() {
     let nodes = nodes(1);
     let mut gone = nodes[0].endpoint("ready");
-    // Bound, so that no other process gets the port, and not listening.
+    // The socket is bound, so that no other process gets the port, but it does not listen, so that connections are
+    // refused.
     let closed = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     closed.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     gone["dial"] = json!(closed.local_addr().unwrap().as_socket().unwrap().to_string());
--- a/crates/dunepond-broker/tests/scenarios/connections.rs
+++ b/crates/dunepond-broker/tests/scenarios/connections.rs
@@ -44,7 +44,8 @@
     }
 }
 
-/// After a host failed and came back, connections to its old process would otherwise stay open without responses.
+/// Guards against connections that stay open without responses after a host failed and came back: they belong to its
+/// old process.
 #[test]
 fn connections_to_a_replaced_process_are_closed() {
     let nodes = nodes(1);
@@ -108,7 +109,8 @@
     assert!(clients.iter_mut().all(|client| client.read_answer().unwrap().status == 200));
 }
 
-/// With cancellation disabled, only this prevents waiting attempts from being sent after their query's response.
+/// Guards against sending attempts after their query's response: attempts that wait for a connection must end with
+/// the query. With cancellation disabled, nothing else prevents the broker from sending them.
 #[test]
 fn attempts_awaiting_a_connection_end_with_their_query() {
     let (full, address) = unreachable_listener();
--- a/crates/dunepond-broker/tests/scenarios/limits.rs
+++ b/crates/dunepond-broker/tests/scenarios/limits.rs
@@ -107,7 +107,7 @@
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
 }
 
-/// Guards against idle connections that use up the number that is allowed.
+/// Guards against idle connections that use up the allowed number of client connections.
 #[test]
 fn idle_clients_beyond_their_share_are_closed() {
     let (broker, _list) = Broker::start_for_with(&nodes(1), "/limits/sockets", json!(88));
--- a/crates/dunepond-broker/tests/scenarios/requests.rs
+++ b/crates/dunepond-broker/tests/scenarios/requests.rs
@@ -114,8 +114,8 @@
     assert_eq!((answer.status, answer.body), (200, json!({"finished": false, "found": found})));
 }
 
-/// The time budget of a request counts from its arrival. The second request arrives together with the first and waits while
-/// that takes 0.25 s.
+/// The time budget of a request counts from its arrival. The second request arrives together with the first one, and
+/// waits the 0.25 s that the first one takes.
 #[rstest]
 #[case::spent_before_dispatch(0.24, 429, 0)]
 #[case::sufficient(0.9, 200, 1)]
--- a/crates/dunepond-broker/tests/shutdown.rs
+++ b/crates/dunepond-broker/tests/shutdown.rs
@@ -18,8 +18,8 @@
 /// A readiness request.
 const READY: &str = "GET /ready HTTP/1.1\r\n\r\n";
 
-/// Sends readiness requests on new connections until a response shows that a stage of the shutdown has been reached; `stage` names
-/// it for a failure.
+/// Sends readiness requests on new connections until a response shows that a stage of the shutdown has been reached;
+/// `stage` names the stage in the failure message.
 fn wait_for_answer(
     broker: &Broker,
     stage: &str,
@@ -70,7 +70,7 @@
     let mut held = open_for_writing(&path);
     let kill = format!("kill -{signal} {}", child.id());
     assert!(Command::new("/bin/sh").args(["-c", &kill]).status().unwrap().success());
-    // A reload must find a regular file.
+    // Replaces the pipe by a regular file, which a reload can read without blocking.
     let file = scratch_path("json");
     std::fs::write(&file, config.to_string()).unwrap();
     std::fs::rename(&file, &path).unwrap();
@@ -131,7 +131,7 @@
 fn pipelined_requests_answered_during_shutdown() {
     let nodes = [Node::start("s-0")];
     nodes[0].set_behavior(NodeBehavior::DelayMillis(1500));
-    // Long enough to serve the queued requests, too.
+    // The timeout is long enough to serve the queued requests, too.
     let (mut broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 3000.0));
     let mut client = Client::connect(&broker);
     client.send(&["c1", "c2", "c3"].map(|id| query_request("find", id, &[1], "3.0")).concat());
@@ -149,7 +149,7 @@
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// At the signal, requests and responses exceed the connection's buffers.
+/// When SIGTERM arrives, the requests and responses exceed the connection's buffers.
 #[test]
 fn slow_reader_gets_all_answers_after_shutdown() {
     let nodes = [Node::start("s-0")];
@@ -201,7 +201,8 @@
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// The time of the kill depends on the longest query timeout.
+/// The time of the supervisor's kill depends on the longest query timeout. With short timeouts the broker must exit
+/// earlier.
 #[rstest]
 #[case::connected("", 0.1, 0.85)]
 #[case::idle(READY, 0.1, 0.85)]
@@ -220,7 +221,7 @@
     assert!(start.elapsed() < Duration::from_secs_f64(max_seconds), "{:?}", start.elapsed());
 }
 
-/// At most three seconds of the timeout count towards the kill.
+/// Of a long query timeout, at most three seconds count towards the time of the supervisor's kill.
 #[test]
 fn in_flight_answered_before_kill_with_long_timeouts() {
     let nodes = [Node::start("s-0")];
@@ -241,7 +242,8 @@
     assert!(start.elapsed() < Duration::from_secs_f64(3.7), "{:?}", start.elapsed());
 }
 
-/// Three brokers shut down at once, with attempts at serving and at hung nodes, and with requests that arrive at the signal.
+/// Three brokers shut down at once, with attempts at serving and at hung nodes, and with requests that arrive
+/// together with the signal.
 #[test]
 fn simultaneous_shutdown_with_hung_nodes_answers_all() {
     let nodes: Vec<_> = (0..4).map(|i| Node::start(&format!("s-{i}"))).collect();
@@ -306,7 +308,7 @@
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// At the signal, the broker accepts no connections yet because it waits for its first endpoint list.
+/// When SIGTERM arrives, the broker accepts no connections yet because it waits for its first endpoint list.
 #[test]
 fn request_awaiting_first_list_answered_after_sigterm() {
     let nodes = [Node::start("s-0")];
--- a/crates/dunepond-broker/tests/shutdown_before_kill.rs
+++ b/crates/dunepond-broker/tests/shutdown_before_kill.rs
@@ -9,7 +9,8 @@
 use rstest::rstest;
 use serde_json::json;
 
-/// Time from SIGTERM plus the longest query timeout to the earliest kill.
+/// Earliest time of the supervisor's kill, counted from SIGTERM plus the longest query timeout, or plus 3 s if the
+/// timeout is longer.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// Tolerance for the test client's own delay.
 const CLIENT_DELAY: Duration = Duration::from_millis(20);
--- a/crates/dunepond-broker/tests/shutdown_requests.rs
+++ b/crates/dunepond-broker/tests/shutdown_requests.rs
@@ -30,8 +30,8 @@
         sleep(Duration::from_secs_f64(seconds).saturating_sub(self.signalled_at.elapsed()));
     }
 
-    /// Stops the process from and until these times, in seconds after SIGTERM, as an overloaded machine would; runs `meanwhile`
-    /// while it is stopped.
+    /// Stops the process between these two times, in seconds after SIGTERM, to simulate an overloaded machine. Runs
+    /// `meanwhile` while the process is stopped.
     fn stop_while(&self, from: f64, to: f64, meanwhile: impl FnOnce()) {
         self.wait_until(from);
         self.broker.signal("STOP");
@@ -158,7 +158,7 @@
     broker.assert_exits_in_time(client);
 }
 
-/// The request's deadline is after the exit.
+/// The request's deadline is later than the time by which the broker must have exited.
 #[test]
 fn late_request_answered_before_kill() {
     let broker = ShuttingDown::start(|_| {});
--- a/crates/dunepond-broker/tests/streams.rs
+++ b/crates/dunepond-broker/tests/streams.rs
@@ -1,10 +1,11 @@
-//! How many attempts a node connection carries at once, independently of how many of them share a frame.
+//! How many attempts are sent on a node connection at once, independently of how many of them share a frame.
 
 use dunepond_testkit::stand_ins::{Broker, Client, Node, NodeBehavior, config, query_request};
 use rstest::rstest;
 use serde_json::json;
 
-/// Guards against attempts beyond a connection's limit: they would wait unread at the node, with their cancel frames behind them.
+/// Guards against sending more attempts on a connection than its limit: the node would leave the excess attempts
+/// unread, and the cancel frames behind them.
 #[rstest]
 #[case::a_frame_fills_a_connection(2, 2, &[2, 2, 2])]
 #[case::a_connection_carries_less_than_a_frame_may_hold(2, 4, &[2, 2, 2])]
