--- a/crates/dunepond-broker/src/background.rs
+++ b/crates/dunepond-broker/src/background.rs
@@ -17,7 +17,7 @@
 }
 
 impl Background {
-    /// Creates an instance. Without a pool no blocking job may be added.
+    /// Creates an instance without jobs. If there is no pool, no blocking job may be added.
     pub fn new(scheduler: Scheduler, pool: Option<Pool>) -> Self {
         Self { scheduler, pool, timer: None }
     }
--- a/crates/dunepond-broker/src/body.rs
+++ b/crates/dunepond-broker/src/body.rs
@@ -109,7 +109,7 @@
         Rc::new(Self { id, state: RefCell::new(state), dropped: dropped.clone() })
     }
 
-    /// Returns the length in bytes; until it is known, the number of bytes that have arrived.
+    /// Returns the length of the body in bytes; until the length is known, the number of bytes that have arrived.
     pub fn length(&self) -> u64 {
         let state = self.state.borrow();
         state.length.unwrap_or(state.received_bytes)
--- a/crates/dunepond-broker/src/body_store.rs
+++ b/crates/dunepond-broker/src/body_store.rs
@@ -76,12 +76,13 @@
         }
     }
 
-    /// Returns the limits in force.
+    /// Returns the current limits on the memory and files of bodies.
     pub fn limits(&self) -> &BufferLimits {
         self.manager.limits()
     }
 
-    /// Changes the limits. The limits for files are ignored if there are no disk threads.
+    /// Changes the limits on the memory and files of bodies. The limits for files are ignored if there are no disk
+    /// threads.
     pub fn reconfigure(&mut self, mut limits: BufferLimits) {
         if self.spool.is_none() {
             limits.spill = None;
--- a/crates/dunepond-broker/src/buffers.rs
+++ b/crates/dunepond-broker/src/buffers.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Appends as much of `bytes` as fits after the last byte; returns how many bytes.
+    /// Appends as much of `bytes` as fits after the last byte; returns how many bytes were appended.
     pub fn append(&mut self, bytes: &[u8]) -> usize {
         let count = bytes.len().min(BUFFER_BYTES - self.end);
         self.bytes[self.end..self.end + count].copy_from_slice(&bytes[..count]);
--- a/crates/dunepond-broker/src/clock.rs
+++ b/crates/dunepond-broker/src/clock.rs
@@ -12,7 +12,7 @@
 }
 
 impl Clock {
-    /// Creates a clock, which reads the system's Unix time now.
+    /// Creates a clock that starts at the system's current Unix time.
     pub fn start() -> Self {
         let unix_at_start =
             SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64());
@@ -112,7 +112,7 @@
         Some(Duration::from_micros(first.micros.saturating_sub(to_micros(now))))
     }
 
-    /// Removes and returns the earliest event if its time has come.
+    /// Removes and returns the earliest event if it is due.
     pub fn pop_due(&mut self, now: f64) -> Option<TimerEvent> {
         let first = self.pending.first_entry()?;
         if is_due(*first.key(), now) { Some(first.remove()) } else { None }
--- a/crates/dunepond-broker/src/config.rs
+++ b/crates/dunepond-broker/src/config.rs
@@ -109,7 +109,7 @@
         value.parse().map_err(invalid)
     }
 
-    /// Returns the level in `GW_LOG`, or else in the file's key `log`; info without either.
+    /// Returns the log level in `GW_LOG`, or else in the file's key `log`; info if neither is set.
     fn log_level(&self) -> Result<LevelFilter, ConfigError> {
         if let Some(value) = (self.variable)("GW_LOG") {
             return value.parse().map_err(|_| {
--- a/crates/dunepond-broker/src/connection_end.rs
+++ b/crates/dunepond-broker/src/connection_end.rs
@@ -23,7 +23,7 @@
     Closed,
     /// The peer sent a malformed message.
     ProtocolError,
-    /// The node could not use a frame of the broker.
+    /// The node reported that it could not use a frame of the broker.
     RejectedByPeer,
     /// The broker closed the connection to withdraw a partly written frame.
     FrameAborted,
@@ -35,12 +35,12 @@
     IoTimeout,
     /// The node read too little of a body that is passed through, while the other readers of the body waited.
     SlowConsumer,
-    /// The broker closed the connection, as the body of a partly written frame was lost.
+    /// The broker closed the connection because the body of a partly written frame was lost.
     BodyLost,
 }
 
 impl ConnectionEnd {
-    /// Returns how the connection on which this system error occurred has ended.
+    /// Returns how a connection has ended if this system error occurred on it.
     pub fn from_io_error(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::ConnectionRefused => Self::Refused,
--- a/crates/dunepond-broker/src/control_plane/completeness.rs
+++ b/crates/dunepond-broker/src/control_plane/completeness.rs
@@ -13,9 +13,9 @@
     NotCovered(#[from] MapFault),
 }
 
-/// Verifies that the answered parts cover all keys of a query, each exactly once and under one shard map. `moved` holds
-/// the parts that were sent under the keys of another map, each with that map's epoch. Returns the epoch of `map`, or
-/// why the answer is incomplete.
+/// Verifies that the answered parts cover all keys of a query, each exactly once and under one shard map. `moved`
+/// holds the parts that were sent under another map, which gives their segments other keys; each with that map's
+/// epoch. Returns the epoch of `map`, or why the answer is incomplete.
 pub fn verify_answer(
     map: &VerifiedMap,
     segments: &[usize],
--- a/crates/dunepond-broker/src/control_plane/gate.rs
+++ b/crates/dunepond-broker/src/control_plane/gate.rs
@@ -113,7 +113,7 @@
         Self { watch: control.watch().into(), control, idempotency }
     }
 
-    /// Returns the active configuration now.
+    /// Returns the configuration that is active now.
     pub fn active_config(&self) -> Arc<ActiveConfig> {
         self.watch.borrow_mut().current().clone()
     }
@@ -181,8 +181,8 @@
             SegmentOwner::Node(owner) => owner == target.node,
             SegmentOwner::Unavailable(_) => false,
         };
-        // If both are the same configuration, both have the same owner, unless the lease became valid or expired in
-        // between.
+        // If the configuration is the same at the query's start and at the check, so is the owner, unless the lease
+        // became valid or expired in between.
         let is_same = |start: &QueryStart| {
             Arc::ptr_eq(&start.config, &check.config)
                 && start.config.lease_valid(start.began_at) == check.config.lease_valid(check.checked_at)
@@ -213,8 +213,8 @@
         (keys(start_map) != keys(active_map)).then_some(active_map.epoch())
     }
 
-    /// Writes an attempt whose frame has been queued on its connection to the audit log. `part_id` is the request id
-    /// and the segment, joined by a dot; `check` is the check that allowed the attempt.
+    /// Records in the audit log that the frame of an attempt has been queued on its connection. `part_id` is the
+    /// request id and the segment, joined by a dot; `check` is the check that allowed the attempt.
     pub fn audit_sent(&self, check: &CheckedConfig, target: &PartTarget, part_id: &str, attempt: usize) {
         let event = || {
             let (mut phase, mut versions) = audit_phase(&check.config, check.checked_at);
--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -91,9 +91,9 @@
         self.gate.control.set_overloaded(overloaded);
     }
 
-    /// Returns what the active configuration changes compared with the last call; `None` if neither the configuration
-    /// nor the validity of its lease has changed. Called before each event, so that a process that stalled does not
-    /// act on a configuration whose lease has expired meanwhile.
+    /// Returns what has changed for the router because of the active configuration since the last call; `None` if
+    /// neither the configuration nor the validity of its lease has changed. Called before each event, so that a
+    /// process that stalled does not act on a configuration whose lease has expired meanwhile.
     pub fn poll_changes(&mut self) -> Option<Changes> {
         if self.last_applied.as_ref().is_some_and(|applied| self.is_unchanged(applied)) {
             return None;
@@ -118,7 +118,8 @@
         Some(changes)
     }
 
-    /// Returns whether a configuration is still active and its lease as valid as when it was applied.
+    /// Returns whether a configuration is still active and the validity of its lease is the same as when it was
+    /// applied.
     fn is_unchanged(&self, applied: &AppliedConfig) -> bool {
         self.gate.is_current(&applied.config)
             && applied.config.lease_valid(monotonic_seconds()) == applied.lease_was_valid
--- a/crates/dunepond-broker/src/control_plane/quotas.rs
+++ b/crates/dunepond-broker/src/control_plane/quotas.rs
@@ -25,8 +25,8 @@
     report_interval: f64,
     bounds: SharedQuotas,
     local: LocalQuota,
-    /// How many parts per second a node takes once its slow start is over; `None` if the quota for slow start is not
-    /// shared among the brokers of the fleet.
+    /// How many parts per second a node accepts from all brokers together once its slow start is over; `None` if the
+    /// quota for slow start is not shared among the brokers of the fleet.
     slow_start_rate: Option<f64>,
     /// Whether the brokers of the fleet share the retry budget.
     shares_retries: bool,
--- a/crates/dunepond-broker/src/control_plane/startup.rs
+++ b/crates/dunepond-broker/src/control_plane/startup.rs
@@ -146,8 +146,8 @@
     by_zone
 }
 
-/// Returns a callback that adds `LoopEvent::ControlPlaneChanged` to the event loop. The control plane's thread calls it
-/// for each change.
+/// Returns a callback that adds `LoopEvent::ControlPlaneChanged` to the event loop. The control plane's thread calls
+/// it whenever the active configuration or a quota has changed.
 fn register_change_events(handle: &EventLoopHandle) -> Result<impl Fn() + Send + 'static, ConfigError> {
     let (sender, changes) = channel();
     let inserted = handle.insert_source(changes, |event, _, iteration: &mut Iteration| {
--- a/crates/dunepond-broker/src/discovery/call.rs
+++ b/crates/dunepond-broker/src/discovery/call.rs
@@ -21,7 +21,7 @@
     pub(super) awaiting_response: bool,
     /// Whether the most recent request is a watch; otherwise it is for a complete list.
     pub(super) is_watch: bool,
-    /// When the response is due, in Unix seconds.
+    /// When the response to the most recent request is due, in Unix seconds.
     pub(super) response_due_at: f64,
 }
 
@@ -43,7 +43,7 @@
     pub(super) keep_alive: bool,
 }
 
-/// Why a response is not used.
+/// Why a response of the discovery agent cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ResponseError {
     /// Bytes arrived although no request was outstanding.
@@ -55,10 +55,10 @@
     /// The agent answered with a status other than 200.
     #[error("the agent answered with HTTP status {0}, expected 200")]
     Status(u16),
-    /// The list is not valid JSON.
+    /// The endpoint list in the response is not valid JSON.
     #[error("list: {0}")]
     Json(String),
-    /// The list has an invalid field.
+    /// The endpoint list in the response has an invalid field.
     #[error("{0}")]
     List(String),
     /// The response holds changes up to a version that is older than the stored list, or no list is stored to which
--- a/crates/dunepond-broker/src/discovery/list.rs
+++ b/crates/dunepond-broker/src/discovery/list.rs
@@ -13,7 +13,7 @@
 
 /// A complete endpoint list, or only its rows that changed.
 pub struct EndpointUpdate {
-    /// Whether this is the complete list; nodes that are not in it are then removed.
+    /// Whether this is a complete list. If it is, nodes that are not in it are removed.
     pub complete: bool,
     /// The rows, in the list's order.
     pub endpoints: Vec<EndpointRow>,
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Returns the index of a zone. A new zone is added.
+    /// Returns the index of the zone with this name; adds the zone if it is new.
     fn zone_index(&mut self, name: &str) -> usize {
         if let Some(zone) = self.zones.iter().position(|zone| zone == name) {
             return zone;
@@ -105,7 +105,7 @@
         self.zones.len() - 1
     }
 
-    /// Returns the id of a node. A new node gets a free id.
+    /// Returns the id of the node with this name; a new node gets a free id.
     fn node_id(&mut self, name: &str, address: Option<SocketAddr>) -> NodeId {
         if let Some(node) = self.node_ids.get(name) {
             return *node;
--- a/crates/dunepond-broker/src/discovery/mod.rs
+++ b/crates/dunepond-broker/src/discovery/mod.rs
@@ -37,7 +37,8 @@
 /// which is twelve times as long, so that at most twelve calls are open at a time; `RESERVED_DESCRIPTORS` in
 /// `config.rs` allows for these.
 pub const RESPONSE_OVERDUE_SECONDS: f64 = STALE_AFTER_SECONDS / 12.0;
-/// The agent continues a watch if the next request comes within this time after its response.
+/// Longest time after the response to a watch within which the next request must arrive for the agent to continue the
+/// watch.
 const WATCH_CONTINUATION_SECONDS: f64 = 0.2;
 /// Shortest time between two requests. Prevents a busy loop with an agent that answers each watch at once.
 const MIN_REQUEST_INTERVAL_SECONDS: f64 = WATCH_CONTINUATION_SECONDS / 4.0;
@@ -122,8 +123,8 @@
         })
     }
 
-    /// Switches to another agent. The versions of two agents are unrelated, so a complete list is requested first. The
-    /// last list stays in use until then.
+    /// Switches to another agent. The versions of two agents are unrelated, so a complete list is requested first.
+    /// The last list of the old agent stays in use until the new one arrives.
     pub fn change_agent(&mut self, now: f64, address: SocketAddr, timers: &mut Timers) {
         if address != self.address {
             info!("discovery: agent changed from {} to {address}", self.address);
@@ -164,7 +165,7 @@
     fn write(&mut self, now: f64, at: usize, timers: &mut Timers) -> bool {
         let call = &mut self.calls[at];
         match call.write_queue.flush(&*call.stream) {
-            // Still connecting.
+            // The connection is still being established.
             Err(e) if e.kind() == io::ErrorKind::NotConnected => true,
             Err(e) => {
                 self.end_call(now, at, ConnectionEnd::from_io_error(&e), timers);
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Forgets the version if no watch is open, so that the next request is for a complete list.
+    /// Forgets the version of the endpoint list if no watch is open, so that the next request is for a complete list.
     fn reset_version_without_watch(&mut self) {
         if !self.calls.iter().any(|call| call.is_watch) {
             self.list.version = None;
--- a/crates/dunepond-broker/src/frames.rs
+++ b/crates/dunepond-broker/src/frames.rs
@@ -1,5 +1,5 @@
-//! The codec of the frame protocol between broker and nodes. A frame has four bytes of length, one letter for its type, and
-//! a content; the order of the fields in the content is defined only here.
+//! The codec of the frame protocol between broker and nodes. A frame has four bytes of length, one letter for its
+//! type, and the content; the order of the fields in the content is defined only here.
 
 use std::fmt::{self, Write};
 
@@ -71,8 +71,8 @@
     encode_frame(b'A', content.as_bytes())
 }
 
-/// Returns the length and the type of a frame of attempts; its lines and payloads, `length` bytes in all, are to be queued
-/// after it one by one.
+/// Returns the first five bytes of a frame of attempts: its length and its type. The caller queues the attempts'
+/// lines and payloads, `length` bytes in all, after them.
 pub fn attempts_head(length: u64) -> [u8; 5] {
     let [a, b, c, d] = (length as u32 + 1).to_be_bytes();
     [a, b, c, d, b'A']
--- a/crates/dunepond-broker/src/logger.rs
+++ b/crates/dunepond-broker/src/logger.rs
@@ -125,7 +125,7 @@
 struct LineCount {
     /// Whether the line is over the limit of its call site.
     is_over_limit: bool,
-    /// How many lines were suppressed in the previous second, if this line is the first of a new one.
+    /// How many lines were suppressed in the previous second, if this line is the first of a new second; otherwise 0.
     suppressed_before: u32,
 }
 
@@ -159,7 +159,7 @@
     }
 
     fn event_enabled(&self, event: &Event, _: &Context<S>) -> bool {
-        // Debug lines are not limited.
+        // Lines of the levels debug and trace are not limited.
         if *event.metadata().level() > Level::INFO {
             return true;
         }
--- a/crates/dunepond-broker/src/persistence/mod.rs
+++ b/crates/dunepond-broker/src/persistence/mod.rs
@@ -47,7 +47,7 @@
     config: RecoveryConfig,
     /// The files to use instead of those in the folder; `None` except in tests.
     files: Option<Arc<dyn FileStore>>,
-    /// The open folder.
+    /// The open folder; holds `None` while the folder cannot be used.
     storage: SharedStorage,
     /// State that was read at startup and is not restored yet, because there is no endpoint list.
     recovered: Option<Recovered>,
@@ -58,7 +58,7 @@
     /// Length of the most recent snapshot in bytes, used as the estimated cost of the next one.
     last_snapshot_bytes: u64,
     query_classes: Vec<String>,
-    /// Whether `restore` has been done.
+    /// Whether `restore` has run after the first endpoint list.
     restored: bool,
 }
 
@@ -162,7 +162,7 @@
     }
 
     /// Restores learned state and spent budgets, as far as they are still valid, once the first endpoint list is in
-    /// use. Does nothing before that or when called again.
+    /// use. Does nothing if it is called earlier or again.
     pub fn restore(&mut self, now: f64, router: &mut Router, router_host: &mut RouterHost) {
         let present = router_host.upstream.identities();
         // The state is restored only once: later this process has learned more than the folder holds.
@@ -260,11 +260,11 @@
         });
     }
 
-    /// Handles the end or the drop of a job. Jobs of other modules are ignored.
+    /// Handles that a job has ended or was dropped. Jobs of other modules are ignored.
     pub fn on_job_ended(&mut self, now: f64, id: JobId, failed: bool, background: &mut Background) {
         if self.snapshot_job == Some(id) {
             self.snapshot_job = None;
-            // The folder is opened again, with backoff, before anything more is written.
+            // After a failed snapshot, the folder is opened again, with backoff, before anything more is written.
             if failed && self.open_job.is_none() {
                 *self.storage.lock() = None;
                 self.schedule_reopen(now, background);
--- a/crates/dunepond-broker/src/persistence/storage.rs
+++ b/crates/dunepond-broker/src/persistence/storage.rs
@@ -20,7 +20,7 @@
     pub(super) journal: Journal,
 }
 
-/// The contents of the folder when it was opened.
+/// The contents of the state folder when it was opened.
 #[derive(Default)]
 pub(super) struct Recovered {
     pub(super) learned_state: Option<LearnedSnapshot>,
--- a/crates/dunepond-broker/src/prefilter.rs
+++ b/crates/dunepond-broker/src/prefilter.rs
@@ -1,4 +1,5 @@
-//! Runs the prefilter phase of queries: carries out the actions of `dunepond-prefilter`, and reports answers to it.
+//! Runs the prefilter phase of queries: executes the actions that `dunepond-prefilter` returns, and reports the
+//! nodes' answers to it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{BuildHasher, RandomState};
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Carries out the prefilter's actions.
+    /// Executes the actions that the prefilter has returned.
     fn execute(&mut self, router: &mut Router, router_host: &mut RouterHost, actions: Vec<Action>) {
         for action in actions {
             match action {
--- a/crates/dunepond-broker/src/prefilter_connections.rs
+++ b/crates/dunepond-broker/src/prefilter_connections.rs
@@ -35,7 +35,7 @@
 
 /// A request that has not been answered yet.
 struct OutstandingRequest {
-    /// The request's number.
+    /// The number of the prefilter request.
     request: u64,
     /// When the request was queued, in Unix seconds.
     queued_at: f64,
--- a/crates/dunepond-broker/src/search_api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -16,7 +16,7 @@
 use crate::http::{Head, HttpError};
 use crate::query_request::QueryRequest;
 
-/// How many characters of a client's request id are used.
+/// Maximum length of a client's request id in characters; a longer id is truncated.
 const MAX_REQUEST_ID_CHARS: usize = 64;
 
 /// The configuration of the search API, shared by the client connections, which parse requests with it, and the router
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Checks that the index of a search may be updated (`update`) or searched.
+    /// Checks that the index of a search may be updated, if `update` is set, or else searched.
     fn check_index(&self, search: &Search, update: bool) -> Result<(), ApiError> {
         let name = self.index_name(search.index);
         match (self.query_classes[search.index].is_update, update) {
@@ -183,7 +183,7 @@
     Failed(String),
 }
 
-/// A search of a request whose query is in flight.
+/// A search whose query is in flight. It belongs to a client's request.
 pub struct ActiveSearch {
     /// Number of the client's request that contains this search; a request may contain several.
     pub request: u64,
--- a/crates/dunepond-broker/src/signals.rs
+++ b/crates/dunepond-broker/src/signals.rs
@@ -5,7 +5,7 @@
 use calloop::signals::{Signal, Signals};
 use dunepond_config::ConfigError;
 
-/// The caught signals: they are blocked, and kept until the broker runs.
+/// The signals that are caught: they are blocked, and stay pending until the broker handles them.
 pub struct CaughtSignals {
     /// Event source of the signals.
     pub(crate) signals: Signals,
@@ -13,9 +13,9 @@
     pub(crate) since: Instant,
 }
 
-/// Blocks the signals and keeps them until the broker runs; a signal that came before this call would kill the process.
-/// Must be called before anything else, in particular before a thread is started. Dropping the result restores the default
-/// handling.
+/// Blocks the signals, so that they stay pending until the broker handles them; a signal before this call would kill
+/// the process. Must be called before anything else, in particular before a thread is started. Dropping the result
+/// restores the default handling.
 pub fn catch_signals() -> Result<CaughtSignals, ConfigError> {
     let since = Instant::now();
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]);
--- a/crates/dunepond-broker/tests/agent/mod.rs
+++ b/crates/dunepond-broker/tests/agent/mod.rs
@@ -51,7 +51,7 @@
         head.split(' ').nth(1).unwrap().to_string()
     }
 
-    /// Writes text as it is; a closed connection is ignored.
+    /// Writes text unchanged, and ignores an error if the connection is closed.
     pub fn write_text(&mut self, text: &str) {
         let _ = self.0.get_mut().write_all(text.as_bytes());
     }
--- a/crates/dunepond-broker/tests/client_close/attempts.rs
+++ b/crates/dunepond-broker/tests/client_close/attempts.rs
@@ -37,7 +37,8 @@
     assert_eq!(client.read_answer().unwrap().status, 200);
 }
 
-/// The second request is read together with the first one and would be started when the first one is answered.
+/// The broker reads the second request together with the first one, and would start it when the first one is
+/// answered.
 #[test]
 fn pipelined_request_is_not_started_after_close() {
     let mut scenario = Scenario::start();
@@ -76,8 +77,8 @@
     assert_eq!((0..9).find_map(attempts_of_query), Some(1));
 }
 
-/// A node's response arrives together with the client's close: the other attempt is cancelled once, and the node's connection
-/// stays open.
+/// A node's response arrives together with the client's close: the attempt for the query's other part is cancelled
+/// once, and the connection to the node stays open.
 #[test]
 fn response_at_client_close_keeps_node_connection() {
     let mut scenario = Scenario::start();
--- a/crates/dunepond-broker/tests/client_close/detection.rs
+++ b/crates/dunepond-broker/tests/client_close/detection.rs
@@ -9,7 +9,7 @@
 
 use crate::harness::{Node, Scenario, close};
 
-/// The request and the close both arrive before the connection is read.
+/// The client's request and its close both arrive before the broker reads the connection.
 #[rstest]
 #[case::in_the_backlog(false)]
 #[case::on_an_idle_connection(true)]
@@ -58,7 +58,7 @@
     close(client);
     let closed = Instant::now();
     scenario.node.wait_for('B', "c1.0");
-    // Well before the deadline: the close caused the cancellation, not a timeout.
+    // The cancellation comes well before the deadline, so that the close caused it, not a timeout.
     assert!(closed.elapsed() < Duration::from_millis(1450), "{:?}", closed.elapsed());
     scenario.send_marker();
     assert_eq!((scenario.node.sent_counts("c1.0"), scenario.node.sent_counts("more0.0")), ((1, 1), (0, 0)));
@@ -90,7 +90,7 @@
     });
     let closed = Instant::now();
     scenario.node.wait_for('B', "c1.0");
-    // Well before the deadline: the close caused the cancellation, not a timeout.
+    // The cancellation comes well before the deadline, so that the close caused it, not a timeout.
     assert!(closed.elapsed() < Duration::from_millis(1450), "{:?}", closed.elapsed());
     scenario.send_marker();
     assert_eq!((scenario.node.sent_counts("c1.0"), scenario.node.sent_counts("more0.0")), ((1, 1), (0, 0)));
--- a/crates/dunepond-broker/tests/client_close/harness.rs
+++ b/crates/dunepond-broker/tests/client_close/harness.rs
@@ -136,8 +136,8 @@
     }
 }
 
-/// Shuts the client's connection down. Closing the descriptor alone would leave the connection open in a child process that
-/// another test is forking.
+/// Shuts the client's connection down. Closing the descriptor alone would leave the connection open in a child
+/// process if another test forks one at that moment.
 pub fn close(client: impl Into<Option<Client>>) {
     client.into().iter().for_each(|client| client.stream.shutdown(Shutdown::Both).unwrap());
 }
--- a/crates/dunepond-broker/tests/discovery/descriptors.rs
+++ b/crates/dunepond-broker/tests/discovery/descriptors.rs
@@ -30,7 +30,7 @@
     (broker, agent, call, first, idle_clients)
 }
 
-/// The discovery connection breaks while idle clients hold all descriptors and more clients wait in the backlog.
+/// The discovery connection breaks while idle clients use all descriptors and more clients wait in the backlog.
 #[test]
 fn discovery_call_frees_descriptor() {
     let nodes = nodes();
--- a/crates/dunepond-broker/tests/discovery/full_list.rs
+++ b/crates/dunepond-broker/tests/discovery/full_list.rs
@@ -59,21 +59,21 @@
     assert_only_second_node_serves(&broker, &nodes);
 }
 
-/// Returns a listener with a full accept queue, so that connecting hangs, its address, and the addresses of the connections
-/// that fill the queue.
+/// Returns a listener whose accept queue is full, so that connecting to it hangs; its address; and the addresses of
+/// the connections that fill the queue.
 fn unreachable_listener() -> (TcpListener, SocketAddr, Vec<SocketAddr>) {
     let full = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     full.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     full.listen(0).unwrap();
     let address = full.local_addr().unwrap().as_socket().unwrap();
     let connect = |_| TcpStream::connect_timeout(&address, Duration::from_millis(50)).ok();
-    // Closed connections stay in the queue.
+    // The connections stay in the accept queue even after they are closed.
     let fill = (0..3).filter_map(connect).map(|stream| stream.local_addr().unwrap()).collect();
     (full.into(), address, fill)
 }
 
-/// A complete list without the node arrives while its connection is being established: its parts go to another node, and nothing
-/// is written to the connection once it is established.
+/// While the connection to a node is being established, a complete list without that node arrives: its parts go to
+/// another node, and nothing is written to the connection once it is established.
 #[test]
 fn connecting_parts_leave_unlisted_node() {
     let (full, address, fill) = unreachable_listener();
--- a/crates/dunepond-broker/tests/discovery/port.rs
+++ b/crates/dunepond-broker/tests/discovery/port.rs
@@ -1,4 +1,4 @@
-//! Startup while an old process still holds the port, and readiness requests behind a full accept queue.
+//! Startup while an old process still uses the port, and readiness requests behind a full accept queue.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -45,7 +45,8 @@
 /// Longest time until a readiness request is answered after a restart or a stall.
 const MAX_STARTUP_TIME: Duration = Duration::from_secs(6);
 
-/// Sends a readiness request on a connection that is established once the accept queue has room; the thread returns its status.
+/// Starts a thread that sends a readiness request on a connection that is established once the accept queue has room;
+/// the thread returns the status of the response.
 fn send_to_full_queue(address: SocketAddr) -> std::thread::JoinHandle<u16> {
     let readiness =
         std::thread::spawn(move || Client::connect_to(address).request("GET /ready HTTP/1.1\r\n\r\n").status);
--- a/crates/dunepond-broker/tests/endpoint_list.rs
+++ b/crates/dunepond-broker/tests/endpoint_list.rs
@@ -93,7 +93,7 @@
     call.answer(&json!({"seq": 0, "whole": false, "hosts": [nodes[0].endpoint("ready")]}));
     let (mut call, path) = agent.accept_request();
     assert_eq!(path, "/v1/endpoints");
-    // Requested at once, not after a watch has timed out.
+    // The complete list is requested at once, not after a watch has timed out.
     assert!(since.elapsed() < Duration::from_millis(1400), "{:?}", since.elapsed());
     call.answer(&first_node_draining(2, &nodes));
     call.read_request();
@@ -131,7 +131,8 @@
     assert!(since.elapsed() < MAX_UPDATE_DELAY, "{:?}", since.elapsed());
 }
 
-/// A reload changes the agent; the old agent does not respond, and neither does the new one at first.
+/// A configuration reload switches to another agent; the old agent does not respond, and neither does the new one at
+/// first.
 #[test]
 fn silent_new_agent_called_again() {
     let nodes = nodes();
--- a/crates/dunepond-broker/tests/fleet/harness.rs
+++ b/crates/dunepond-broker/tests/fleet/harness.rs
@@ -110,7 +110,8 @@
         read_audit_log(&self.path(&format!("n{broker}.jsonl")))
     }
 
-    /// Waits until this broker's audit log has a matching record; returns the last one. `expected` describes it for a failure.
+    /// Waits until this broker's audit log has a matching record; returns the last one. `expected` describes the
+    /// record in the failure message.
     pub fn wait(&self, broker: usize, expected: &str, matches: impl Fn(&AuditRecord) -> bool) -> AuditRecord {
         let start = Instant::now();
         loop {
@@ -141,13 +142,13 @@
     }
 }
 
-/// A stand-in for the fill service that holds every request until the test lets it respond.
+/// A stand-in for the fill service that leaves every request unanswered until the test lets it respond.
 pub struct FillService {
-    /// The address that it listens on.
+    /// The address that the stand-in listens on.
     pub address: SocketAddr,
     /// The bodies of all requests, in order of arrival.
     pub requests: Arc<Mutex<Vec<Value>>>,
-    /// Whether it responds to requests, including those it holds.
+    /// Whether the stand-in responds to requests, including those that are still unanswered.
     pub is_answering: Arc<AtomicBool>,
 }
 
--- a/crates/dunepond-broker/tests/golden.rs
+++ b/crates/dunepond-broker/tests/golden.rs
@@ -412,11 +412,12 @@
         nodes.iter().enumerate().map(|(i, node)| endpoint_row(&format!("s-{i}"), node.address)).collect();
     let (broker, _list) = start_broker("phases least-segments=6 share=0.9 audits=0\n", lines, |_| {});
     let answer = exchange(broker.address, &query_request("find", "c1", &[0, 1, 2, 3, 4, 5], "2.5"));
-    // The two nodes that get prefilter questions are drawn at random.
+    // The two nodes that get prefilter requests are drawn at random.
     let answer = ["s-0", "s-1", "s-2"].iter().fold(answer, |answer, name| answer.replace(name, "s-?"));
     transcript.put("answer", &answer);
     let mut frames: Vec<_> = nodes.iter().flat_map(|node| node.frames.try_iter()).collect();
-    // The shards of one question are drawn at random, too; each skipped shard was asked about twice.
+    // The shards that one prefilter request asks about are drawn at random, too; each skipped shard was asked about
+    // twice.
     let mut asked = [0; 6];
     for frame in frames.iter_mut().filter(|frame| frame.starts_with('P')) {
         let (line, text) = frame.split_once("\\n").unwrap();
--- a/crates/dunepond-broker/tests/node_connections/answers.rs
+++ b/crates/dunepond-broker/tests/node_connections/answers.rs
@@ -49,7 +49,7 @@
     assert!(old.read_to_close().is_empty());
 }
 
-/// A node sends a response and then resets its connection.
+/// A node sends a response and then resets its connection before the broker has read the response.
 #[rstest]
 #[case::reset_seen_by_read(false)]
 #[case::reset_seen_by_write_of_next_part(true)]
--- a/crates/dunepond-broker/tests/node_connections/cancellation.rs
+++ b/crates/dunepond-broker/tests/node_connections/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancelled parts that their node may still be running.
+//! Cancelled parts that may still be running at their node.
 
 use dunepond_testkit::stand_ins::{Client, query_request};
 use rstest::rstest;
--- a/crates/dunepond-broker/tests/node_connections/late_connect.rs
+++ b/crates/dunepond-broker/tests/node_connections/late_connect.rs
@@ -58,7 +58,7 @@
     let connection = late.accept_late(fill);
     std::thread::sleep(Duration::from_millis(600).saturating_sub(start.elapsed()));
     broker.signal("CONT");
-    // Rejected or failed, depending on the order of events; in both cases nothing may be written.
+    // The query is rejected or fails, depending on the order of events; in both cases nothing may be written.
     assert_ne!(client.read_answer().unwrap().status, 200);
     drop(broker);
     assert!(connection.read_to_close().is_empty());
--- a/crates/dunepond-broker/tests/node_connections/queued.rs
+++ b/crates/dunepond-broker/tests/node_connections/queued.rs
@@ -69,7 +69,8 @@
     assert!(blocked.connection.read_to_close().is_empty());
 }
 
-/// Guards against closing the connection, which would lose the frame ahead, to withdraw a queued part.
+/// Guards against closing the connection to withdraw a queued part: the partly written frame ahead of that part would
+/// be lost.
 #[test]
 fn queued_part_of_disconnected_client_does_not_affect_frame_ahead() {
     let mut blocked = BlockedNode::start_broker("fix", &[]);
@@ -94,7 +95,8 @@
     assert!(blocked.connection.read_to_close().len() < u32::from_be_bytes(length) as usize);
 }
 
-/// With cancellation disabled no part is cancelled at a node, but a frame whose client is gone is not completed.
+/// With cancellation disabled, no cancel frame is sent, but a partly written frame whose client has disconnected is
+/// not completed.
 #[test]
 fn partly_written_part_aborted_on_client_disconnect() {
     let mut blocked = BlockedNode::start_broker("fix", &[("/settings/ceilings/cancel", json!(false))]);
--- a/crates/dunepond-broker/tests/oncall.rs
+++ b/crates/dunepond-broker/tests/oncall.rs
@@ -47,7 +47,8 @@
     first_columns.flat_map(|column| column.split('`').skip(1).step_by(2)).map(str::to_string).collect()
 }
 
-/// The texts between a quoted line's placeholders: words in capitals, numbers with their unit, `...`.
+/// Returns the texts between the placeholders of a quoted line. Words in capitals, numbers with their unit and `...`
+/// are placeholders.
 fn literal_texts(line: &str) -> Vec<String> {
     let mut texts = vec![String::new()];
     for word in line.split(' ') {
@@ -78,7 +79,7 @@
     occurs(text) || (text.contains([':', ';', '/']) && separated()) || in_two_pieces()
 }
 
-/// Whether `piece` is somewhere in the source the whole text between quotation marks or format placeholders.
+/// Whether the source has `piece` as the whole text between two quotation marks or format placeholders.
 fn is_literal_piece(source: &str, piece: &str) -> bool {
     let starts = ["\"", "}", "} "];
     let ends = ["\"", "{", " {"];
--- a/crates/dunepond-broker/tests/scenarios/attempts.rs
+++ b/crates/dunepond-broker/tests/scenarios/attempts.rs
@@ -10,7 +10,8 @@
 
 use super::nodes;
 
-/// A node that closes connections, sends invalid frames, hangs or rejects costs an idempotent query one more attempt at most.
+/// A node that closes connections, sends invalid frames, hangs or rejects attempts costs an idempotent query at most
+/// one more attempt.
 #[rstest]
 #[case(NodeBehavior::CloseMidFrame)]
 #[case(NodeBehavior::ReportProtocolError)]
@@ -45,7 +46,8 @@
     assert!((0..50).any(served));
 }
 
-/// Bytes after or within a valid response must not make the broker lose its value, or that of the next response.
+/// Surplus bytes after a valid response or within it must not make the broker lose the response's value, or that of
+/// the next response.
 #[rstest]
 #[case::duplicate_response(NodeBehavior::ServeThenRaw(b"\0\0\0\x11Ec0.2 hit 7 -\nv-q1"))]
 #[case::invalid_bytes(NodeBehavior::ServeThenRaw(b"?!?!?!?!"))]
--- a/crates/dunepond-broker/tests/scenarios/lifecycle.rs
+++ b/crates/dunepond-broker/tests/scenarios/lifecycle.rs
@@ -30,7 +30,8 @@
     assert_eq!(broker.exit_code(), Some(0));
 }
 
-/// The environment still has the old discovery address, and an invalid configuration file must not change anything.
+/// The reload switches to the file's discovery address, although the environment still has the old one. Before that,
+/// an invalid configuration file must not change anything.
 #[test]
 fn sighup_reloads_and_switches_discovery() {
     let nodes = nodes(2);
--- a/crates/dunepond-broker/tests/shutdown.rs
+++ b/crates/dunepond-broker/tests/shutdown.rs
@@ -319,7 +319,7 @@
     let mut client = Client::connect(&broker);
     client.send(&query_request("find", "c1", &[1], "3.0"));
     broker.signal("TERM");
-    // No endpoint list is in force yet, so that the query may be rejected.
+    // No endpoint list is in use yet, so that the query may be rejected.
     let answer = client.read_answer().expect("an answer");
     assert!(matches!(answer.status, 200 | 429) && answer.head.contains("Connection: close"), "{answer:?}");
     drop(client);
--- a/crates/dunepond-broker/tests/shutdown_before_kill.rs
+++ b/crates/dunepond-broker/tests/shutdown_before_kill.rs
@@ -128,7 +128,8 @@
     assert!(Instant::now() < kill, "{:?}", signalled_at.elapsed());
 }
 
-/// The request arrives so late in the shutdown that its deadline is after the exit.
+/// The request arrives so late in the shutdown that its deadline is later than the time by which the broker must have
+/// exited.
 #[test]
 fn late_requests_rejected_at_once() {
     let node = [Node::start("s-0")];
--- a/crates/dunepond-broker/tests/shutdown_requests.rs
+++ b/crates/dunepond-broker/tests/shutdown_requests.rs
@@ -101,7 +101,8 @@
     broker.assert_exits_in_time(client);
 }
 
-/// The requests arrive on a connection from before the stall, and on one that is accepted only after it.
+/// A request arrives during a stall of the process, on a connection that was accepted before the stall or on one that
+/// is accepted only after it.
 #[rstest]
 fn requests_received_during_stall_are_answered(#[values(false, true)] accepted: bool) {
     let mut client = None;
--- a/crates/dunepond-broker/tests/time_left.rs
+++ b/crates/dunepond-broker/tests/time_left.rs
@@ -14,7 +14,7 @@
 /// Tolerance for delays of the stand-ins themselves on a busy machine, in milliseconds.
 const STAND_INS_MS: f64 = 50.0;
 
-/// Returns when a node received the part with this prefix of its id, and the time limit in its frame in milliseconds.
+/// Returns when a node received the part whose id has this prefix, and the time limit in its frame in milliseconds.
 fn time_limit(nodes: &[Node], id: &str) -> Option<(Instant, f64)> {
     let at_node = |node: &Node| {
         let at = node.part_arrivals().into_iter().find(|(_, part)| part.starts_with(id))?.0;
