--- a/crates/dunepond-broker/tests/blocked_event_loop.rs
+++ b/crates/dunepond-broker/tests/blocked_event_loop.rs
@@ -1,4 +1,5 @@
-//! Guards against blocking the event loop on a configuration file that cannot be read at SIGHUP, or on a log pipe that nobody reads.
+//! Guards against blocking the event loop on a configuration file that cannot be read at SIGHUP, or on a log pipe
+//! that nobody reads.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
--- a/crates/dunepond-broker/tests/connection_close.rs
+++ b/crates/dunepond-broker/tests/connection_close.rs
@@ -1,5 +1,5 @@
-//! Bytes that arrive between the last read of a client's connection and its close. The tests dispatch the event loop themselves, so
-//! that a readiness event stays unhandled, as if it came in the same iteration as the close.
+//! Bytes that arrive between the last read of a client's connection and its close. The tests dispatch the event loop
+//! themselves, so that a readiness event stays unhandled, as if it came in the same iteration as the close.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
--- a/crates/dunepond-broker/tests/node_connections/harness.rs
+++ b/crates/dunepond-broker/tests/node_connections/harness.rs
@@ -50,8 +50,8 @@
         manual
     }
 
-    /// Returns a node with a full accept queue and the connections that fill it. Another connection is established only once there
-    /// is room and the system retries the connect, after a second.
+    /// Returns a node with a full accept queue and the connections that fill it. Another connection is established
+    /// only once there is room and the system retries the connect, after a second.
     pub fn with_full_queue() -> (Self, Vec<TcpStream>) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
@@ -301,7 +301,8 @@
     (client, connection)
 }
 
-/// Two queries with long payloads at one node that does not read: the first part is partly written, the second is queued behind it.
+/// Two queries with long payloads at one node that does not read: the first part is partly written, the second is
+/// queued behind it.
 pub struct BlockedNode {
     pub broker: Broker,
     pub list: DiscoveryServer,
--- a/crates/dunepond-broker/tests/node_connections/late_connect.rs
+++ b/crates/dunepond-broker/tests/node_connections/late_connect.rs
@@ -33,8 +33,8 @@
     assert!(connection.read_to_close().is_empty());
 }
 
-/// Sends a query with this time budget whose only part waits for a connection; returns the broker, its discovery server, the node,
-/// the connections that fill its accept queue, and the client.
+/// Sends a query with this time budget whose only part waits for a connection; returns the broker, its discovery
+/// server, the node, the connections that fill its accept queue, and the client.
 fn connecting_query(budget: &str) -> (Broker, DiscoveryServer, ManualNode, Vec<TcpStream>, Client) {
     let (late, fill) = ManualNode::with_full_queue();
     let keys = [
--- a/crates/dunepond-broker/tests/shutdown_before_kill.rs
+++ b/crates/dunepond-broker/tests/shutdown_before_kill.rs
@@ -1,6 +1,6 @@
-//! Every accepted request is answered before the supervisor kills a process that is shutting down, even if the process stalls.
-//! Regression tests for docs/incidents/2026-12-02-requests-late-in-a-shutdown.md: the shutdown stages were timed from when the signal
-//! was read instead of from when it may have arrived.
+//! Every accepted request is answered before the supervisor kills a process that is shutting down, even if the
+//! process stalls. Regression tests for docs/incidents/2026-12-02-requests-late-in-a-shutdown.md: the shutdown stages
+//! were timed from when the signal was read instead of from when it may have arrived.
 
 use std::thread;
 use std::time::{Duration, Instant};
--- a/crates/dunepond-broker/tests/time_left.rs
+++ b/crates/dunepond-broker/tests/time_left.rs
@@ -1,5 +1,5 @@
-//! A request's time budget counts from its arrival. Guards against attempts that may run for longer than the client waits, after the
-//! request waited behind another request, during a stall of the process or in the backlog.
+//! A request's time budget counts from its arrival. Guards against attempts that may run for longer than the client
+//! waits, after the request waited behind another request, during a stall of the process or in the backlog.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
