--- a/crates/dunepond-broker/src/background.rs
+++ b/crates/dunepond-broker/src/background.rs
@@ -12,12 +12,12 @@
     scheduler: Scheduler,
     /// The thread pool; `None` if there are no blocking jobs.
     pool: Option<Pool>,
-    /// When the pending timer fires, and its key.
+    /// When the pending timer for the next job fires, in Unix seconds, and its key; `None` if no timer is pending.
     timer: Option<(f64, clock::TimerKey)>,
 }
 
 impl Background {
-    /// Creates an instance. Without a pool no blocking job may be added.
+    /// Creates an instance without jobs. If there is no pool, no blocking job may be added.
     pub fn new(scheduler: Scheduler, pool: Option<Pool>) -> Self {
         Self { scheduler, pool, timer: None }
     }
--- a/crates/dunepond-broker/src/buffers.rs
+++ b/crates/dunepond-broker/src/buffers.rs
@@ -13,8 +13,9 @@
 /// Maximum number of free buffers that a pool keeps; the others are deallocated when they are returned after a burst.
 const MAX_FREE_BUFFERS: usize = 32;
 
-/// Has the allocator use one arena for all threads. Guards the bound on memory: with an arena per thread, blocks that the
-/// disk threads allocate and the event loop frees would stay in the arenas of the disk threads.
+/// Has the allocator use one arena for all threads, to keep the process within its memory limit: with an arena per
+/// thread, blocks that the disk threads allocate and the event loop frees would stay in the arenas of the disk
+/// threads.
 pub fn use_single_malloc_arena() {
     #[cfg(all(target_os = "linux", target_env = "gnu"))]
     // SAFETY: mallopt only sets the allocator's own options; it may be called at any time.
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Appends as much of `bytes` as fits after the last byte; returns how many bytes.
+    /// Appends as much of `bytes` as fits after the last byte; returns how many bytes were appended.
     pub fn append(&mut self, bytes: &[u8]) -> usize {
         let count = bytes.len().min(BUFFER_BYTES - self.end);
         self.bytes[self.end..self.end + count].copy_from_slice(&bytes[..count]);
@@ -105,7 +106,8 @@
         self.end -= count;
     }
 
-    /// Appends the result of one read and returns its length. `Ok(0)` is the end of the stream, unless the buffer is full.
+    /// Reads from `stream` once, appends the bytes and returns their number. `Ok(0)` means the end of the stream,
+    /// unless the buffer is full.
     pub fn read_from(&mut self, mut stream: impl Read) -> io::Result<usize> {
         if self.end == BUFFER_BYTES {
             self.bytes.copy_within(self.start..self.end, 0);
--- a/crates/dunepond-broker/src/discovery/mod.rs
+++ b/crates/dunepond-broker/src/discovery/mod.rs
@@ -24,10 +24,10 @@
 use call::{DiscoveryCall, ListState, Response};
 use list::Directory;
 
-/// How long the endpoint list counts as current after the agent has stopped answering. The platform assumes that a
-/// broker knows a change of the list at the latest this long after the agent had it and could be reached, whether or
-/// not the broker has heard of the change. A call whose response has been due for that long is closed, so that a
-/// fresh call can bring the change. The other times of this module are fractions of this one.
+/// How long the endpoint list counts as current after the agent has stopped answering. The platform does not check
+/// whether a broker has received a change of the list. It assumes that the broker knows the change at the latest this
+/// long after the agent had it and could be reached. A call whose response has been due for that long is closed, so
+/// that a new call can bring the change. The other times of this module are fractions of this one.
 const STALE_AFTER_SECONDS: f64 = 6.0;
 /// How long the agent may hold a watch open. It is short enough that several calls can follow an unanswered one before
 /// the endpoint list is stale.
@@ -37,7 +37,8 @@
 /// which is twelve times as long, so that at most twelve calls are open at a time; `RESERVED_DESCRIPTORS` in
 /// `config.rs` allows for these.
 pub const RESPONSE_OVERDUE_SECONDS: f64 = STALE_AFTER_SECONDS / 12.0;
-/// The agent continues a watch if the next request comes within this time after its response.
+/// Longest time after the response to a watch within which the next request must arrive for the agent to continue the
+/// watch.
 const WATCH_CONTINUATION_SECONDS: f64 = 0.2;
 /// Shortest time between two requests. Prevents a busy loop with an agent that answers each watch at once.
 const MIN_REQUEST_INTERVAL_SECONDS: f64 = WATCH_CONTINUATION_SECONDS / 4.0;
@@ -122,8 +123,8 @@
         })
     }
 
-    /// Switches to another agent. The versions of two agents are unrelated, so a complete list is requested first. The
-    /// last list stays in use until then.
+    /// Switches to another agent. The versions of two agents are unrelated, so a complete list is requested first.
+    /// The last list of the old agent stays in use until the new one arrives.
     pub fn change_agent(&mut self, now: f64, address: SocketAddr, timers: &mut Timers) {
         if address != self.address {
             info!("discovery: agent changed from {} to {address}", self.address);
@@ -136,9 +137,9 @@
         }
     }
 
-    /// Sends a watch if this is the only call and a version is known. Otherwise it requests a complete list, as the
-    /// other call is not being answered: the agent answers such a request at once, and it may have restarted, after
-    /// which its versions begin with 1 again.
+    /// Sends a watch if this is the only call and a version is known. Otherwise requests a complete list: if there
+    /// are other calls, they are not being answered, and the agent may have restarted, after which its versions begin
+    /// with 1 again. The agent answers a request for a complete list at once.
     fn send_request(&mut self, now: f64, at: usize, timers: &mut Timers) {
         let watch_from = self.list.version.filter(|_| self.calls.len() == 1);
         let (path, wait_milliseconds) = match watch_from {
@@ -164,7 +165,7 @@
     fn write(&mut self, now: f64, at: usize, timers: &mut Timers) -> bool {
         let call = &mut self.calls[at];
         match call.write_queue.flush(&*call.stream) {
-            // Still connecting.
+            // The connection is still being established.
             Err(e) if e.kind() == io::ErrorKind::NotConnected => true,
             Err(e) => {
                 self.end_call(now, at, ConnectionEnd::from_io_error(&e), timers);
@@ -207,8 +208,8 @@
         self.on_call_ended(now, reason, timers);
     }
 
-    /// Schedules another call after a backoff, unless the timer of a remaining call is pending. The last endpoint list
-    /// stays in use until then.
+    /// Schedules another call after a backoff, unless the timer of a remaining call is pending. The last endpoint
+    /// list stays in use until a response arrives.
     fn on_call_ended(&mut self, now: f64, reason: ConnectionEnd, timers: &mut Timers) {
         warn!("discovery {}: connection {reason}; keeping the last endpoint list", self.address);
         self.reset_version_without_watch();
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Forgets the version if no watch is open, so that the next request is for a complete list.
+    /// Forgets the version of the endpoint list if no watch is open, so that the next request is for a complete list.
     fn reset_version_without_watch(&mut self) {
         if !self.calls.iter().any(|call| call.is_watch) {
             self.list.version = None;
--- a/crates/dunepond-broker/src/search_api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -16,7 +16,7 @@
 use crate::http::{Head, HttpError};
 use crate::query_request::QueryRequest;
 
-/// How many characters of a client's request id are used.
+/// Maximum length of a client's request id in characters; a longer id is truncated.
 const MAX_REQUEST_ID_CHARS: usize = 64;
 
 /// The configuration of the search API, shared by the client connections, which parse requests with it, and the router
@@ -40,7 +40,8 @@
 pub struct SearchRequest {
     /// The API call that is requested.
     pub call: ApiRequest,
-    /// Index of the tenant among the configured tenants; one more than the last index for an unlisted tenant.
+    /// Index of the tenant among the configured tenants; the number of configured tenants if the tenant is not
+    /// configured.
     pub tenant: usize,
     /// Whether the client marks the request as a retry.
     pub is_retry: bool,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Checks that the index of a search may be updated (`update`) or searched.
+    /// Checks that the index of a search may be updated, if `update` is set, or else searched.
     fn check_index(&self, search: &Search, update: bool) -> Result<(), ApiError> {
         let name = self.index_name(search.index);
         match (self.query_classes[search.index].is_update, update) {
@@ -182,7 +183,7 @@
     Failed(String),
 }
 
-/// A search of a request whose query is in flight.
+/// A search whose query is in flight. It belongs to a client's request.
 pub struct ActiveSearch {
     /// Number of the client's request that contains this search; a request may contain several.
     pub request: u64,
@@ -197,7 +198,7 @@
     is_count: bool,
     /// When the search started, in Unix seconds.
     started_at: f64,
-    /// Why the most recent failed attempt for each segment failed.
+    /// For each segment with a failed attempt, why the most recent one failed.
     failures: HashMap<usize, String>,
 }
 
--- a/crates/dunepond-broker/tests/agent/mod.rs
+++ b/crates/dunepond-broker/tests/agent/mod.rs
@@ -8,8 +8,8 @@
 use serde_json::{Value, json};
 use socket2::SockRef;
 
-/// Longest time until the broker applies a new endpoint list: half of the 6 s that is allowed while discovery is silent. The
-/// other half is tolerance for a busy machine.
+/// Longest time that the tests allow until the broker applies a new endpoint list. It is half of the 6 s that the
+/// platform allows while discovery is silent. The other half is tolerance for a busy machine.
 pub const MAX_UPDATE_DELAY: Duration = Duration::from_secs(3);
 
 /// A stand-in for the discovery agent: it accepts connections and responds only when the test calls its methods.
@@ -51,7 +51,7 @@
         head.split(' ').nth(1).unwrap().to_string()
     }
 
-    /// Writes text as it is; a closed connection is ignored.
+    /// Writes text unchanged, and ignores an error if the connection is closed.
     pub fn write_text(&mut self, text: &str) {
         let _ = self.0.get_mut().write_all(text.as_bytes());
     }
--- a/crates/dunepond-broker/tests/golden.rs
+++ b/crates/dunepond-broker/tests/golden.rs
@@ -18,7 +18,8 @@
 /// Longest wait for an expected event.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Compares a transcript with its golden file; one that differs is written to the target folder and the test fails.
+/// Compares a transcript with its golden file. If they differ, writes the transcript to the target folder and fails
+/// the test.
 fn check(name: &str, transcript: &str) {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/golden").join(name);
     let golden = std::fs::read_to_string(&file).unwrap_or_default();
@@ -323,8 +324,8 @@
     check("answers-raw.txt", &transcript.0);
 }
 
-/// A node that records each frame that it receives. If it serves, it answers attempts, and answers prefilter questions that all
-/// shards but the first cannot match.
+/// A node that records each frame that it receives. If started with `serves`, it answers all attempts, and its
+/// prefilter answers say that only shard 0 may match.
 struct RecordingNode {
     address: SocketAddr,
     /// The received frames, with the time limits masked.
@@ -411,11 +412,12 @@
         nodes.iter().enumerate().map(|(i, node)| endpoint_row(&format!("s-{i}"), node.address)).collect();
     let (broker, _list) = start_broker("phases least-segments=6 share=0.9 audits=0\n", lines, |_| {});
     let answer = exchange(broker.address, &query_request("find", "c1", &[0, 1, 2, 3, 4, 5], "2.5"));
-    // The two nodes that get prefilter questions are drawn at random.
+    // The two nodes that get prefilter requests are drawn at random.
     let answer = ["s-0", "s-1", "s-2"].iter().fold(answer, |answer, name| answer.replace(name, "s-?"));
     transcript.put("answer", &answer);
     let mut frames: Vec<_> = nodes.iter().flat_map(|node| node.frames.try_iter()).collect();
-    // The shards of one question are drawn at random, too; each skipped shard was asked about twice.
+    // The shards that one prefilter request asks about are drawn at random, too; each skipped shard was asked about
+    // twice.
     let mut asked = [0; 6];
     for frame in frames.iter_mut().filter(|frame| frame.starts_with('P')) {
         let (line, text) = frame.split_once("\\n").unwrap();
--- a/crates/dunepond-broker/tests/node_connections/harness.rs
+++ b/crates/dunepond-broker/tests/node_connections/harness.rs
@@ -50,8 +50,8 @@
         manual
     }
 
-    /// Returns a node with a full accept queue and the connections that fill it. Another connection is established only once there
-    /// is room and the system retries the connect, after a second.
+    /// Returns a node with a full accept queue and the connections that fill it. Another connection is established
+    /// only once there is room and the system retries the connect, after a second.
     pub fn with_full_queue() -> (Self, Vec<TcpStream>) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
@@ -271,7 +271,8 @@
 pub fn start_broker(rows: Vec<Value>, keys: &[(&str, Value)]) -> (Broker, DiscoveryServer) {
     let list = DiscoveryServer::start(rows.clone());
     let mut config = config(list.address, rows);
-    // On a busy machine the usual latency would exceed a shorter objective, and queries would be rejected.
+    // Sets a long latency objective: on a busy machine the measured latency would exceed a shorter one, and queries
+    // would be rejected.
     for service in config["settings"]["services"].as_array_mut().unwrap() {
         service["aimMs"] = json!(3000.0);
     }
@@ -300,7 +301,8 @@
     (client, connection)
 }
 
-/// Two queries with long payloads at one node that does not read: the first part is partly written, the second is queued behind it.
+/// Two queries with long payloads at one node that does not read: the first part is partly written, the second is
+/// queued behind it.
 pub struct BlockedNode {
     pub broker: Broker,
     pub list: DiscoveryServer,
@@ -332,7 +334,7 @@
         Self { broker, list, manual, connection, first, second }
     }
 
-    /// Publishes a list with a second node, which serves, and with the blocked node at this health.
+    /// Publishes a list with a second node, which serves, and the blocked node, which has this health.
     pub fn add_node(&self, health: &str) -> Node {
         let node = Node::start("s-1");
         self.list.publish(vec![self.manual.row("s-0", health), node.endpoint("ready")]);
--- a/crates/dunepond-broker/tests/node_connections/late_connect.rs
+++ b/crates/dunepond-broker/tests/node_connections/late_connect.rs
@@ -33,8 +33,8 @@
     assert!(connection.read_to_close().is_empty());
 }
 
-/// Sends a query with this time budget whose only part waits for a connection; returns the broker, its discovery server, the node,
-/// the connections that fill its accept queue, and the client.
+/// Sends a query with this time budget whose only part waits for a connection; returns the broker, its discovery
+/// server, the node, the connections that fill its accept queue, and the client.
 fn connecting_query(budget: &str) -> (Broker, DiscoveryServer, ManualNode, Vec<TcpStream>, Client) {
     let (late, fill) = ManualNode::with_full_queue();
     let keys = [
@@ -49,7 +49,7 @@
     (broker, list, late, fill, client)
 }
 
-/// The query's time is over before the broker handles the established connection.
+/// The query's time budget is used up before the broker handles the established connection.
 #[test]
 fn expired_query_not_sent_on_late_connect() {
     let (broker, _list, late, fill, mut client) = connecting_query("0.5");
@@ -58,7 +58,7 @@
     let connection = late.accept_late(fill);
     std::thread::sleep(Duration::from_millis(600).saturating_sub(start.elapsed()));
     broker.signal("CONT");
-    // Rejected or failed, depending on the order of events; in both cases nothing may be written.
+    // The query is rejected or fails, depending on the order of events; in both cases nothing may be written.
     assert_ne!(client.read_answer().unwrap().status, 200);
     drop(broker);
     assert!(connection.read_to_close().is_empty());
--- a/crates/dunepond-broker/tests/scenarios/attempts.rs
+++ b/crates/dunepond-broker/tests/scenarios/attempts.rs
@@ -10,7 +10,8 @@
 
 use super::nodes;
 
-/// A node that closes connections, sends invalid frames, hangs or rejects costs an idempotent query one more attempt at most.
+/// A node that closes connections, sends invalid frames, hangs or rejects attempts costs an idempotent query at most
+/// one more attempt.
 #[rstest]
 #[case(NodeBehavior::CloseMidFrame)]
 #[case(NodeBehavior::ReportProtocolError)]
@@ -45,7 +46,8 @@
     assert!((0..50).any(served));
 }
 
-/// Bytes after or within a valid response must not make the broker lose its value, or that of the next response.
+/// Surplus bytes after a valid response or within it must not make the broker lose the response's value, or that of
+/// the next response.
 #[rstest]
 #[case::duplicate_response(NodeBehavior::ServeThenRaw(b"\0\0\0\x11Ec0.2 hit 7 -\nv-q1"))]
 #[case::invalid_bytes(NodeBehavior::ServeThenRaw(b"?!?!?!?!"))]
@@ -62,7 +64,8 @@
     }
 }
 
-/// The attempt may have run, and its connection can no longer be read: it fails with unknown outcome at once.
+/// The attempt may have run, and its connection can no longer be read: the attempt fails at once, with an unknown
+/// outcome.
 #[rstest]
 #[case::another_id(NodeBehavior::ReplyRaw(b"\0\0\0\x10Ec9.2 hit 7 -\nv-q"))]
 #[case::incomplete_frame(NodeBehavior::ReplyRaw(b"\0\0\0\x30Ec0.2 hit 7 -\nv-"))]
@@ -80,7 +83,8 @@
     assert_eq!(client.request(&query_request("fix", "c1", &[2], "2.0")).status, 200);
 }
 
-/// Once the last byte of its frame is written, an attempt may have run: a retriable rejection would be wrong.
+/// Once the last byte of its frame is written, an attempt may have run, unless the node rejects it. Rejecting its
+/// query as retriable would be wrong.
 #[rstest]
 #[case(NodeBehavior::CloseMidFrame, 502)]
 #[case(NodeBehavior::ReplyStatus("fault"), 502)]
@@ -102,7 +106,8 @@
 fn refused_connection_is_retriable() {
     let nodes = nodes(1);
     let mut gone = nodes[0].endpoint("ready");
-    // Bound, so that no other process gets the port, and not listening.
+    // The socket is bound, so that no other process gets the port, but it does not listen, so that connections are
+    // refused.
     let closed = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     closed.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     gone["dial"] = json!(closed.local_addr().unwrap().as_socket().unwrap().to_string());
--- a/crates/dunepond-broker/tests/shutdown_before_kill.rs
+++ b/crates/dunepond-broker/tests/shutdown_before_kill.rs
@@ -1,6 +1,6 @@
-//! Every accepted request is answered before the supervisor kills a process that is shutting down, even if the process stalls.
-//! Regression tests for docs/incidents/2026-12-02-requests-late-in-a-shutdown.md: the shutdown stages were timed from when the signal
-//! was read instead of from when it may have arrived.
+//! Every accepted request is answered before the supervisor kills a process that is shutting down, even if the
+//! process stalls. Regression tests for docs/incidents/2026-12-02-requests-late-in-a-shutdown.md: the shutdown stages
+//! were timed from when the signal was read instead of from when it may have arrived.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -9,7 +9,8 @@
 use rstest::rstest;
 use serde_json::json;
 
-/// Time from SIGTERM plus the longest query timeout to the earliest kill.
+/// Earliest time of the supervisor's kill, counted from SIGTERM plus the longest query timeout, or plus 3 s if the
+/// timeout is longer.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// Tolerance for the test client's own delay.
 const CLIENT_DELAY: Duration = Duration::from_millis(20);
@@ -127,7 +128,8 @@
     assert!(Instant::now() < kill, "{:?}", signalled_at.elapsed());
 }
 
-/// The request arrives so late in the shutdown that its deadline is after the exit.
+/// The request arrives so late in the shutdown that its deadline is later than the time by which the broker must have
+/// exited.
 #[test]
 fn late_requests_rejected_at_once() {
     let node = [Node::start("s-0")];
--- a/crates/dunepond-broker/tests/shutdown_requests.rs
+++ b/crates/dunepond-broker/tests/shutdown_requests.rs
@@ -30,8 +30,8 @@
         sleep(Duration::from_secs_f64(seconds).saturating_sub(self.signalled_at.elapsed()));
     }
 
-    /// Stops the process from and until these times, in seconds after SIGTERM, as an overloaded machine would; runs `meanwhile`
-    /// while it is stopped.
+    /// Stops the process between these two times, in seconds after SIGTERM, to simulate an overloaded machine. Runs
+    /// `meanwhile` while the process is stopped.
     fn stop_while(&self, from: f64, to: f64, meanwhile: impl FnOnce()) {
         self.wait_until(from);
         self.broker.signal("STOP");
@@ -101,7 +101,8 @@
     broker.assert_exits_in_time(client);
 }
 
-/// The requests arrive on a connection from before the stall, and on one that is accepted only after it.
+/// A request arrives during a stall of the process, on a connection that was accepted before the stall or on one that
+/// is accepted only after it.
 #[rstest]
 fn requests_received_during_stall_are_answered(#[values(false, true)] accepted: bool) {
     let mut client = None;
@@ -158,7 +159,7 @@
     broker.assert_exits_in_time(client);
 }
 
-/// The request's deadline is after the exit.
+/// The request's deadline is later than the time by which the broker must have exited.
 #[test]
 fn late_request_answered_before_kill() {
     let broker = ShuttingDown::start(|_| {});
