--- a/crates/dunepond-consensus/src/active_config.rs
+++ b/crates/dunepond-consensus/src/active_config.rs
@@ -13,7 +13,7 @@
 /// Retry-After, in seconds, of a broker that has never had a lease.
 const UNLEASED_RETRY_AFTER_SECONDS: f64 = 1.0;
 
-/// The configuration versions that a broker acts on at one moment, by number.
+/// Which configuration versions a broker acts on at one moment. The values are the versions' numbers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ConfigPhase {
     /// The broker knows no configuration version.
@@ -57,19 +57,20 @@
 pub(crate) enum RolloutSide {
     /// The active version alone.
     Active,
-    /// The joint configuration of the active and the proposed version.
+    /// The joint configuration: the stricter values of the active and the proposed version, field by field.
     Joint,
     /// The proposed version alone.
     Proposed,
 }
 
-/// The versions, rules and segment owners that a broker may act on. It is cheap to clone; the lease client makes a new
-/// one at each change and for each lease. Every method takes the present clock reading, so that a process that was
-/// suspended does not act on an expired lease.
+/// The versions, rules and segment owners that a broker may act on. It is cheap to clone. The lease client makes a new
+/// one when the versions change and when a lease is granted. Methods whose result depends on the lease take the present
+/// clock reading, so that a process that was suspended does not act on an expired lease.
 #[derive(Clone, Debug)]
 pub struct ActiveConfig {
     snapshot: Arc<ConfigSnapshot>,
-    /// Clock reading when the lease client returned this value. An earlier reading means that the clock went back.
+    /// The last clock reading of the lease client when it returned this value. If a later call passes an earlier
+    /// reading, the clock went back, and the lease does not count as valid.
     taken_at: f64,
 }
 
@@ -99,7 +100,7 @@
     pub retry_after_seconds: f64,
     /// The rules that apply while the lease is valid.
     leased_rules: Option<RoutingRules>,
-    /// The rules that apply without a lease.
+    /// The strictest combination of the rules of the known versions; it applies without a valid lease.
     strictest_rules: Option<RoutingRules>,
     /// Names of the nodes that the active or the proposed version excludes.
     excluded_nodes: BTreeSet<String>,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Computes the rules and the excluded nodes from the versions.
+    /// Makes an [`ActiveConfig`] from this snapshot, after computing its rules and excluded nodes from the versions.
     pub fn into_active_config(mut self) -> ActiveConfig {
         let rules =
             |version: &Option<Arc<ConfigVersion>>| version.as_ref().map(|version| version.rules.clone());
@@ -161,7 +162,7 @@
         Self { snapshot: self.snapshot.clone(), taken_at }
     }
 
-    /// Whether the lease is valid at `now`. The results of the other methods depend on `now` only through this one.
+    /// Whether the lease is valid at `now`. The other methods use `now` only for this check.
     // A reading before `taken_at` means that the clock went back, so it cannot show whether the lease has ended. This
     // also covers the first action after a suspension, before the lease client has read the clock.
     pub fn lease_valid(&self, now: f64) -> bool {
@@ -180,7 +181,7 @@
         self.snapshot.lease_until
     }
 
-    /// The versions that apply at `now`.
+    /// The configuration versions that the broker acts on at `now`.
     pub fn phase(&self, now: f64) -> ConfigPhase {
         let (active, proposed) = (self.active_number(), self.proposed_number().unwrap_or(0));
         if active == 0 && proposed == 0 {
@@ -215,7 +216,8 @@
         let unavailable = SegmentOwner::Unavailable(snapshot.retry_after_seconds);
         let (active, proposed) = (snapshot.active_proof.as_ref(), snapshot.proposed_proof.as_ref());
         if !self.lease_valid(now) {
-            // Without a lease this broker may have missed a change of the owner, or the first map.
+            // Without a lease this broker may not know yet that the owner of the segment changed, or that a first shard
+            // map became active.
             let maps_impossible = snapshot.had_lease && !snapshot.maps_enabled;
             let has_no_map = active.is_none() && proposed.is_none();
             return if maps_impossible && has_no_map { SegmentOwner::AnyReplica } else { unavailable };
@@ -244,8 +246,9 @@
         self.snapshot.excluded_nodes.contains(node)
     }
 
-    /// The shard map that a query's parts have to cover at `now`: the active version's map until the broker acts on the
-    /// proposed version alone. `None` if no known version has a map.
+    /// The shard map whose segments the parts of a query have to cover at `now`: the proposed version's map if the
+    /// broker acts on that version alone or the active version has no map, otherwise the active version's map. `None`
+    /// if no known version has a map.
     pub fn map(&self, now: f64) -> Option<&VerifiedMap> {
         let snapshot = &self.snapshot;
         if snapshot.side == RolloutSide::Proposed && self.lease_valid(now) {
@@ -264,7 +267,7 @@
         self.snapshot.proposed.as_ref().map(|version| version.number)
     }
 
-    /// The active and the proposed version, as far as they exist.
+    /// The active and the proposed version; `None` for one that does not exist.
     pub fn versions(&self) -> (Option<&ConfigVersion>, Option<&ConfigVersion>) {
         (self.snapshot.active.as_deref(), self.snapshot.proposed.as_deref())
     }
--- a/crates/dunepond-consensus/src/codec.rs
+++ b/crates/dunepond-consensus/src/codec.rs
@@ -6,7 +6,8 @@
 use serde::de::{DeserializeOwned, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The self-described CBOR tag (55799). No document of format 1 begins with these bytes.
+/// The self-described CBOR tag (55799). It distinguishes documents from those of format 1, the first stored format,
+/// none of which begins with these bytes.
 const CBOR_TAG: [u8; 3] = [0xd9, 0xd9, 0xf7];
 
 pub(crate) fn encode<T: Serialize>(document: &T) -> Vec<u8> {
@@ -15,13 +16,13 @@
     bytes
 }
 
-/// Decodes a document; `None` if it has another format or is malformed.
+/// Decodes a document; `None` if it does not begin with the CBOR tag or is malformed.
 pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     ciborium::from_reader(bytes.strip_prefix(&CBOR_TAG)?).ok()
 }
 
-/// Decodes a document like [`decode`]; also returns `None` if it has a field that this build does not know. Without this
-/// check an entry would be applied without that field.
+/// Decodes a document like [`decode`]; also returns `None` if it has a field that this build does not know. Without
+/// this check a voter would apply a log entry of a later build as if it did not have that field.
 pub(crate) fn decode_fully_known<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     decode(bytes).filter(|document| encode(document) == bytes)
 }
--- a/crates/dunepond-consensus/src/command.rs
+++ b/crates/dunepond-consensus/src/command.rs
@@ -10,8 +10,8 @@
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Proposes a configuration version. Once this is committed, brokers act on the joint configuration of the active
-    /// and the proposed version.
+    /// Proposes a configuration version. Once the command is committed, brokers act on the joint configuration of the
+    /// active and the proposed version from their next lease on.
     Propose(Box<ConfigVersion>),
     /// Reports that a fill is complete: a node now holds a replica that the proposed shard map requires.
     #[serde(rename = "Filled")]
@@ -29,7 +29,8 @@
         /// Number of the proposed version.
         number: u64,
     },
-    /// Withdraws the proposed version; the previous version stays the only active one.
+    /// Withdraws the proposed version, so that the active version stays the only one in force. If the proposed version
+    /// is in its first stage, it is rolled back first.
     Withdraw {
         /// Number of the proposed version.
         number: u64,
--- a/crates/dunepond-consensus/src/config_version.rs
+++ b/crates/dunepond-consensus/src/config_version.rs
@@ -76,7 +76,8 @@
     /// When the version was proposed, in Unix seconds; only shown to people.
     #[serde(rename = "at")]
     pub proposed_at_unix_seconds: f64,
-    /// Keys that are not among the fields of format 1; see [`Extension`]. Only the packed encoding contains them.
+    /// Keys that are not among the fields of format 1; see [`Extension`]. Only the bytes of [`ConfigVersion::packed`]
+    /// contain them.
     #[serde(skip)]
     pub extensions: Vec<Extension>,
 }
--- a/crates/dunepond-consensus/src/consensus_config.rs
+++ b/crates/dunepond-consensus/src/consensus_config.rs
@@ -3,8 +3,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Longest time in seconds from the check of an action to the action itself: one iteration of the event loop, from
-/// reading the clock to writing the frame. It is part of the quiescence period.
+/// Longest time in seconds between the check whether a broker may send a part and the sending itself: one iteration of
+/// the event loop, from reading the clock to writing the frame. It is part of the quiescence period.
 pub const MAX_ACTION_DELAY_SECONDS: f64 = 0.1;
 
 const MIN_LEASE_SECONDS: f64 = 0.2;
@@ -24,8 +24,8 @@
     /// Largest relative drift of any broker's monotonic clock, as a ratio; 0.01 is 1%.
     #[serde(rename = "drift")]
     pub drift_ratio: f64,
-    /// The switch bound T, in seconds: once this time has passed since a change was committed, no broker acts on the
-    /// previous version alone.
+    /// The switch bound T, in seconds: once this time has passed since a proposed version was committed, no broker acts
+    /// on the previously active version alone.
     #[serde(rename = "bound")]
     pub switch_bound_seconds: f64,
     /// Longest timeout of a query, in seconds.
@@ -126,8 +126,9 @@
 }
 
 impl ConsensusConfig {
-    /// The quiescence period W, in seconds on the leader's own clock. Until it has passed since the leader saw a change
-    /// committed, actions that were allowed before the change may still be in flight.
+    /// The quiescence period W, in seconds on the leader's own clock. Until it has passed since the leader saw an entry
+    /// committed, brokers may still act on the state before that entry, and queries that were sent on that state may be
+    /// in flight.
     pub fn quiescence_seconds(&self) -> f64 {
         self.quiescence_seconds_for(self.lease_seconds)
     }
@@ -138,7 +139,7 @@
         self.with_drift(lease_seconds + self.longest_query_seconds + MAX_ACTION_DELAY_SECONDS)
     }
 
-    /// The longest time that may pass on the fastest clock while `seconds` pass on the slowest one.
+    /// The longest time that may pass on the fastest allowed clock while `seconds` pass on the slowest allowed one.
     pub fn with_drift(&self, seconds: f64) -> f64 {
         seconds * (1.0 + self.drift_ratio) / (1.0 - self.drift_ratio)
     }
--- a/crates/dunepond-consensus/src/decode.rs
+++ b/crates/dunepond-consensus/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decoding of documents from folders and messages, in the present format or in format 1.
+//! Decoding of stored log entries, snapshots and persisted state, in the present format or in format 1, the first one.
 
 use crate::log_entry::LogEntry;
 use crate::{Command, ConsensusError, PersistedState, Rejection, ReplicatedState, codec, format1};
--- a/crates/dunepond-consensus/src/effects.rs
+++ b/crates/dunepond-consensus/src/effects.rs
@@ -3,7 +3,8 @@
 use crate::{LeaseReply, Rejection, StateChange, WriteBatch};
 
 /// Effects of a call to a [`crate::Voter`]. The host has to append `write_batch` to its journal and sync it before it
-/// sends any message or reply: otherwise a restart could lose a vote or an acknowledgement on which others rely.
+/// sends any message or reply: otherwise a restart could lose a vote or an acknowledgement on which other voters
+/// already rely.
 #[derive(Debug, Default)]
 pub struct Effects {
     /// Messages to other voters: the name of the receiver, and the bytes that it passes to [`crate::Voter::receive`].
--- a/crates/dunepond-consensus/src/error.rs
+++ b/crates/dunepond-consensus/src/error.rs
@@ -19,10 +19,12 @@
         /// Name of this broker.
         name: String,
     },
-    /// The operator's order to recover from a lost majority is invalid, or not valid for the folder.
+    /// The operator's order to recover a fleet that lost the majority of its voters is invalid, or was written for
+    /// another folder or another state of it.
     #[error("the recovery order is rejected: {0}")]
     Recovery(#[from] RecoveryError),
-    /// A message has an epoch from before the fleet was recovered.
+    /// A message states an earlier epoch than the fleet's. Each recovery from a lost majority begins a new epoch, so
+    /// the message is from before a recovery.
     #[error("the message from `{from}` has epoch {stated}, and the fleet is in epoch {known}")]
     StaleEpoch {
         /// Name of the sender.
@@ -32,7 +34,7 @@
         /// Epoch of the fleet that this voter knows.
         known: u64,
     },
-    /// A message is from a voter of a fleet that was founded separately.
+    /// A message is from a voter of another fleet, which was founded independently of this one.
     #[error("the message from `{from}` belongs to another fleet")]
     OtherFleet {
         /// Name of the sender.
@@ -41,7 +43,7 @@
     /// A stored record is malformed.
     #[error("cannot decode {0} in the folder")]
     CorruptRecord(&'static str),
-    /// The stored log lacks entries.
+    /// Entries are missing from the stored log.
     #[error("the log in the folder has {0}")]
     CorruptLog(&'static str),
     /// A message is malformed.
--- a/crates/dunepond-consensus/src/format1.rs
+++ b/crates/dunepond-consensus/src/format1.rs
@@ -1,5 +1,6 @@
-//! Documents of format 1, which folders of the first fleets contain. They are read but never written. The format is
-//! postcard, in which the order of fields and variants is significant.
+//! Decoding of documents of format 1, the first stored format, which data folders of early fleets contain. Such
+//! documents are read but never written. They are encoded with postcard, so the order of fields and variants is
+//! significant.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -119,9 +120,9 @@
     }
 }
 
-/// Decodes the state of a snapshot. The voters are taken from its configuration, since format 1 had no other list. A
-/// settlement is left out if the ledger does not accept it because its id does not identify the fill that paid off the
-/// debt.
+/// Decodes the state of a snapshot. The voters are taken from the consensus configuration in the snapshot, since format
+/// 1 stored no other list of voters. A settlement is omitted if its id does not identify the fill that paid off the
+/// debt, since the ledger rejects it then.
 pub(crate) fn replicated_state(bytes: &[u8]) -> Option<ReplicatedState> {
     let old: ReplicatedState1 = decode(bytes)?;
     let mut state = ReplicatedState::new(old.config, old.voter_slots);
--- a/crates/dunepond-consensus/src/lease_client/adoption.rs
+++ b/crates/dunepond-consensus/src/lease_client/adoption.rs
@@ -1,4 +1,5 @@
-//! Adoption of lease grants. The client validates the versions and verifies their maps itself, whoever sent them.
+//! Adoption of the state in lease grants. The client validates the configuration versions in a grant and verifies their
+//! shard maps itself, whichever voter sent the grant.
 
 use std::collections::BTreeSet;
 
@@ -14,8 +15,8 @@
         if let Some(part) = grant.required_parts.first() {
             return Err(Rejection::UnknownPart(part.clone()));
         }
-        // `maps_enabled` is recorded even if the grant is rejected below, since a version with a shard map may become
-        // active.
+        // `maps_enabled` is recorded even if the grant is rejected below, since from now on a version with a shard map
+        // may become active, and without a lease this broker must not assume that there is none.
         self.snapshot.maps_enabled |= grant.maps_enabled;
         let active = grant.active.as_ref().map(|(number, digest)| self.find_version(grant, *number, digest));
         let active = active.transpose()?;
@@ -127,7 +128,7 @@
     }
 
     /// Adopts entries of the settlement log. An update that does not begin with the first entry that this broker lacks
-    /// answers an older request; it is skipped unless it contains the whole ledger.
+    /// is the reply to an earlier request, and is skipped unless it contains the complete ledger.
     fn adopt_settlements(&mut self, update: &SettlementUpdate) {
         let is_whole = update.ledger.is_some();
         if update.from != self.known_settlements && !is_whole {
@@ -144,8 +145,9 @@
     a.as_ref().map(|known| &known.digest) == b.as_ref().map(|known| &known.digest)
 }
 
-/// Whether the broker acts on configuration version `number` alone in its first stage. A hash of the broker's name
-/// selects the given ratio of the brokers, and the selection differs from version to version.
+/// Whether the broker acts on configuration version `number` alone during that version's first stage. A hash of the
+/// broker's name and the number selects the given ratio of the brokers, so the selection differs from version to
+/// version.
 fn is_in_first_stage(broker: &str, number: u64, ratio: f64) -> bool {
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(broker.as_bytes(), number);
     (hash as f64) < ratio * u64::MAX as f64
--- a/crates/dunepond-consensus/src/lease_client/clock_guard.rs
+++ b/crates/dunepond-consensus/src/lease_client/clock_guard.rs
@@ -1,12 +1,13 @@
-//! Detects clocks that exceed the configured drift. Leases are only safe while no clock does.
+//! Detects clocks whose drift exceeds the configured limit. Leases are only safe while every clock stays within that
+//! limit.
 
 use crate::{ConsensusConfig, LeaseGrant, Rejection};
 
-/// Age of the reference sample, in lease durations, from which a newer sample replaces it.
+/// Age in lease durations above which a newer sample replaces [`ClockGuard::reference`].
 const MAX_REFERENCE_AGE_LEASES: f64 = 3.0;
 
-/// The times at which this broker sent the request for a grant, by its own clock, and the leader received it, by the
-/// leader's clock.
+/// Two times of a granted lease request: when this broker sent it, on this broker's clock, and when the leader received
+/// it, on the leader's clock.
 #[derive(Clone)]
 pub(super) struct ClockSample {
     leader: String,
@@ -25,13 +26,14 @@
         }
     }
 
-    /// Whether both samples are from the same run of the same leader's process, so that one clock measured both.
+    /// Whether both samples are from the same process of the same leader, so that `received_at` is from the same clock
+    /// in both.
     fn same_clock(&self, other: &Self) -> bool {
         self.leader == other.leader && self.leader_run == other.leader_run
     }
 }
 
-/// A run of a leader's process whose leases are not accepted because its clock and this broker's differ too much.
+/// A leader process whose leases are rejected because the rates of its clock and this broker's differ too much.
 struct LeaderDistrust {
     sample: ClockSample,
     reason: Rejection,
@@ -41,11 +43,12 @@
 pub(super) struct ClockGuard {
     /// The latest reading of this broker's clock.
     last: f64,
-    /// An earlier grant, against which the next ones are compared.
+    /// The sample of an earlier grant, with which the samples of later grants are compared.
     reference: Option<ClockSample>,
-    /// Why no lease of any leader is accepted until the process is restarted.
+    /// Why the leases of all leaders are rejected until this process is restarted; `None` if this broker's clock never
+    /// went back.
     own_distrust: Option<Rejection>,
-    /// The run of a leader's process whose leases are not accepted, and why.
+    /// The leader process whose leases are rejected, and why; `None` if there is none.
     leader_distrust: Option<LeaderDistrust>,
 }
 
@@ -70,8 +73,8 @@
         went_back
     }
 
-    /// Why leases are not accepted, either those of all leaders or those of one run of a leader's process; `None` if
-    /// all are accepted.
+    /// Why the leases of all leaders, or those of one leader process, are rejected; `None` if leases of every leader
+    /// are accepted.
     pub fn distrust_reason(&self) -> Option<&Rejection> {
         self.own_distrust.as_ref().or(self.leader_distrust.as_ref().map(|distrust| &distrust.reason))
     }
@@ -81,15 +84,15 @@
         self.own_distrust.clone().map_or(Ok(()), Err)
     }
 
-    /// Whether leases of the leader's run that granted this sample are accepted.
+    /// Whether leases granted by the leader process of this sample are accepted.
     pub fn trusts(&self, sample: &ClockSample) -> bool {
         !self.leader_distrust.as_ref().is_some_and(|distrust| distrust.sample.same_clock(sample))
     }
 
-    /// Compares the rates of this broker's clock and the leader's by two grants of the same run of a leader. Only the
-    /// unsafe direction is rejected: this clock is slow, so that leases last too long, or the leader's is fast, so that
-    /// its waits are too short. The comparison cannot tell which of the two clocks is wrong, so another leader is trusted
-    /// until its clock differs, too.
+    /// Compares the rates of this broker's clock and the leader's by two grants of the same leader process. Returns an
+    /// error only for the unsafe difference: this broker's clock is slower, so that its leases last too long, or the
+    /// leader's clock is faster, so that its waits are too short. The comparison cannot tell which of the two clocks is
+    /// wrong, so another leader is trusted until its clock differs as well.
     pub fn compare(
         &mut self,
         now: f64,
@@ -105,8 +108,8 @@
             self.reference = Some(sample);
             return Ok(());
         };
-        // Measured from before the first request until after the last reply, so it includes the whole interval that the
-        // leader measured.
+        // `local` spans from when the reference request was sent until the present reply arrived. The leader received
+        // both requests within that time, so `leader` cannot be longer if both clocks run at the same rate.
         let local = now - reference.sent_at;
         let leader = sample.received_at - reference.received_at;
         if config.with_drift(local) < leader {
--- a/crates/dunepond-consensus/src/lease_client/mod.rs
+++ b/crates/dunepond-consensus/src/lease_client/mod.rs
@@ -21,12 +21,13 @@
 use clock_guard::{ClockGuard, ClockSample};
 use voter_selection::VoterSelection;
 
-/// Fraction of a lease, counted from its request, after which it is renewed.
+/// Fraction of the lease duration, counted from when the lease was requested, after which the next lease is requested.
 const RENEWAL_LEASE_RATIO: f64 = 1.0 / 3.0;
-/// Shortest delay, as a fraction of a lease, before another voter is asked after a request failed or was not granted. A
-/// random factor up to 2 lengthens it. An unanswered request is given twice the resulting time.
+/// Shortest delay, as a fraction of the lease duration, between a request that failed or was not granted and the next
+/// one, to another voter. The delay is multiplied by a random factor from 1 to 2. A request without a reply times out
+/// after twice the resulting time.
 const RETRY_LEASE_RATIO: f64 = 1.0 / 12.0;
-/// Largest number of pending requests; if there are more, the reply to the oldest one is no longer accepted.
+/// Largest number of pending requests; if there are more, the oldest one is dropped, and a reply to it is rejected.
 const MAX_PENDING_COUNT: usize = 8;
 
 /// A revision that changes whenever the versions, voters or epoch in [`LeaseClient::persisted_state`] change.
@@ -38,7 +39,7 @@
     epoch: u64,
 }
 
-/// A request that was sent and is not answered yet.
+/// A lease request that was sent and is not answered yet.
 struct PendingRequest {
     id: u64,
     /// When the request was sent, in seconds on this broker's clock.
@@ -74,7 +75,7 @@
     epoch: u64,
     /// Keys of version extensions that this build implements.
     known_keys: Vec<String>,
-    /// Log index of the last adopted grant.
+    /// Log index of the state in the last adopted grant.
     index: u64,
     active: Option<KnownVersion>,
     proposed: Option<KnownVersion>,
@@ -124,8 +125,8 @@
         client
     }
 
-    /// Adopts the persisted state, without a lease. Versions that are not valid under the present configuration are left
-    /// out.
+    /// Restores the persisted state; the client still has no lease. Versions that are invalid under the present
+    /// consensus configuration are omitted.
     fn restore(&mut self, persisted: PersistedState) {
         self.voters.set_committed(persisted.voters, persisted.voters_number);
         (self.fleet_id, self.epoch) = (persisted.fleet_id, persisted.epoch);
@@ -162,15 +163,16 @@
         self.demand = demand;
     }
 
-    /// Returns the next request and the voter to send it to, if one is due. The caller has to call this at least ten
-    /// times per lease duration.
+    /// Returns the next lease request and the name of the voter to send it to, if a request is due. The caller has to
+    /// call this method at least ten times per lease duration.
     pub fn tick(&mut self, now: f64) -> Option<(String, LeaseRequest)> {
         self.observe_clock(now);
         if now < self.next_request_at || self.config.voters.is_empty() {
             return None;
         }
         if let Some(last) = self.pending.last() {
-            // The voter has not replied in time. The next one forwards the request to the leader if it does not lead.
+            // The voter that was asked last has not replied in time. The next request goes to another voter, which
+            // forwards it if it is not the leader.
             self.voters.mark_unresponsive(now, &last.voter);
         }
         let retry = RETRY_LEASE_RATIO * (1.0 + self.rng.random::<f64>());
@@ -240,13 +242,15 @@
         self.refresh();
     }
 
-    /// Why leases are not accepted because of a faulty clock, if so: those of every leader, or those of one leader's run.
-    /// The host has to report the reason to an operator.
+    /// Why leases are rejected because of a faulty clock: those of all leaders if this broker's clock went back, or
+    /// those of one leader process if its clock and this broker's differ too much. `None` if leases of every leader are
+    /// accepted. The host has to report the reason to an operator.
     pub fn distrust_reason(&self) -> Option<&Rejection> {
         self.clock.distrust_reason()
     }
 
-    /// Handles a reply at the time `now`. If a part of it is invalid, no lease is granted and no version of it is adopted.
+    /// Handles a reply that arrived at `now`. If any part of the reply is invalid, the lease is not extended, and none
+    /// of the versions in the reply is adopted.
     ///
     /// # Errors
     /// Why the reply was not adopted.
@@ -267,7 +271,7 @@
                 return Err(Rejection::NotAVoter(voter));
             }
         };
-        // Earlier requests are dropped, too: their replies would not be newer.
+        // Requests that were sent before this one are dropped, too: their leases would have started earlier.
         let Some(request) = self.pending.drain(..=position).next_back() else {
             return Err(Rejection::UnexpectedReply(reply.id));
         };
@@ -280,7 +284,8 @@
         self.voters.granted(now, &grant.leader, request.voter);
         let became_joint = self.joint_version().is_some() && self.joint_version() != joint_before;
         self.next_request_at = if became_joint {
-            // Requested at once, since the leader waits for the report that this broker acts on the joint configuration.
+            // The next request is sent at once: it reports that this broker acts on the joint configuration, and the
+            // leader waits for that report.
             now
         } else {
             request.sent_at + self.config.lease_seconds * RENEWAL_LEASE_RATIO
@@ -289,7 +294,7 @@
         Ok(())
     }
 
-    /// Drops a request that was not granted, and returns the name of its voter.
+    /// Drops a request that was not granted, and returns the name of the voter to which it was sent.
     fn drop_rejected(&mut self, now: f64, position: usize) -> String {
         let voter = self.pending.remove(position).voter;
         self.voters.forget_leader();
@@ -298,7 +303,8 @@
         voter
     }
 
-    /// Checks that a grant is from this fleet, not stale, and consistent with the clocks.
+    /// Checks that a grant is from this fleet, that its state is not older than the adopted one, and that the clocks
+    /// have not drifted too far.
     fn check_grant(&mut self, now: f64, sent_at: f64, grant: &LeaseGrant) -> Result<(), Rejection> {
         self.clock.check_trusted()?;
         if self.fleet_id != 0 && grant.fleet_id != 0 && grant.fleet_id != self.fleet_id {
@@ -330,7 +336,7 @@
         self.refresh();
     }
 
-    /// Computes the active configuration again after a change.
+    /// Makes a new `active_config` after a change of the versions, the lease or other parts of the snapshot.
     fn refresh(&mut self) {
         self.snapshot.active = self.active.as_ref().map(|known| known.version.clone());
         self.snapshot.proposed = self.proposed.as_ref().map(|known| known.version.clone());
@@ -378,13 +384,14 @@
         self.known_settlements = count;
     }
 
-    /// Names of the voters: those of the committed list, or those of the file while no committed list is known.
+    /// Names of the voters: those of the committed list, or those in this broker's configuration file while no
+    /// committed list is known.
     pub fn voters(&self) -> Vec<String> {
         self.voters.names()
     }
 
-    /// Number of the committed list of voters that [`Self::voters`] returns; 0 while no later list than the founding one
-    /// is known.
+    /// Number of the latest committed list of voters that this client knows; 0 if it knows none, or only the list with
+    /// which the fleet was founded.
     pub fn voters_number(&self) -> u64 {
         self.voters.number()
     }
@@ -399,7 +406,8 @@
         self.voters.leader()
     }
 
-    /// Random number that identifies this run of the broker's process.
+    /// Random number drawn at the start of this broker's process, which distinguishes it from earlier processes of the
+    /// same broker.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
--- a/crates/dunepond-consensus/src/lease_client/voter_selection.rs
+++ b/crates/dunepond-consensus/src/lease_client/voter_selection.rs
@@ -4,9 +4,10 @@
 
 use crate::{ConsensusConfig, VoterInfo};
 
-/// Number of lease durations for which a voter that did not reply is only asked if no other voter is left.
+/// Number of lease durations for which a voter that did not grant a request is avoided; it is only asked again within
+/// that time if all other voters are avoided, too.
 const AVOIDANCE_LEASES: f64 = 10.0;
-/// Largest number of voters that are taken from the reply of a former voter.
+/// Largest number of voters that are remembered from the reply of a former voter; see [`VoterSelection::set_hints`].
 const MAX_HINT_COUNT: usize = 16;
 
 /// The known voters, and which of them is asked next.
@@ -15,11 +16,12 @@
     configured: Vec<String>,
     /// Voters of the committed list; empty while none is known.
     committed: Vec<VoterInfo>,
-    /// Number of the committed list.
+    /// Number of the committed list of voters.
     number: u64,
     /// Names of the voters in the reply of a former voter.
     hints: Vec<String>,
-    /// The voter through which the last lease was granted, or its leader if that is reachable.
+    /// The voter to ask first: the leader that granted the last lease, or, if that leader is not a known voter or did
+    /// not grant a recent request, the voter that was asked for the lease.
     preferred: Option<String>,
     /// Name of the leader that granted the last lease.
     leader: Option<String>,
@@ -49,8 +51,8 @@
         (self.committed, self.number) = (committed, number);
     }
 
-    /// Sets further voters to ask, from the reply of a former voter. A hint is not trusted beyond that: a grant from such
-    /// a voter is checked like any other.
+    /// Sets further voters that may be asked, taken from the reply of a former voter. The reply need not be trusted,
+    /// since a grant is checked in the same way whichever voter sent it.
     pub fn set_hints(&mut self, voters: Vec<VoterInfo>) {
         self.hints = voters.into_iter().map(|voter| voter.name).take(MAX_HINT_COUNT).collect();
     }
@@ -60,8 +62,8 @@
         if let Some(voter) = &self.preferred {
             return voter.clone();
         }
-        // Voters of the file and hints are only asked if no committed voter replies. They are needed because the voters
-        // may have changed while this broker was partitioned.
+        // Voters in the file and in hints are only asked if every committed voter is avoided. This broker needs them to
+        // find the present voters if these changed while it was partitioned.
         let committed: Vec<&String> = self.committed.iter().map(|voter| &voter.name).collect();
         let others = self.configured.iter().chain(&self.hints);
         let others: Vec<&String> = others.filter(|name| !committed.contains(name)).collect();
--- a/crates/dunepond-consensus/src/lease_messages.rs
+++ b/crates/dunepond-consensus/src/lease_messages.rs
@@ -14,8 +14,8 @@
     pub id: u64,
     /// Name of the broker.
     pub broker: String,
-    /// When the request was sent, in seconds on the broker's clock. The reply repeats it, but the broker relies on its
-    /// own record instead.
+    /// When the request was sent, in seconds on the broker's clock. The reply repeats this time, but the broker relies
+    /// on its own record of it instead.
     #[serde(rename = "sent")]
     pub sent_at: f64,
     /// Number and digest of each configuration version that the broker has, so that the reply can omit its document.
@@ -58,9 +58,10 @@
 /// The outcome of a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LeaseAnswer {
-    /// A lease is granted, on a state that contains everything committed when the request arrived.
+    /// A lease is granted. The state in the grant contains every entry that was committed when the request arrived.
     Granted(Box<LeaseGrant>),
-    /// The receiver is no longer a voter; the list contains the voters to ask instead, as far as the receiver knows.
+    /// The receiver is no longer a voter. The value lists the voters that may be asked instead, according to the
+    /// receiver's last known state.
     #[serde(rename = "NoVoter")]
     NotAVoter(Vec<VoterInfo>),
     /// The receiver knows no leader, stopped leading while the request was pending, or cannot grant leases at present.
@@ -79,7 +80,7 @@
     #[serde(default)]
     #[serde(rename = "must")]
     pub required_parts: Vec<String>,
-    /// Random id drawn when the fleet was founded; 0 if the founding build drew none.
+    /// Random id drawn when the fleet was founded; 0 if the fleet was founded by a build that drew none.
     #[serde(default)]
     #[serde(rename = "fleet")]
     pub fleet_id: u64,
@@ -87,7 +88,7 @@
     /// build without epochs.
     #[serde(default)]
     pub epoch: u64,
-    /// Index in the log up to which the state is applied.
+    /// Index in the log up to which the state in this grant was applied.
     pub index: u64,
     /// Number and digest of the active version, if there is one.
     #[serde(rename = "in_force")]
--- a/crates/dunepond-consensus/src/lib.rs
+++ b/crates/dunepond-consensus/src/lib.rs
@@ -1,5 +1,6 @@
 //! Consensus on the versioned configuration of a fleet: which versions there are, and which broker may act on which
-//! version until when. The crate is pure: it uses no socket, file or clock.
+//! version until when. The crate does no I/O and reads no clock; its callers pass in messages, stored records and clock
+//! readings.
 //!
 //! A [`Voter`] replicates log entries with the other voters through the `raft` library and grants leases. Every broker
 //! runs a [`LeaseClient`], which requests leases and turns the replies into an [`ActiveConfig`]. The broker consults the
--- a/crates/dunepond-consensus/src/log_entry.rs
+++ b/crates/dunepond-consensus/src/log_entry.rs
@@ -11,7 +11,7 @@
     /// A command that a host proposed.
     #[serde(rename = "Entry")]
     Command(Command),
-    /// The consensus configuration in the leader's file, which differs from the one in force, replaces it.
+    /// Replaces the consensus configuration in force with the one in the leader's file, if the two differ.
     #[serde(rename = "Terms")]
     Config(ConsensusConfig),
     /// The first stage of the proposed version begins.
@@ -30,7 +30,8 @@
     /// The pending list of voters takes effect.
     #[serde(rename = "Voted")]
     VotersReplaced(VoterReplacement),
-    /// Leases are granted again after the recovery that began this epoch, since every earlier lease has expired.
+    /// Ends the suspension of leases after the recovery that began this epoch. The leader writes the entry once every
+    /// lease from before the recovery, and every query sent under one, has ended.
     #[serde(rename = "Calm")]
     ResumeLeases { epoch: u64 },
 }
@@ -39,7 +40,7 @@
 /// membership change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct VoterReplacement {
-    /// Number of the pending list.
+    /// Number of the pending list of voters.
     pub number: u64,
     /// Name of the joining voter and the identity of its folder, if one joins.
     #[serde(rename = "joins")]
--- a/crates/dunepond-consensus/src/log_storage.rs
+++ b/crates/dunepond-consensus/src/log_storage.rs
@@ -1,5 +1,5 @@
-//! The raft library's storage of the log. It is held in memory, and each change is also collected in a batch that the
-//! host stores in the folder.
+//! The storage from which the raft library reads the log. The log is kept in memory, and each change is also added to a
+//! batch that the host stores in the voter's data folder.
 
 use protobuf::Message;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
@@ -8,9 +8,10 @@
 use crate::persistence::StoredEntry;
 use crate::{ConsensusError, StoredVoter, WriteBatch};
 
-/// Number of applied entries before a snapshot that stay in memory, for followers that lag a little.
+/// Number of entries before a snapshot that are retained in memory, so that followers that lag a little need no
+/// snapshot.
 const RETAINED_ENTRY_COUNT: u64 = 64;
-/// Number of applied entries after the last snapshot at which the next one is taken.
+/// Once this many entries have been applied since the last snapshot, the next one is taken.
 const SNAPSHOT_ENTRY_COUNT: u64 = 512;
 
 #[derive(Clone, Copy, Default)]
@@ -27,7 +28,7 @@
     snapshot: Snapshot,
     /// Consecutive entries; the first one directly follows `compacted`.
     entries: Vec<Entry>,
-    /// Position directly before the first entry; it is that of the snapshot or an earlier one.
+    /// Position directly before the first retained entry. It is the position of the snapshot or an earlier one.
     compacted: LogPosition,
     /// Changes since the last [`LogStorage::take_batch`].
     batch: WriteBatch,
@@ -73,7 +74,8 @@
             }
             log.entries.push(entry);
         }
-        // Entries that this voter has acknowledged are missing. If it voted without them, committed entries could be lost.
+        // The log ends before the commit index, so it lacks entries that this voter acknowledged. If the voter voted
+        // without them, committed entries could be lost.
         if log.hard_state.commit > log.end_index() {
             return Err(ConsensusError::CorruptLog("lost entries that were committed"));
         }
@@ -124,7 +126,7 @@
         (index - self.compacted.index - 1) as usize
     }
 
-    /// Replaces the whole log with `snapshot`.
+    /// Drops all entries of the log and replaces them with `snapshot`.
     pub fn restore(&mut self, snapshot: Snapshot) {
         let meta = snapshot.get_metadata();
         self.compacted = LogPosition { index: meta.index, term: meta.term };
@@ -157,7 +159,8 @@
         self.batch.hard_state = Some(encode(&self.hard_state));
     }
 
-    /// The whole content of the storage as one batch, with which the host may rewrite the journal.
+    /// The complete content of the storage as one batch, which the host may write to the journal in place of all
+    /// earlier records.
     pub fn checkpoint(&self) -> WriteBatch {
         let after = self.snapshot.get_metadata().index;
         WriteBatch {
--- a/crates/dunepond-consensus/src/persistence.rs
+++ b/crates/dunepond-consensus/src/persistence.rs
@@ -36,8 +36,8 @@
 pub(crate) struct FolderIdentity {
     /// Name of the broker.
     pub name: String,
-    /// Random id drawn when the folder was empty. It is the voter's id in the raft library, so that a voter with
-    /// another folder is another voter, which has not voted or acknowledged anything yet.
+    /// Random id drawn when the folder was empty. It is the voter's id in the raft library, so for the library a broker
+    /// with a new folder is a new voter, which has not voted or acknowledged anything yet.
     pub id: u64,
     /// Number of process starts on this folder, including the present one.
     pub start_count: u64,
@@ -113,7 +113,8 @@
 
     fn apply(&mut self, batch: WriteBatch) {
         if let Some(folder) = batch.folder {
-            // A folder with another id belongs to another voter, so the previous voter's records no longer apply.
+            // A new folder id means that the broker continues as a new voter, so the records of its previous folder no
+            // longer apply.
             if self.folder.as_ref().is_some_and(|previous| previous.id != folder.id) {
                 *self = Self::default();
             }
--- a/crates/dunepond-consensus/src/recovery_order.rs
+++ b/crates/dunepond-consensus/src/recovery_order.rs
@@ -7,8 +7,8 @@
 pub const RECOVERY_CONFIRMATION: &str =
     "what the lost voters alone agreed on is gone, and they must never come back with their folders";
 
-/// An operator's order to recover the fleet from one voter's folder. It is only valid for that folder, and only while the
-/// log in it ends at the stated index.
+/// An operator's order to recover the fleet from one voter's folder. The order is only valid for the folder with the
+/// stated id, and only while that folder's log ends at the stated index.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecoveryOrder {
@@ -35,7 +35,7 @@
     /// The folder contains no state from which a fleet could continue.
     #[error("the folder contains no state of a fleet")]
     NoState,
-    /// The order states the id of another folder.
+    /// The folder id in the order is not that of this folder.
     #[error("the order is for folder {stated}, and this folder is {actual}")]
     WrongFolder {
         /// Folder id in the order.
@@ -43,7 +43,7 @@
         /// Id of the folder.
         actual: u64,
     },
-    /// The order states another last index than that of the folder's log.
+    /// The last index in the order is not that of the folder's log.
     #[error("the order is for a log up to index {stated}, and the folder's log ends at index {actual}")]
     WrongPosition {
         /// Last index in the order.
@@ -51,10 +51,10 @@
         /// Last index of the folder's log.
         actual: u64,
     },
-    /// The order lists a broker as a lost voter that is not a voter.
+    /// The order lists a broker as a lost voter, but the broker is not a voter.
     #[error("`{0}` is not a voter according to the folder")]
     NotAVoter(String),
-    /// The order lists the voter that would have to continue as lost.
+    /// Among the lost voters, the order lists the voter from whose folder the fleet would continue.
     #[error("the order lists this voter itself as lost")]
     OwnVoter,
     /// The remaining voters are a majority, which can continue without an order.
--- a/crates/dunepond-consensus/src/rejection.rs
+++ b/crates/dunepond-consensus/src/rejection.rs
@@ -14,7 +14,7 @@
     /// The command was proposed at a follower. The value is the name of the leader, if it is known.
     #[error("this broker is not the leader; known leader: {0:?}")]
     NotLeader(Option<String>),
-    /// Another version is proposed; only one proposed version is allowed at a time.
+    /// Another version is already proposed, and neither active nor withdrawn yet; only one may be proposed at a time.
     #[error("version {open} is already proposed, and neither active nor withdrawn yet")]
     ChangeOpen {
         /// Number of the proposed version.
@@ -28,7 +28,7 @@
         /// The next number.
         expected: u64,
     },
-    /// The version is based on another version than the active one.
+    /// The version is based on a version that is not the active one.
     #[error("the version is based on version {given}, but version {in_force} is active")]
     WrongBase {
         /// Number of the version on which the proposed one is based.
@@ -79,8 +79,8 @@
     /// The command refers to a version that is not the proposed one.
     #[error("version {0} is not the proposed version")]
     NotProposed(u64),
-    /// The command activates a version that is not in its first stage. Only the leader may do so, once it knows by its
-    /// clock that all brokers act on the joint configuration.
+    /// The command activates a version that is not in its first stage. Only the leader may write such a command, since
+    /// it decides by its clock when all brokers act on the joint configuration.
     #[error("only the leader may activate version {0}")]
     LeaderOnly(u64),
     /// Fills that the proposed version requires are not complete.
@@ -158,7 +158,8 @@
         /// Names of the leaving voters.
         leaves: Vec<String>,
     },
-    /// The list of voters is not the pending one any more, or its voters' folders have changed.
+    /// The replacement of voters is for a list that is no longer the pending one, or the folder of one of the voters
+    /// has changed.
     #[error("voter list {number} is not the pending one, or a voter's folder has changed")]
     VotersSuperseded {
         /// Number of the list.
@@ -204,7 +205,7 @@
     /// A lease reply refers to a version whose document it does not contain and this broker does not have.
     #[error("the reply refers to version {0} and does not contain its document")]
     MissingDocument(u64),
-    /// A lease reply reflects an earlier state than one that was already adopted.
+    /// A lease reply contains an earlier replicated state than the one that this broker has already adopted.
     #[error(
         "the reply reflects the log up to index {stated}, and this broker knows the log up to index {known}"
     )]
@@ -214,7 +215,8 @@
         /// Log index that this broker knows.
         known: u64,
     },
-    /// A lease reply has an epoch from before the fleet was recovered.
+    /// A lease reply states an earlier epoch than the fleet's. Each recovery from a lost majority begins a new epoch,
+    /// so the reply is from before a recovery.
     #[error("the reply has epoch {stated}, and this broker knows that the fleet is in epoch {known}")]
     StaleEpoch {
         /// Epoch of the reply.
@@ -222,13 +224,13 @@
         /// Epoch that this broker knows.
         known: u64,
     },
-    /// A lease reply is from a fleet that was founded separately.
+    /// A lease reply is from another fleet, which was founded independently of this broker's.
     #[error("the reply is from another fleet")]
     OtherFleet,
     /// The fleet was recovered, and leases from before the recovery may still be valid.
     #[error("the fleet was recovered by an operator's order, and earlier leases may still be valid")]
     LeasesSuspended,
-    /// A lease reply belongs to no pending request of this run of the process.
+    /// A lease reply does not belong to a pending request that this process sent.
     #[error("the reply belongs to request {0}, which is not pending")]
     UnexpectedReply(u64),
     /// The voter that replied to a lease request knows no leader.
@@ -242,7 +244,7 @@
         /// The later reading, in seconds.
         to: f64,
     },
-    /// The clock of this broker is too slow relative to the leader's by more than the configured drift allows.
+    /// The clock of this broker is slower than the leader's by more than the configured drift allows.
     #[error(
         "this broker's clock is too slow or the leader's is too fast: while {leader:.3} s passed on the leader's clock, \
          at most {local:.3} s passed on this broker's"
--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -30,7 +30,7 @@
 /// The state that results from all committed entries.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// Random id drawn when the fleet was founded; 0 if the founding build drew none.
+    /// Random id drawn when the fleet was founded; 0 if the fleet was founded by a build that drew none.
     #[serde(default)]
     #[serde(rename = "fleet")]
     pub fleet_id: u64,
@@ -47,7 +47,8 @@
     /// The consensus configuration in force, by which all voters check entries regardless of their own files.
     #[serde(rename = "terms")]
     pub config: ConsensusConfig,
-    /// Longest lease that any configuration in force has ever allowed, in seconds. The quiescence period covers it.
+    /// Duration in seconds of the longest lease under any consensus configuration that was ever in force. The
+    /// quiescence period covers a lease of this duration.
     #[serde(rename = "longest_lease")]
     pub longest_lease_seconds: f64,
     /// The active version and its digest, if there is one.
--- a/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
@@ -1,7 +1,7 @@
-//! The ledger of transfer debts between partners, and its most recent entries. Partners carry traffic for each other,
-//! and the carried bytes are a debt. A fill copies a segment to a replica; if the copy is sent by a node of the debtor,
-//! it pays off a part of the debt, and a settlement records that. A broker that lacks only some of the most recent
-//! entries receives these instead of the whole ledger.
+//! The ledger of transfer debts between partners, and its most recent entries. Partners transfer traffic for each
+//! other, and the transferred bytes are a debt. A fill copies a segment to a replica; if a node of the debtor sends the
+//! copy, the fill pays off a part of the debt, which a settlement records. A broker that lacks only some of the most
+//! recent entries receives these entries instead of the complete ledger.
 
 #[cfg(test)]
 mod tests;
@@ -13,7 +13,8 @@
 
 use crate::Rejection;
 
-/// Number of recent entries of the log that are retained; a broker that lacks earlier ones receives the whole ledger.
+/// Number of recent entries of the log that are retained; a broker that lacks earlier ones receives the complete
+/// ledger.
 const RETAINED_ENTRY_COUNT: usize = 4096;
 /// Largest number of entries in one [`SettlementUpdate`].
 const UPDATE_ENTRY_COUNT: usize = 256;
@@ -22,8 +23,9 @@
 /// can no longer be settled, and the debts that they would pay off stay open.
 const OPEN_VERSION_COUNT: u64 = 8;
 
-/// An applied entry of the settlement log, and the oldest configuration version whose fills could be settled at that
-/// time. A broker that first closes the versions before that one and then applies the entry gets the same ledger.
+/// An applied entry of the settlement log, and the oldest configuration version whose fills could be settled when it
+/// was applied. A broker that first closes all versions before `floor` and then applies `entry` gets the same ledger as
+/// the voters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SettlementRecord {
     /// Number of the oldest configuration version whose fills could be settled when the entry was applied; settlements
@@ -33,8 +35,8 @@
     pub entry: SettlementEntry,
 }
 
-/// The part of the [`SettlementLog`] that a broker lacks. The broker first replaces its ledger, if one is included, then
-/// applies the entries.
+/// The part of the [`SettlementLog`] that a broker lacks. If `ledger` is present, the broker first replaces its own
+/// ledger with it; then it applies `entries`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SettlementUpdate {
     /// Number of entries of the log before the first one of `entries`.
@@ -43,7 +45,7 @@
     pub count: u64,
     /// The ledger with the first `from` entries applied, if the broker lacks entries that are no longer retained.
     pub ledger: Option<Box<SettlementLedger>>,
-    /// The entries from `from` on, in log order; a limited number of them.
+    /// A limited number of entries in log order, the first one at position `from`.
     pub entries: Vec<SettlementRecord>,
 }
 
@@ -91,7 +93,8 @@
     /// entries, so the broker may need several updates.
     pub fn updates_after(&self, known: u64) -> SettlementUpdate {
         let first_retained = self.count - self.last.len() as u64;
-        // A broker that has more entries than exist received them from another fleet.
+        // A broker that has more entries than this log received them from another fleet, so it gets the complete ledger
+        // as well.
         if known < first_retained || known > self.count {
             let ledger = Some(Box::new(self.ledger.clone()));
             return SettlementUpdate { from: self.count, count: self.count, ledger, entries: Vec::new() };
--- a/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
@@ -27,7 +27,7 @@
     SettlementEntry::Allot(Allotment { number: 0, debtor, creditor, debt: 15_000, parts })
 }
 
-/// A log of 5000 settlements, by fills of 50 configuration versions, of a debt whose shares were allotted before.
+/// A log that first allots the shares of a debt, and then settles the debt by 5000 fills of 50 configuration versions.
 fn long_log() -> SettlementLog {
     let mut log = SettlementLog::default();
     log.check(&allot()).unwrap();
@@ -43,13 +43,13 @@
     log
 }
 
-/// The ledger of a broker that has the first `count` entries. Only 4900 is within the retained entries; with another
-/// `count` the broker receives the whole ledger, so it begins with an empty one.
+/// The ledger of a broker that has the first `count` entries. Of the tested counts, only 4900 is within the retained
+/// entries. With another `count` the broker receives the complete ledger, so its own may be empty.
 fn ledger_at(log: &SettlementLog, count: u64) -> SettlementLedger {
     if count != 4_900 {
         return SettlementLedger::default();
     }
-    // The ledger before the first retained entry, then one retained entry after the other.
+    // Begins with the ledger as of the first retained entry, and then applies the retained entries one by one.
     let first_retained = log.count - log.last.len() as u64;
     let mut earlier = SettlementLog::default();
     earlier.apply(allot());
--- a/crates/dunepond-consensus/src/replicated_state/version_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -10,7 +10,7 @@
 use super::{ReplicatedState, StateChange};
 use crate::{ConfigVersion, ConsensusConfig, Rejection};
 
-/// Largest number of changes in [`ReplicatedState::history`].
+/// Largest number of activated or withdrawn versions in [`ReplicatedState::history`].
 const HISTORY_COUNT: usize = 64;
 
 /// Progress of the rollout of a proposed configuration version.
@@ -20,13 +20,13 @@
     Joint,
     /// This ratio of the brokers acts on the proposed version alone; the others act on the joint configuration.
     Staged(f64),
-    /// The version is withdrawn from its first stage: all brokers return to the joint configuration, until none acts on
-    /// the proposed version alone any more.
+    /// The version is being withdrawn from its first stage: brokers that act on it alone return to the joint
+    /// configuration. Once no broker acts on the proposed version alone any more, the version is withdrawn.
     #[serde(rename = "Returning")]
     RollingBack,
 }
 
-/// The proposed version and its progress.
+/// A version that is proposed, and neither active nor withdrawn yet, and the progress of its rollout.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OpenChange {
     /// The proposed version.
@@ -46,7 +46,7 @@
     pub withdraw_reason: Option<String>,
 }
 
-/// How the change to a proposed version ended.
+/// Whether a proposed version was activated or withdrawn.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ChangeEnd {
     /// The version became the only active one.
@@ -70,7 +70,7 @@
     /// When the version was proposed, in Unix seconds, as the proposer stated.
     #[serde(rename = "at")]
     pub proposed_at_unix_seconds: f64,
-    /// How the change ended.
+    /// Whether the version was activated or withdrawn.
     #[serde(rename = "ended")]
     pub end: ChangeEnd,
 }
@@ -148,12 +148,12 @@
         self.open.as_ref().map_or(0, |open| open.required_fills.difference(&open.completed_fills).count())
     }
 
-    /// The open change, if its version has this number.
+    /// The change to the proposed version, if that version has the given number; otherwise an error.
     fn open_with_number(&self, number: u64) -> Result<&OpenChange, Rejection> {
         self.open.as_ref().filter(|open| open.version.number == number).ok_or(Rejection::NotProposed(number))
     }
 
-    /// The open change; the caller has checked that there is one.
+    /// The change to the proposed version. The caller has checked that a version is proposed.
     fn open_mut(&mut self) -> &mut OpenChange {
         self.open.as_mut().expect("the caller has checked that a change is open")
     }
--- a/crates/dunepond-consensus/src/replicated_state/voter_list.rs
+++ b/crates/dunepond-consensus/src/replicated_state/voter_list.rs
@@ -18,13 +18,13 @@
     /// The list that is pending until its new voter is ready.
     #[serde(rename = "next")]
     pub pending: Option<VoterChange>,
-    /// Name and folder id of the voter that was removed last. Messages to it may still be needed until the raft library's
-    /// membership change is complete.
+    /// Name and folder id of the voter that was removed last. Both are stored because messages to that voter may be
+    /// needed until the raft library's membership change is complete.
     #[serde(rename = "left")]
     pub(crate) last_removed: Option<(String, u64)>,
 }
 
-/// The names of the voters that join and leave by the pending list.
+/// The names of the voters that join and leave when the pending list takes effect.
 #[derive(Debug, Default)]
 pub(crate) struct PendingReplacement {
     pub joining: Option<String>,
@@ -89,7 +89,8 @@
         let (joins, leaves) = (added(&self.voters, &change.voters), added(&change.voters, &self.voters));
         let same_names = joins.is_empty() && leaves.is_empty();
         match &self.pending {
-            // While a list is pending, only the list in force is accepted. It withdraws the pending one.
+            // While a list is pending, only a change with the same voters as the list in force is accepted. It
+            // withdraws the pending list.
             Some(pending) if !same_names => {
                 return Err(Rejection::VotersPending { number: pending.number });
             }
--- a/crates/dunepond-consensus/src/routing_rules.rs
+++ b/crates/dunepond-consensus/src/routing_rules.rs
@@ -4,14 +4,16 @@
 
 use crate::Rejection;
 
-/// Settings and operator limits that decide how queries are routed. A list has one value per query class. The comment of
-/// each rule states which of two values is the stricter one.
+/// Settings and operator limits that decide how queries are routed. Rules that are lists have one value per query
+/// class. The comment of each rule states which of two values is the stricter one; [`strictest_rules`] selects that
+/// value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoutingRules {
     /// Minimum share of a query's value that has to be served, as a ratio, by query class; the greater one is stricter.
     #[serde(rename = "least")]
     pub minimum_shares: Vec<f64>,
-    /// Ratio of the value from which an answer counts as complete, by query class; the greater one is stricter.
+    /// Share of a query's value from which an answer counts as complete, as a ratio, by query class; the greater one is
+    /// stricter.
     #[serde(rename = "whole_at")]
     pub complete_at: Vec<f64>,
     /// Number of retries and hedged attempts per admitted request; the smaller one is stricter.
@@ -31,10 +33,11 @@
     /// Largest number of attempts of one part; the smaller one is stricter.
     #[serde(rename = "dispatch_cap")]
     pub max_attempts: usize,
-    /// Whether hedged attempts are allowed; a combination allows them only if both sets do.
+    /// Whether hedged attempts are allowed; the combination of two sets of rules allows them only if both sets do.
     #[serde(rename = "second_copies")]
     pub hedging_enabled: bool,
-    /// Whether keyed parts may be retried within their idempotency window; a combination allows it only if both sets do.
+    /// Whether keyed parts may be retried within their idempotency window; the combination of two sets of rules allows
+    /// it only if both sets do.
     #[serde(rename = "repeats")]
     pub keyed_retries_enabled: bool,
     /// Largest Retry-After of a rejection, in seconds; the smaller one is stricter.
--- a/crates/dunepond-consensus/src/voter/envelope.rs
+++ b/crates/dunepond-consensus/src/voter/envelope.rs
@@ -24,7 +24,8 @@
     /// Whether the sender has a state of the fleet.
     #[serde(rename = "seated")]
     pub has_state: bool,
-    /// Id of the receiver's data folder, or 0 to allow any. A receiver that runs on another folder drops the message.
+    /// Id of the receiver's data folder, or 0 to allow any. A receiver drops the message if it runs on a folder with
+    /// another id.
     #[serde(rename = "to")]
     pub to_folder: u64,
     pub body: Body,
@@ -70,7 +71,8 @@
     /// knows of one. The receiver then knows that its folder was restored from a copy.
     #[serde(rename = "seen")]
     pub seen_slot: Option<VoterSlot>,
-    /// The receiver's folder and process start that are committed at `index`, if any are.
+    /// The receiver's folder and process start in the sender's state, which is applied up to `index`; `None` if that
+    /// state contains none.
     #[serde(rename = "agreed")]
     pub agreed_slot: Option<VoterSlot>,
     /// Whether the receiver is in the list of voters in force or joins by the pending list, according to the sender's
--- a/crates/dunepond-consensus/src/voter/handshake.rs
+++ b/crates/dunepond-consensus/src/voter/handshake.rs
@@ -4,8 +4,9 @@
 //! The raft library treats each folder as a separate voter. A voter that restarts with an empty folder is a new one,
 //! whose votes do not count until the others have committed a change that replaces the old folder. A folder that was
 //! restored from a copy does not record what the voter voted for and acknowledged after the copy was made. Therefore
-//! each folder counts the process starts on it, and peers remember the latest one. If a voter reports an earlier one,
-//! they reply with the later one, and the voter continues with an empty folder.
+//! each folder counts the process starts on it, and peers remember the latest start that they know of. If a voter
+//! reports an earlier start of the same folder, a peer replies with the later one, and the voter discards its folder
+//! and continues with an empty one.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +26,7 @@
 /// Number of election timeouts between hellos before a majority has confirmed that this voter's folder is the latest
 /// one, or while this voter has no state of the fleet.
 const UNVERIFIED_HELLO_ELECTIONS: f64 = 0.5;
-/// Range from which the founding voter draws the first term.
+/// Range from which the founding voter draws the first term at random.
 const FOUNDING_TERMS: std::ops::Range<u64> = 1..1 << 20;
 
 /// The data folder of another voter, according to its last accepted message.
@@ -37,7 +38,7 @@
     pub empty: bool,
 }
 
-/// What is known of another voter.
+/// What this voter knows about another voter.
 #[derive(Default)]
 pub(super) struct PeerVoter {
     /// The folder that the voter last reported.
@@ -107,7 +108,7 @@
         self.node.raft.prs().get(folder_id).is_some()
     }
 
-    /// Whether a message is accepted from its sender, as far as voters and folders are concerned.
+    /// Whether a message is accepted, judging by its sender, its kind and the folders that it states.
     pub(super) fn accepts_sender(&self, envelope: &Envelope) -> bool {
         let from = &envelope.from;
         let to_this_folder = envelope.to_folder == self.folder.id;
@@ -218,7 +219,7 @@
         }
         if is_newer && reply.agreed_slot.is_none() {
             // The folder is retained until a list includes this voter again, since a membership change in progress may
-            // still need its vote.
+            // still need this voter's vote.
             match reply.is_wanted {
                 true => self.discard_folder("this broker was removed as a voter and is joining again"),
                 false => self.stop_as_removed(reply.voters),
@@ -251,7 +252,8 @@
     }
 
     /// Founds the fleet if this is the first voter of the file and every other voter has reported that its folder is
-    /// empty, too. Then no voter can have committed anything, and only one fleet is founded.
+    /// empty, too. In that case no voter has committed anything, and since only the first voter may found the fleet,
+    /// only one is founded.
     fn found_fleet(&mut self, now: f64) {
         if self.has_state || self.has_stopped() || self.config.voters[0] != self.config.name {
             return;
@@ -262,7 +264,8 @@
         state.index = 1;
         state.fleet_id = self.rng.random::<u64>().max(1);
         state.epoch = 1;
-        // The term is random, so that the logs differ if a fleet is founded twice before it has committed anything.
+        // The term is random, so that the two logs differ if the fleet is founded a second time before the first one
+        // committed anything.
         let term = self.rng.random_range(FOUNDING_TERMS);
         let mut log = LogStorage::default();
         log.restore(snapshot(1, term, ConfState::from((folder_ids, Vec::new())), state.encode()));
@@ -285,7 +288,7 @@
     }
 
     /// Discards this voter's folder because its content is obsolete. This broker continues as a new voter with an empty
-    /// folder, with which the other voters replace the old one.
+    /// folder. The other voters then replace the old folder with the new one.
     pub(super) fn discard_folder(&mut self, reason: &str) {
         if self.has_stopped() {
             return;
@@ -302,12 +305,13 @@
         self.lease_requests.reject_all(&mut self.effects);
         self.peers.values_mut().for_each(|peer| peer.reported_empty = false);
         self.next_hello_at = self.last_now;
-        // Queued messages of the old folder are no longer valid.
+        // Messages queued so far were sent in the name of the old folder, so they are no longer valid.
         self.effects.messages.clear();
         self.effects.state_changed = true;
     }
 
-    /// Stops voting because the other voters have committed a list without this one. `voters` is that list.
+    /// Stops voting because the other voters have committed a list without this voter. `voters` are the voters of that
+    /// list.
     fn stop_as_removed(&mut self, voters: Vec<VoterInfo>) {
         self.reported_voters = voters;
         if self.reported_removed {
--- a/crates/dunepond-consensus/src/voter/housekeeping.rs
+++ b/crates/dunepond-consensus/src/voter/housekeeping.rs
@@ -7,7 +7,7 @@
 use crate::log_entry::LogEntry;
 use crate::{Command, ConsensusConfig, OpenChange, Rejection, RolloutStep};
 
-/// Number of election timeouts after which an entry that was not applied is written again.
+/// Number of election timeouts after which the leader writes an entry again if the previous one is not applied yet.
 const RETRY_ELECTIONS: f64 = 1.0;
 
 impl Voter {
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Forgets leases that ended long ago. An expired lease is still needed while queries that were sent under it may
-    /// be in flight, and while these count in the windows of shared quotas.
+    /// Forgets leases that ended long ago. The record of an expired lease is needed while queries that were sent under
+    /// the lease may be in flight, and then while these queries count in the windows of shared quotas.
     fn forget_old_leases(&mut self, now: f64) {
         let (actions, window) = (self.action_seconds(), self.quota_window_seconds());
         self.lease_requests.granted.retain(|_, lease| lease.over_at + actions + window > now);
@@ -105,12 +105,12 @@
         }
     }
 
-    /// The time on this clock from which no broker acts on the active version alone any more, and no action of a broker
-    /// that did is in flight. The proposal was seen committed at `seen_at`.
+    /// The time on this leader's clock from which no broker acts on the active version alone any more, and all queries
+    /// that were sent by brokers that did so have ended. `seen_at` is when this leader saw the proposal committed.
     fn all_joint_from(&self, seen_at: f64, number: u64) -> f64 {
         let latest = seen_at + self.state.quiescence_seconds(&self.config);
-        // The wait may be shorter if this leader granted all leases that may be valid: then it knows which brokers have
-        // reported that they act on the joint configuration, and when the leases of the others end.
+        // The wait may be shorter if this leader itself granted all leases that may still be valid. Then it knows which
+        // brokers have reported that they act on the joint configuration, and when the leases of the other brokers end.
         let lease = self.state.longest_lease_seconds.max(self.config.lease_seconds);
         let longest_lease = self.config.with_drift(lease).max(self.state.config.with_drift(lease));
         if self.observations.leading_since().is_none_or(|since| seen_at - since < longest_lease) {
--- a/crates/dunepond-consensus/src/voter/lease_requests.rs
+++ b/crates/dunepond-consensus/src/voter/lease_requests.rs
@@ -1,6 +1,6 @@
 //! Handling of lease requests. A lease is only granted after a quorum has confirmed, since the request arrived, that
 //! this voter leads. The grant then contains everything that was committed when the request was sent. Requests that
-//! arrive while such a confirmation is in progress share the next one.
+//! arrive while a confirmation is in progress wait for the next confirmation, which covers all of them.
 
 use std::collections::BTreeMap;
 
@@ -29,7 +29,8 @@
     confirmed_index: Option<u64>,
     /// When the confirmation of leadership in progress was started, on this voter's clock.
     confirming_since: f64,
-    /// The last lease of each run of a broker's process, by the broker's name and incarnation.
+    /// The last lease of each broker process, by the broker's name and the random incarnation that the process drew
+    /// when it started.
     pub granted: BTreeMap<(String, u64), GrantedLease>,
     /// The last demand report of each broker, by its name.
     pub reports: BTreeMap<String, TimedReport>,
@@ -50,17 +51,18 @@
     pub received_at: f64,
 }
 
-/// A number that a broker reported to have adopted, and when this voter first received the report, on its own clock. It
-/// is that of a proposed version, or the generation of a shrink of the broker's quota shares.
+/// A broker's report that it has adopted a proposed version or a shrink of its quota shares. `number` is the number of
+/// the version or the generation of the shrink; `at` is when this voter first received the report, on its own clock.
 #[derive(Clone, Copy)]
 pub(super) struct Acknowledged {
     pub number: u64,
     pub at: f64,
 }
 
-/// The last lease of a run of a broker's process. Times are on this voter's clock.
+/// The last lease that was granted to a broker process. Times are on this voter's clock.
 pub(super) struct GrantedLease {
-    /// Latest time at which the lease ends, if the broker's clock is as slow as the configured drift allows.
+    /// Latest time at which the lease can end, which is when the broker's clock is as slow as the configured drift
+    /// allows.
     pub over_at: f64,
     /// The proposed version that the broker reported to have adopted, if any. The broker then no longer acts on the
     /// active version alone.
@@ -72,7 +74,8 @@
 }
 
 impl LeaseRequests {
-    /// Replies to all requests that arrived directly that there is no leader, and forgets all requests and leases.
+    /// Answers [`LeaseAnswer::NoLeader`] to all pending requests that no other voter forwarded, and forgets all
+    /// requests and leases.
     pub fn reject_all(&mut self, effects: &mut Effects) {
         for pending in self.take_all().into_iter().filter(|pending| pending.via.is_none()) {
             let reply = LeaseReply::to(&pending.request, LeaseAnswer::NoLeader);
@@ -87,7 +90,7 @@
         self.waiting.drain(..).chain(self.confirming.drain(..)).collect()
     }
 
-    /// Brokers with a recent lease, and whether each reported that its nodes are overloaded.
+    /// Names of the brokers with a recent lease, each with whether it reported that its nodes are overloaded.
     pub fn overloads(&self) -> impl Iterator<Item = (&str, bool)> {
         self.granted.iter().map(|((broker, _), lease)| (broker.as_str(), lease.overloaded))
     }
@@ -159,8 +162,8 @@
         }
     }
 
-    /// Grants leases to the requests for which a quorum has confirmed this voter's leadership, and starts a
-    /// confirmation for those that wait. `reads` are the confirmations that the raft library reported.
+    /// Grants the lease requests for which a quorum has confirmed this voter's leadership, and starts a confirmation
+    /// for the waiting ones. `reads` are the completed confirmations that the raft library has reported.
     pub(super) fn reply_to_lease_requests(&mut self, now: f64, reads: Vec<ReadState>) {
         if self.node.raft.state != StateRole::Leader || self.is_removed() {
             let all = self.lease_requests.take_all();
@@ -187,8 +190,8 @@
         }
     }
 
-    /// Gives up a confirmation of leadership that took longer than a lease, since the granted leases would already have
-    /// ended.
+    /// Abandons a confirmation of leadership that takes longer than the duration of a lease, since leases granted after
+    /// it would already have ended.
     fn expire_confirmation(&mut self, now: f64) {
         let requests = &mut self.lease_requests;
         if requests.confirming.is_empty() || now - requests.confirming_since <= self.config.lease_seconds {
--- a/crates/dunepond-consensus/src/voter/membership.rs
+++ b/crates/dunepond-consensus/src/voter/membership.rs
@@ -1,4 +1,5 @@
-//! Changes of voters and of their folders. The leader writes each together with the raft library's membership change.
+//! Changes of voters and of their data folders. The leader writes each change in the same log entry as the raft
+//! library's membership change.
 
 use raft::StateRole;
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
@@ -35,7 +36,8 @@
         changed.map(|(name, slot, _)| (name.clone(), slot))
     }
 
-    /// The replacement of voters by the pending list; `None` until the joining voter has reported an empty folder.
+    /// The replacement that brings the pending list of voters into force; `None` if no list is pending, or until the
+    /// joining voter has reported an empty folder.
     fn ready_replacement(&self) -> Option<VoterReplacement> {
         let pending = self.state.voters.pending_replacement()?;
         let joining = match pending.joining {
@@ -65,8 +67,8 @@
         if let Some(successor) = folders.find(|id| is_candidate(*id)) {
             self.node.transfer_leader(successor);
         }
-        // A leader with other voters waits even if none is a candidate, since it cannot commit without them. Only a single
-        // voter does not wait.
+        // While the raft group has other members, the removal waits even if no successor was found, since this leader
+        // cannot commit the removal without them. Only a leader that is the single member does not wait.
         self.node.raft.prs().iter().any(|(id, _)| *id != own)
     }
 
--- a/crates/dunepond-consensus/src/voter/mod.rs
+++ b/crates/dunepond-consensus/src/voter/mod.rs
@@ -74,8 +74,8 @@
     reported_voters: Vec<VoterInfo>,
     /// When this voter became leader of a recovered fleet whose leases are suspended, on its own clock.
     suspended_since: Option<f64>,
-    /// Log index directly before the entries that this voter last did not acknowledge, because its build cannot decode
-    /// one of them.
+    /// Log index directly before the last entries that this voter refused to acknowledge because its build cannot
+    /// decode one of them.
     withheld_index: Option<u64>,
     /// Names of senders that are not voters as far as this voter knows. The next hellos are also sent to them.
     unknown_senders: BTreeSet<String>,
@@ -87,10 +87,10 @@
     observations: Observations,
     /// The latest reading of this voter's clock.
     last_now: f64,
-    /// Time in seconds for which the raft library has not been ticked yet.
+    /// Elapsed time in seconds that has not been passed on to the raft library as ticks yet.
     unticked_seconds: f64,
     next_hello_at: f64,
-    /// When a snapshot was sent that is not acknowledged yet, by the id of the receiving folder.
+    /// When each snapshot that is not acknowledged yet was sent, by the id of the receiver's folder.
     snapshots_sent: BTreeMap<u64, f64>,
     effects: Effects,
 }
@@ -126,7 +126,8 @@
         } else {
             ReplicatedState::new(config.clone(), BTreeMap::new())
         };
-        // A voter with an empty folder has not voted or acknowledged anything. No other voter relies on a single voter.
+        // In two cases the folder needs no confirmation: a voter with an empty folder has not voted or acknowledged
+        // anything yet, and no other voter relies on the only voter of a fleet.
         let verified = !has_state || config.voters.len() == 1;
         let mut voter = Self {
             participation: if verified { Participation::Active } else { Participation::Unverified },
@@ -157,8 +158,9 @@
         Ok(voter)
     }
 
-    /// Advances the voter's clock to `now` and does what is due. The host has to call this about forty times per lease
-    /// duration. The effects of the first call record the process start in the folder.
+    /// Advances the voter's clock to `now`, and sends messages and writes entries that are due. The host has to call
+    /// this method about forty times per lease duration. The effects of the first call record the process start in the
+    /// folder.
     pub fn tick(&mut self, now: f64) -> Effects {
         self.advance_clock(now);
         self.send_hellos(now);
@@ -188,8 +190,8 @@
             self.observations.restart(now, &self.state);
             self.lease_requests.reject_all(&mut self.effects);
         }
-        // A forward jump of the clock cannot be told from a stall of this process. In either case that time may not have
-        // passed for the other brokers.
+        // A forward jump of the clock cannot be distinguished from a stall of this process. After a jump, less time has
+        // passed on the other brokers' clocks, so the waits start again.
         let gap = now - self.last_now;
         let is_long = gap > elections_seconds(1.0, self.config.lease_seconds);
         if is_long && self.node.raft.state == StateRole::Leader {
@@ -203,8 +205,8 @@
         self.last_now = now;
     }
 
-    /// Proposes a command. `Ok` means that it is in this leader's log. Once it is committed, [`Effects::outcomes`] of this
-    /// or a later call contains its outcome.
+    /// Proposes a command. `Ok` means that the command is in this leader's log. Once it is committed,
+    /// [`Effects::outcomes`] of this or a later call contains its outcome.
     ///
     /// # Errors
     /// This voter does not lead, the command is invalid in the present state, or it cannot be written at present.
@@ -239,7 +241,8 @@
         Ok(self.take_effects())
     }
 
-    /// Rejects commands that only the leader itself may write, when its clock allows it.
+    /// Rejects commands that hosts may not propose, because the leader writes them by itself once enough time has
+    /// passed on its clock.
     fn check_leader_only(&self, command: &Command) -> Result<(), Rejection> {
         match command {
             Command::Activate { number } => {
@@ -256,8 +259,8 @@
         }
     }
 
-    /// Checks that all voters' builds know the version's required keys. Otherwise it could be committed without the
-    /// voters that do not, which would then stop voting.
+    /// Checks that all voters' builds know the version's required keys. Otherwise a majority could commit the version,
+    /// and voters whose builds lack a key would then stop voting.
     fn check_keys_known_by_all(&self, version: &ConfigVersion) -> Result<(), Rejection> {
         version.check_known_keys(&self.known_keys)?;
         let others = self.state.voters.voters.iter().filter(|voter| voter.name != self.config.name);
@@ -293,7 +296,8 @@
     /// one; a follower forwards the request to the leader, and the leader's reply back to the broker.
     pub fn handle_lease_request(&mut self, now: f64, from: &str, request: LeaseRequest) -> Effects {
         self.advance_clock(now);
-        // A request in the name of another broker is ignored, so that a reply only goes to the sender.
+        // A request that states another broker than its sender is ignored, so that no reply goes to a broker that did
+        // not ask.
         if request.broker == from && !request.forwarded {
             self.accept_lease_request(now, request, None);
         }
@@ -330,8 +334,8 @@
         self.has_state
     }
 
-    /// The whole content of the folder as one record, with which the host may rewrite the journal; see
-    /// [`WriteBatch::is_checkpoint`].
+    /// The complete content of the folder as one record, which the host may write to the journal in place of all
+    /// earlier ones; see [`WriteBatch::is_checkpoint`].
     pub fn checkpoint(&self) -> WriteBatch {
         WriteBatch { folder: Some(self.folder.clone()), ..self.node.store().checkpoint() }
     }
--- a/crates/dunepond-consensus/src/voter/observations.rs
+++ b/crates/dunepond-consensus/src/voter/observations.rs
@@ -8,7 +8,7 @@
 use crate::{ReplicatedState, RolloutStep, StateChange};
 
 /// Initial age of [`Observations::last_attempt_at`] in seconds. It exceeds any retry delay, so that the first entry is
-/// written without one.
+/// written without a delay.
 const INITIAL_ATTEMPT_AGE_SECONDS: f64 = 1e9;
 
 /// A proposed configuration version, and when this voter first saw it committed, on its own clock.
@@ -44,7 +44,8 @@
 pub(super) struct Observations {
     /// The proposed configuration version, if there is one, and when it was first seen committed.
     open: Option<SeenChange>,
-    /// When the rollback of the proposed version was first seen committed, if there is one.
+    /// When the start of the proposed version's rollback was first seen committed; `None` if no version is being rolled
+    /// back.
     rollback_seen_at: Option<f64>,
     /// The present leadership of this voter, if it leads.
     leadership: Option<Leadership>,
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Forgets all earlier times. A proposed version, a rollback and shrinks of quota shares count as first seen now.
+    /// Forgets all earlier times. A proposed version, a rollback and shrinks of quota shares that are in `state` count
+    /// as first seen at `now`, and a leadership counts as begun at `now`.
     pub fn restart(&mut self, now: f64, state: &ReplicatedState) {
         let leadership = self.leadership.map(|leadership| Leadership { since: now, ..leadership });
         *self = Self { leadership, proposal: self.proposal, ..Self::new(now) };
@@ -100,13 +102,14 @@
         self.open.filter(|open| open.number == number).map(|open| open.seen_at)
     }
 
-    /// When the rollback of the proposed version was first seen committed; `None` if there is none.
+    /// When the start of the proposed version's rollback was first seen committed; `None` if no version is being rolled
+    /// back.
     pub fn rollback_seen_at(&self) -> Option<f64> {
         self.rollback_seen_at
     }
 
-    /// Records the brokers whose quota shares shrank and whose units taken from them are not released yet, each with
-    /// the time when the shrink was first seen.
+    /// Records each broker whose quota shares shrank while the units taken from them are not released yet, with the
+    /// time when the shrink was first seen.
     pub fn observe_quota(&mut self, now: f64, ledger: &QuotaLedger) {
         let awaiting = ledger.brokers.iter().filter(|(_, shares)| shares.awaits_release());
         let seen = awaiting.map(|(broker, shares)| {
@@ -135,7 +138,8 @@
         self.proposal = Some(UncommittedProposal { index, number });
     }
 
-    /// Number of the last version that this leader wrote to the log, unless the log is already applied up to it.
+    /// Number of the last version that this leader wrote to the log; `None` if its entry is already applied. `applied`
+    /// is the index up to which the log is applied.
     pub fn uncommitted_proposal(&self, applied: u64) -> Option<u64> {
         self.proposal.filter(|proposal| proposal.index > applied).map(|proposal| proposal.number)
     }
--- a/crates/dunepond-consensus/src/voter/quota_release.rs
+++ b/crates/dunepond-consensus/src/voter/quota_release.rs
@@ -1,7 +1,7 @@
-//! Release of units that were taken from a broker's quota share. After a share shrinks, the broker may still use its
-//! old size until it adopts the new one or its lease ends, its queries may be in flight after that, and what it used
-//! still counts in the quota's window. The leader decides by its clock when all this has ended, and then releases the
-//! units so that they can be granted to other brokers.
+//! Release of units that were taken from a broker's quota share. After a share shrinks, the broker may use the old
+//! share until it adopts the new one or its lease ends. Queries that it sent before may be in flight after that, and
+//! the units that they used count in the quota's window for some time. Once all of this has ended by the leader's
+//! clock, the leader releases the units, so that they can be granted to other brokers.
 
 use std::collections::BTreeMap;
 
@@ -18,14 +18,15 @@
         self.config.with_drift(seconds).max(self.state.config.with_drift(seconds))
     }
 
-    /// Window of the shared quotas in seconds on this clock, including drift; 0 if no quota is shared.
+    /// Duration of the shared quotas' window in seconds on this leader's clock, lengthened by the drift; 0 if no quota
+    /// is shared.
     pub(super) fn quota_window_seconds(&self) -> f64 {
         let millis = self.state.quota.shared.as_ref().map_or(0, |shared| shared.window_millis);
         self.with_drift(millis as f64 / 1e3)
     }
 
-    /// Longest time from a broker's check whether it may send a part until the query has ended, in seconds on this
-    /// clock.
+    /// Longest time between a broker's check whether it may send a part and the end of the query, in seconds on this
+    /// leader's clock.
     pub(super) fn action_seconds(&self) -> f64 {
         self.state.config.quiescence_seconds_for(0.0).max(self.config.quiescence_seconds_for(0.0))
     }
@@ -47,8 +48,8 @@
         Some(Command::Quota(QuotaEntry::Release { broker, generation }))
     }
 
-    /// The time on this clock from which the units taken from a broker's shrunk quota share can be granted to other
-    /// brokers.
+    /// The time on this leader's clock from which the units taken from a broker's shrunk quota share can be granted to
+    /// other brokers.
     fn reusable_from(&self, broker: &str, shrink: SeenShrink, delays: ReuseDelays) -> f64 {
         let leases = self.lease_requests.granted.iter().filter(|((name, _), _)| name == broker);
         let runs = leases.map(|(_, lease)| BrokerRun {
--- a/crates/dunepond-consensus/src/voter/raft_node.rs
+++ b/crates/dunepond-consensus/src/voter/raft_node.rs
@@ -11,8 +11,8 @@
 pub(super) const ELECTION_TICKS: usize = 10;
 /// Interval of the leader's heartbeats, in ticks.
 const HEARTBEAT_TICKS: usize = 2;
-/// Largest number of ticks in one call after a stall. They suffice for a leader to notice that it has received no message
-/// from a quorum.
+/// Largest number of ticks that are made up for at once after a stall. It is enough for a leader to notice that it has
+/// received no message from a quorum, and to step down.
 pub(super) const MAX_CATCH_UP_TICKS: usize = 2 * ELECTION_TICKS;
 /// Largest total size of the entries in one message.
 const MAX_MESSAGE_BYTES: u64 = 1 << 20;
--- a/crates/dunepond-consensus/src/voter/ready.rs
+++ b/crates/dunepond-consensus/src/voter/ready.rs
@@ -33,7 +33,7 @@
                 let bytes = Some(entry.data.to_vec()).filter(|data| !data.is_empty());
                 Self { index, bytes, membership_change: None, is_membership_entry: false }
             }
-            // This crate never writes the library's old form of a membership change.
+            // This crate never writes `EntryConfChange`, the library's old form of a membership change.
             EntryType::EntryConfChange => {
                 Self { index, bytes: None, membership_change: None, is_membership_entry: true }
             }
@@ -87,7 +87,7 @@
     }
 
     /// Replaces the election timeout that the raft library draws at random by a hash of the folder's id and the term,
-    /// so that runs can be replayed. The timeout still differs between voters, and from term to term.
+    /// so that simulations can be replayed. The timeout still differs between voters, and from term to term.
     pub(super) fn pin_election_timeout(&mut self) {
         let term = self.node.raft.term.to_be_bytes();
         let hash = xxhash_rust::xxh3::xxh3_64_with_seed(&term, self.folder.id);
@@ -99,7 +99,7 @@
         self.node.mut_store().compact(index, policy, || state.encode());
     }
 
-    /// Stops the voter, because this build cannot decode an entry or snapshot. It no longer processes the raft
+    /// Stops the voter, because this build cannot decode an entry or snapshot. The voter no longer processes the raft
     /// library's output, so that its state does not diverge from that of the other voters. The folder is retained for a
     /// build that can decode it.
     pub(super) fn stop_voting(&mut self, reason: &str) {
@@ -131,7 +131,8 @@
                 }
             }
         }
-        // If the log entry is ignored, so is its membership change. All voters decide this alike.
+        // If the log entry is ignored, its membership change is ignored, too. All voters do the same, since they apply
+        // the same entries to the same state.
         if let Some(change) = entry.membership_change.filter(|_| applied) {
             self.apply_membership_change(&change);
         }
@@ -199,8 +200,8 @@
         }
     }
 
-    /// Reports snapshots that were not acknowledged in time as failed, so that the raft library sends them again. It would
-    /// wait forever for the acknowledgement of a lost snapshot.
+    /// Reports snapshots that were not acknowledged in time as failed, so that the raft library sends them again.
+    /// Otherwise the library would wait forever for the acknowledgement of a lost snapshot.
     pub(super) fn resend_snapshots(&mut self, now: f64) {
         let timeout_seconds = elections_seconds(SNAPSHOT_RETRY_ELECTIONS, self.config.lease_seconds);
         let late = self.snapshots_sent.iter().filter(|(_, sent_at)| now - **sent_at > timeout_seconds);
--- a/crates/dunepond-consensus/src/voter/receive.rs
+++ b/crates/dunepond-consensus/src/voter/receive.rs
@@ -48,8 +48,8 @@
         Ok(())
     }
 
-    /// Handles a message from a sender that is not a voter as far as this voter knows. Either the sender or this voter may
-    /// have been removed and not know it yet, which they find out by exchanging hellos.
+    /// Handles a message from a sender that is not a voter as far as this voter knows. The sender or this voter may
+    /// have been removed without knowing it yet; the two learn that by exchanging hellos.
     fn handle_unknown_sender(&mut self, envelope: &Envelope) {
         let is_hello = matches!(envelope.body, Body::Hello { .. });
         if !self.has_state || envelope.from == self.config.name || !is_hello {
@@ -67,14 +67,14 @@
             return;
         }
         let kind = message.get_msg_type();
-        // The leader relies on this voter for entries that the folder does not have, so the folder is an old copy even if
-        // other voters have confirmed it.
+        // A leader's heartbeat states no later commit index than this voter has acknowledged. If the log ends before
+        // it, the folder is an old copy, even if other voters have confirmed it as the latest one.
         let last_index = self.node.raft.raft_log.last_index();
         if kind == MessageType::MsgHeartbeat && message.commit > last_index {
             self.discard_folder("the leader's commit index is beyond the end of the folder's log");
             return;
         }
-        // Checked before the snapshot replaces the content of the folder.
+        // The snapshot is decoded here, before it replaces the content of the folder.
         let is_snapshot = kind == MessageType::MsgSnapshot;
         if is_snapshot && decode::replicated_state(message.get_snapshot().get_data()).is_none() {
             self.stop_voting("this build cannot use the leader's snapshot");
--- a/crates/dunepond-consensus/src/voter/recovery.rs
+++ b/crates/dunepond-consensus/src/voter/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery of a fleet whose majority of voters is permanently lost, from one voter's folder, by an operator's order.
-//! Entries that only the lost voters had committed are lost. To contain the consequences, the fleet's epoch is
-//! increased, brokers that know the new epoch accept nothing from an earlier one, and no lease is granted until all
-//! leases that the lost voters granted, and all queries sent under them, have ended.
+//! Entries that only the lost voters had committed are lost. Three measures limit the harm. The fleet's epoch is
+//! increased. Brokers that know the new epoch accept nothing from an earlier one. No lease is granted until all leases
+//! that the lost voters granted, and all queries sent under them, have ended.
 
 use raft::eraftpb::{ConfState, EntryType};
 
@@ -10,12 +10,14 @@
 use crate::{ConsensusConfig, ConsensusError, RECOVERY_CONFIRMATION, RecoveryError, RecoveryOrder};
 use crate::{ReplicatedState, StoredVoter, decode};
 
-/// Increment of index and term in a recovery, so that no position of the log is used for two different entries.
+/// Number by which a recovery increases the log's index and term, so that no new entry has the position of an entry
+/// that only the lost voters have.
 const POSITION_GAP: u64 = 1 << 20;
 
 impl Voter {
-    /// Opens a voter like [`Voter::open`], and lets it continue without the lost voters. It continues with a new folder
-    /// identity as the only member of the raft group, until the remaining voters have joined with empty folders.
+    /// Opens a voter like [`Voter::open`], and lets it continue without the lost voters. The voter has a new folder
+    /// identity, and is the only member of the raft group until the other remaining voters have joined with empty
+    /// folders.
     ///
     /// # Errors
     /// An error of [`Voter::open`], or the order is invalid or not for this folder and log position.
--- a/crates/dunepond-consensus/src/voter/tests/mod.rs
+++ b/crates/dunepond-consensus/src/voter/tests/mod.rs
@@ -27,7 +27,7 @@
     let index = voter.state().index;
     tick_and_store(&mut voter, 2.0);
     assert!(!voter.is_leader() && voter.state().index == index, "the voter stops at the entry");
-    // After a restart with the same build it stops again, and its folder still has the state.
+    // After a restart with the same build the voter stops again, and its folder still contains the state.
     let mut restarted = Voter::open(config, stored, 0.0, 2).unwrap();
     assert!(restarted.tick(0.1).log_lines.iter().any(|line| line.starts_with("stopped voting")));
     assert!(!restarted.is_leader() && restarted.has_state());
--- a/crates/dunepond-consensus/src/voter_change.rs
+++ b/crates/dunepond-consensus/src/voter_change.rs
@@ -7,7 +7,8 @@
 pub struct VoterInfo {
     /// Name of the broker.
     pub name: String,
-    /// Address at which other brokers reach the voter; `None` means the address in each broker's file.
+    /// Address at which other brokers reach the voter; `None` means that each broker uses the address in its own
+    /// configuration file.
     #[serde(default)]
     #[serde(rename = "at")]
     pub address: Option<String>,
@@ -17,7 +18,7 @@
 /// join and at most one may leave.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VoterChange {
-    /// Number of the list: one more than that of the list in force, or of the pending one.
+    /// Number of the list: one more than that of the pending list, or of the list in force if none is pending.
     pub number: u64,
     /// The voters of the new list.
     pub voters: Vec<VoterInfo>,
--- a/crates/dunepond-consensus/tests/consensus_config.rs
+++ b/crates/dunepond-consensus/tests/consensus_config.rs
@@ -1,4 +1,4 @@
-//! The check of the consensus parameters in the operator's file.
+//! Tests of the check of the consensus parameters in the operator's file.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::consensus_config;
--- a/crates/dunepond-consensus/tests/errors.rs
+++ b/crates/dunepond-consensus/tests/errors.rs
@@ -1,4 +1,5 @@
-//! Error messages and their help texts, and the errors with which a voter rejects messages and folders.
+//! Tests of error messages and their help texts, and of the errors with which a voter rejects messages and data
+//! folders.
 
 use std::collections::BTreeSet;
 use std::mem::discriminant;
@@ -60,7 +61,8 @@
         ClockWentBack { from: 2.0, to: 1.0 },
         ClockDrift { local: 1.0, leader: 2.0 },
     ];
-    // A new variant does not compile until it is added to this match, whose largest number is the length of the list.
+    // If a variant is added to `Rejection`, this match does not compile until it lists the variant. Its largest number
+    // is the length that the list of examples must have.
     let count = |rejection: &Rejection| match rejection {
         NotLeader(_)
         | ChangeOpen { .. }
@@ -153,7 +155,7 @@
         single_voter.receive(0.1, "n2", &hello).unwrap_err(),
         ConsensusError::NotAVoter(String::from("n2"))
     );
-    // A request in the name of another broker gets no reply.
+    // A request that states another broker than its sender gets no reply.
     let request = LeaseRequest {
         id: 1,
         broker: String::from("n9"),
--- a/crates/dunepond-consensus/tests/golden.rs
+++ b/crates/dunepond-consensus/tests/golden.rs
@@ -1,7 +1,9 @@
-//! Golden tests of the stored and exchanged formats. The bytes that the code writes, and those that it writes again after
-//! reading, have to equal the files under `data/golden`. A difference would break a rolling upgrade.
+//! Golden tests of the formats of stored data and of messages. The bytes that the code writes have to equal the files
+//! under `data/golden`, and so do the bytes that it writes after reading such a file. A difference would break a
+//! rolling upgrade.
 //!
-//! If `GOLDEN_WRITE` is set, a missing file is written. An existing file is never changed.
+//! If the environment variable `GOLDEN_WRITE` is set, a missing golden file is written. An existing file is never
+//! changed.
 
 #[path = "golden/documents.rs"]
 mod documents;
--- a/crates/dunepond-consensus/tests/golden/documents.rs
+++ b/crates/dunepond-consensus/tests/golden/documents.rs
@@ -18,7 +18,8 @@
     VoterInfo { name: text(name), address: address.map(text) }
 }
 
-/// A version with every optional part: a map, excluded nodes, a first stage, a base version, keys of a later build.
+/// A configuration version that has every optional part: a shard map, excluded nodes, a first stage, a version on which
+/// it is based, and keys that a later build added.
 pub fn full_version(number: u64) -> ConfigVersion {
     let extension =
         |key: &str, required| Extension { key: text(key), json: text("{\"a\": [1, 2.50]}"), required };
@@ -85,7 +86,7 @@
     })
 }
 
-/// An update with two entries, and with the ledger if `with_ledger` is set.
+/// An update of the settlement log with two entries, and with the complete ledger if `with_ledger` is set.
 fn settlement_update(with_ledger: bool) -> SettlementUpdate {
     let settlement_entry = SettlementEntry::Settle(Settlement { bytes: 11, ..settlement("7") });
     let mut applied_ledger = SettlementLedger::default();
--- a/crates/dunepond-consensus/tests/golden/runs.rs
+++ b/crates/dunepond-consensus/tests/golden/runs.rs
@@ -1,5 +1,6 @@
-//! Golden tests of whole runs: a single voter that commits every kind of entry, and a small fleet whose voters restart, are
-//! replaced and are recovered. The same seeds give the same bytes, so all that they write and send is compared.
+//! Golden tests of simulated fleets: one with a single voter that commits every kind of entry, and a small one whose
+//! voters restart, are replaced and are recovered. The same seeds give the same bytes, so everything that the voters
+//! write and send is compared.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -50,8 +51,8 @@
     replaces_entries: bool,
 }
 
-/// Asserts that each record and all documents in it are the same after decoding and encoding. Returns the number of log
-/// entries of each kind.
+/// Asserts that each journal record in `stored`, and each document in it, is the same after decoding and encoding.
+/// Returns the number of log entries of each kind.
 fn check_records(name: &str, stored: &[u8]) -> BTreeMap<String, usize> {
     let (records, mut kinds) = (split_records(stored), BTreeMap::new());
     for bytes in &records {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Commits a command, which has to be accepted.
+    /// Commits a command. Panics if the voter rejects it.
     fn commit(&mut self, command: Command) {
         let description = format!("{command:?}");
         let effects =
@@ -137,14 +138,15 @@
         self.run(0.2);
     }
 
-    /// Proposes a version, and runs for `seconds` after that.
+    /// Commits the proposal of a configuration version, and then advances the voter by `seconds`.
     fn propose(&mut self, version: ConfigVersion, seconds: f64) {
         self.commit(Command::Propose(Box::new(version)));
         self.run(seconds);
     }
 }
 
-/// Asserts that the voter's state equals a golden file.
+/// Asserts that the voter's replicated state, when encoded, equals the golden file `name`, also after decoding and
+/// encoding it.
 fn check_state(single: &SingleVoter, name: &str) {
     let stored = golden(name, &encode_document(single.voter.state()));
     assert!(reencode::<ReplicatedState>(&stored) == stored, "{name}");
@@ -327,7 +329,7 @@
     commit_quotas(&mut single);
     commit_voter_changes(&mut single);
     commit_rebalancing(&mut single);
-    // Restart with another configuration.
+    // The voter restarts with another consensus configuration.
     let mut stored_voter = StoredVoter::new();
     single.records.iter().for_each(|record| stored_voter.apply_record(record).unwrap());
     single.voter = open(
@@ -436,7 +438,7 @@
             let now = self.now;
             for (from, to, bytes) in std::mem::take(&mut self.in_flight) {
                 let Some(voter) = self.voters.get_mut(&to) else { continue };
-                // A message that the voter rejects has no effect here.
+                // Messages that a voter rejects are ignored.
                 if let Ok(effects) = voter.receive(now, &from, &bytes) {
                     self.record_effects(&to, effects);
                 }
--- a/crates/dunepond-consensus/tests/lease_client.rs
+++ b/crates/dunepond-consensus/tests/lease_client.rs
@@ -1,11 +1,13 @@
-//! The lease client without a fleet: which replies it adopts, and what the broker may act on at which time.
+//! Tests of the lease client with hand-made replies: which of them it adopts, and on which versions the broker may act
+//! at which time.
 
 use std::sync::Arc;
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::{config_version, consensus_config, routing_rules, shard_map};
 
-/// A grant with these versions and their documents, at the log index `index`.
+/// A lease grant with the given active and proposed version and their documents. The state in the grant is applied up
+/// to the log index `index`.
 fn grant(
     index: u64,
     active: Option<&ConfigVersion>,
@@ -113,7 +115,7 @@
         deliver_grant(&mut client, 100.7, &first, grant(7, Some(&second_version), None)),
         Err(Rejection::UnexpectedReply(first.id))
     );
-    // A reply to another run of the same broker, which sent a request with the same id.
+    // A reply to an earlier or later process of the same broker, which sent a request with the same id.
     let third = LeaseRequest { incarnation: 1, ..next_request(&mut client, 100.6) };
     assert_eq!(
         deliver_grant(&mut client, 100.7, &third, grant(7, Some(&second_version), None)),
@@ -189,7 +191,7 @@
         slow_client.distrust_reason()
     );
     assert_eq!(slow_client.active_config().phase(109.6), ConfigPhase::LeaseExpired(1));
-    // Another leader is trusted, since the clock of the first one may have been wrong.
+    // A lease of another leader is accepted, since it may have been the first leader's clock that was wrong.
     let request = next_request(&mut slow_client, 110.0);
     deliver_grant(
         &mut slow_client,
@@ -221,7 +223,7 @@
     let request = next_request(&mut client, 100.0);
     deliver_grant(&mut client, 100.1, &request, grant_of(5, 2, 100)).unwrap();
     let rejected = [(5, 1, Rejection::StaleEpoch { stated: 1, known: 2 }), (6, 9, Rejection::OtherFleet)];
-    // The same applies after a restart, from the persisted state.
+    // After a restart from the persisted state, the client rejects the same grants.
     let persisted = PersistedState::decode(&client.persisted_state().encode()).unwrap();
     let mut restarted = LeaseClient::new(consensus_config("n1", 3), Some(persisted), 100.2, 2);
     for (n, (fleet_id, epoch, rejection)) in rejected.into_iter().enumerate() {
@@ -289,7 +291,8 @@
         (client.active_config().phase(102.0), client.active_config().owner(0, 102.0)),
         (ConfigPhase::LeaseExpired(1), SegmentOwner::AnyReplica)
     );
-    // Another voter's file enables maps, so a map may become active from now on.
+    // The grant shows that maps are enabled in the fleet, although this broker's file does not enable them, so a map
+    // may become active from now on.
     let request = next_request(&mut client, 102.0);
     deliver_grant(&mut client, 102.1, &request, grant(6, Some(&first_version), None)).unwrap();
     assert_eq!(client.active_config().owner(0, 104.0), SegmentOwner::Unavailable(1.0));
--- a/crates/dunepond-consensus/tests/model.rs
+++ b/crates/dunepond-consensus/tests/model.rs
@@ -1,8 +1,9 @@
-//! A model that covers all interleavings of leases and the rollout of a configuration version through the joint
-//! configuration. The log is not part of the model: an entry is committed at once. Clocks count in units of time. When
-//! time passes, each clock advances by one or two units, so that the fastest may run at twice the rate of the slowest.
-//! Requests and replies are lost, duplicated or late, brokers crash, leaders change, and brokers pause for any time,
-//! since no action is forced. The properties are checked in every state.
+//! A model for the model checker `stateright`, which explores all interleavings of leases and the rollout of a
+//! configuration version through the joint configuration. The log is not part of the model: an entry is committed at
+//! once. Clocks count units of time. When time passes, each clock advances by one or two units, so that the fastest may
+//! run at twice the rate of the slowest. Requests and replies may be lost, duplicated or late, brokers may crash and
+//! leaders may change. Brokers may pause for any time, since the model never forces an action. The properties are
+//! checked in every state.
 
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -14,17 +15,19 @@
 /// Ratio of the fastest clock's rate to that of the slowest.
 const DRIFT: u8 = 2;
 
-/// The rules of the protocol, some of which may be weakened to check that the model finds the violation, and the bounds of
-/// the search.
+/// The rules of the protocol, and the bounds of the search. Some rules can be weakened, to check that the model checker
+/// then finds a violation.
 #[derive(Clone, Copy, Debug)]
 struct Rule {
-    /// Weakened: a lease counts from the arrival of the reply instead of the request.
+    /// Weakened: a lease counts from when the broker receives the reply, instead of from when it sent the request.
     from_receipt: bool,
     /// Weakened: a leader replies without confirmation by a quorum, so that a former leader may reply, too.
     without_quorum: bool,
-    /// Weakened: time by which the leader's wait is shortened, in units of the leader's clock.
+    /// Weakened: time by which the leader's wait before a rollout step is shortened, in units of the leader's clock; 0
+    /// does not weaken the rule.
     wait_reduction: u8,
-    /// Weakened: early activation relies on a leader's list of leases even if it has led for less than a lease.
+    /// Weakened: a leader activates a version early, relying on the leases that it knows of, even if it has led for
+    /// less than the duration of a lease.
     always_ends_early: bool,
     /// Weakened: a rollback from the first stage ends without a wait.
     immediate_rollback: bool,
@@ -32,8 +35,9 @@
     versions: u8,
     /// Whether versions have a first stage.
     stage: bool,
-    /// Sets of clocks that may advance by two units at a time, as bits: bit 0 for the leader, bits 1 and 2 for the brokers. If
-    /// empty, only the leader's clock does so, which is the worst case.
+    /// Sets of clocks that may advance by two units at once while the others advance by one. Each set is a bit mask:
+    /// bit 0 for the leader's clock, bits 1 and 2 for the brokers' clocks. An empty list stands for the worst case, in
+    /// which only the leader's clock advances by two units.
     clocks: &'static [u8],
     /// Whether requests are duplicated.
     duplicated: bool,
@@ -58,7 +62,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Broker {
-    /// Whether the broker belongs to the first stage.
+    /// Whether the broker acts on a proposed version alone during its first stage.
     in_first_stage: bool,
     /// The last state that the broker adopted.
     known: Committed,
@@ -71,8 +75,8 @@
     /// A non-idempotent part in flight: the version by whose shard map its owner was chosen, and the remaining time of
     /// its query in units of the broker's clock.
     in_flight: Option<(u8, u8)>,
-    /// Remaining time, in units of the leader's clock, until the leader may rely on it that the broker no longer acts
-    /// on the active version alone, and that the queries which it sent while it did have ended.
+    /// Remaining time, in units of the leader's clock, after which the leader knows that the broker no longer acts on
+    /// the active version alone, and that the queries which the broker sent while it did so have ended.
     done_after: u8,
 }
 
@@ -81,10 +85,9 @@
     committed: Committed,
     /// Highest number of a version that was proposed.
     highest_number: u8,
-    /// The brokers in sorted order, since their order does not matter.
+    /// The brokers, sorted so that states that differ only in the order of the brokers are equal.
     brokers: [Broker; 2],
-    /// Remaining time of the leader's wait since it saw the last rollout step committed, in units of the leader's
-    /// clock.
+    /// Remaining time of the leader's wait before it may commit the next rollout step, in units of the leader's clock.
     wait: u8,
     /// Time for which the leader has led, in units of its clock, counted up to the longest duration of a lease.
     led_units: u8,
@@ -119,7 +122,7 @@
     Send(usize),
     /// A broker crashes and restarts.
     Crash(usize),
-    /// Another voter becomes the leader.
+    /// Another voter becomes the leader, and the present leader becomes a former one.
     Elect,
     Propose,
     Activate,
@@ -140,7 +143,7 @@
         }
     }
 
-    /// All versions whose rules the broker follows; empty without a lease.
+    /// The versions whose rules the broker follows: one, or two in the joint configuration; empty without a lease.
     fn followed_versions(&self) -> Vec<u8> {
         match (self.lease_left, self.sole_version(), self.known.proposed) {
             (0, ..) => Vec::new(),
@@ -245,7 +248,8 @@
                     broker.done_after = broker.done_after.saturating_sub(leader);
                     let own = 1 + (fast_clocks >> (n + 1) & 1);
                     broker.lease_left = broker.lease_left.saturating_sub(own);
-                    // A request that is older than a lease has no effect, unless the weakened rule ignores its age.
+                    // A request that is older than the duration of a lease has no effect, so it is dropped, unless the
+                    // weakened rule `from_receipt` ignores its age.
                     let next_age = |age: u8| {
                         if self.from_receipt {
                             Some(LEASE)
@@ -269,7 +273,8 @@
                 let (committed, broker) = (state.committed, &mut state.brokers[n]);
                 let (age, joint) = broker.request?;
                 broker.reply = Some((age, committed));
-                // The leader does not know the request's age, so it counts from the arrival of the request.
+                // The leader does not know when the broker sent the request, so it counts from when it received the
+                // request, for the whole duration of a lease.
                 broker.done_after = match joint && committed.proposed.is_some() {
                     true => broker.done_after.min(QUERY_AT_LEADER),
                     false => LEASE_AT_LEADER + QUERY_AT_LEADER,
@@ -416,7 +421,7 @@
     }
 }
 
-/// Asserts that the model finds a violation under a weakened rule.
+/// Asserts that the model checker finds a violated property under a weakened rule.
 fn assert_violation_found(rule: Rule) {
     let (states, depth, failures) = explore(rule, 17);
     println!("{rule:?}: {states} states, depth {depth}: {failures:?}");
--- a/crates/dunepond-consensus/tests/quotas.rs
+++ b/crates/dunepond-consensus/tests/quotas.rs
@@ -1,5 +1,5 @@
-//! Shares of fleet-wide quotas in a simulated fleet: when the units taken from a shrunk share are released, and what a
-//! broker may use without a lease.
+//! Tests of the shares of fleet-wide quotas in a simulated fleet: when the units taken from a shrunk share are
+//! released, and how many units a broker may use without a lease.
 
 use std::collections::BTreeMap;
 
@@ -66,8 +66,8 @@
     fleet.now - shrunk_at
 }
 
-/// The lease lasts 1 s; query timeout and quota window are 0.5 s each. The release waits until queries in flight and
-/// then the quota window have ended. For a partitioned broker both count from the end of its lease.
+/// The lease lasts 1 s; query timeout and quota window are 0.5 s each. The release waits until queries in flight have
+/// ended, and then for the quota window. If the broker is partitioned, this wait begins at the end of its lease.
 #[rstest]
 #[case::acknowledged(false, 1.0, 2.0)]
 #[case::partitioned(true, 1.2, 3.2)]
--- a/crates/dunepond-consensus/tests/recovery.rs
+++ b/crates/dunepond-consensus/tests/recovery.rs
@@ -9,7 +9,8 @@
     Command::Propose(Box::new(config_version(number, Some(shard_map(number, false)))))
 }
 
-/// A fleet in which two of three voters have activated version 2, while the third one, which will remain, was partitioned.
+/// A fleet in which two of the three voters have activated version 2. The third one, which is to remain when the other
+/// two are lost, is partitioned from them and does not know version 2.
 fn fleet_without_majority() -> Fleet {
     let mut fleet = Fleet::with_map(3, 2, 80);
     fleet.partition(&[&[0, 1, 3], &[2, 4]]);
@@ -41,7 +42,8 @@
     assert!(matches!(fleet.propose(propose(2)), Err(Rejection::WrongNumber { given: 2, expected: 3 })));
     fleet.propose(propose(3)).unwrap();
     assert!(fleet.run_until(5.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(3))));
-    // The lost voters restart with their folders: they learn of the recovery, and their votes do not count.
+    // The lost voters restart with their folders. They learn from the remaining voter that the fleet was recovered, and
+    // their votes do not count.
     fleet.start(0);
     fleet.start(1);
     for _ in 0..500 {
@@ -57,7 +59,7 @@
             && fleet.all_have_leases()
             && fleet.voter_indices() == [2]
     );
-    // An ordinary change of voters adds one of them again.
+    // One of the lost voters is added again by an ordinary change of voters.
     fleet.change_voters(&[2, 0]).unwrap();
     assert!(fleet.run_until(5.0, |fleet| fleet.voter_indices() == [2, 0] && fleet.are_voters_ready()));
 }
--- a/crates/dunepond-consensus/tests/scenarios/folders.rs
+++ b/crates/dunepond-consensus/tests/scenarios/folders.rs
@@ -1,4 +1,4 @@
-//! Voters whose folder is lost, restored from a copy, has a torn record, or is compacted.
+//! Scenarios of voters whose data folder is lost, is restored from a copy, ends in a torn record, or is compacted.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::settlement;
@@ -29,7 +29,7 @@
         "not all voters have the committed entry"
     );
     assert!(fleet.brokers[0].voter.as_ref().unwrap().has_state());
-    // Voter 0 counts again: without voter 1 the two others continue.
+    // Voter 0 counts in majorities again: voters 0 and 2 continue without voter 1.
     fleet.run_for(1.0);
     fleet.kill(1);
     assert!(fleet.run_until(5.0, |fleet| fleet.leader().is_some()));
@@ -69,8 +69,8 @@
     );
 }
 
-/// Guards against a restored folder that votes for a candidate without a committed entry. The voter must not vote until a
-/// peer has confirmed its folder, at whatever time it starts.
+/// Guards against a voter on a restored folder that votes for a candidate which lacks a committed entry. The voter must
+/// not vote until a peer has confirmed its folder, no matter when it starts.
 #[test]
 fn restored_folder_does_not_vote_before_verification() {
     for offset in 0..24 {
--- a/crates/dunepond-consensus/tests/scenarios/partitions.rs
+++ b/crates/dunepond-consensus/tests/scenarios/partitions.rs
@@ -21,7 +21,8 @@
     fleet.partition(&groups);
     fleet.run_for(8.0);
     match activated {
-        // The side with a majority continues. The other side acts on the strictest rules that it knows.
+        // Brokers on the side of the partition with a majority of the voters continue. Those on the other side act on
+        // the strictest rules that they know.
         Some(number) => groups
             .last()
             .unwrap()
@@ -105,7 +106,7 @@
     let others =
         |fleet: &Fleet| (0..7).filter(|n| *n != slow).all(|n| fleet.phase(n) == ConfigPhase::Active(2));
     assert!(fleet.run_until(5.0, others));
-    // Replies reach the slow voter after the lease that they grant has ended, so it rejects requests.
+    // Lease replies reach the slow broker only after the lease that they grant has ended, so it has no valid lease.
     assert!(!matches!(fleet.phase(slow), ConfigPhase::Active(_)));
     assert!(
         fleet.run_until(10.0, |fleet| fleet.state(slow).active_number() == 2),
--- a/crates/dunepond-consensus/tests/scenarios/pauses.rs
+++ b/crates/dunepond-consensus/tests/scenarios/pauses.rs
@@ -12,7 +12,8 @@
     fleet.propose(propose(2)).unwrap();
     fleet.run_for(4.95);
     assert!(fleet.invariants.activated_at.contains_key(&2), "the others waited for the paused broker");
-    // When the broker resumes it has received nothing yet, and may have a part queued for the old owner.
+    // When the broker resumes, it has not received anything about version 2 yet, and may still have a part queued for
+    // the owner in version 1.
     let (config, resumed_at) =
         (fleet.brokers[6].lease_client.as_ref().unwrap().active_config(), fleet.clock(6) + 0.05);
     assert_eq!(config.phase(resumed_at), ConfigPhase::LeaseExpired(1));
@@ -20,11 +21,12 @@
     assert_activated_within(&mut fleet, 5.0);
 }
 
-/// A fleet in which broker 6 was paused, and its clock was set back during the pause. `offset` is its clock's reading when it
-/// resumes, in seconds relative to the last reading before the pause.
+/// A fleet in which broker 6 was paused, and its clock was set back during the pause. `offset` is the reading of that
+/// clock when the broker resumes, in seconds relative to the last reading before the pause.
 fn fleet_with_clock_set_back(offset: f64, seed: u64) -> Fleet {
     let mut fleet = Fleet::with_map(5, 2, seed);
-    // The lease's request was sent early enough that it precedes all readings after the pause.
+    // Waits until the lease's request was sent long enough ago that even the clock that was set back reads a later
+    // time.
     fleet.run_until(2.0, |fleet| {
         fleet.brokers[6].lease_client.as_ref().unwrap().active_config().lease_expires_at() - fleet.clock(6)
             < 0.8
@@ -52,8 +54,8 @@
     assert!(!fleet.has_lease(6));
 }
 
-/// Guards against a lease that outlives a pause which the clock hides. The broker cannot detect such a pause before the
-/// first reply, so the invariants except the time until then.
+/// Guards against a lease that stays valid after a pause that the broker's clock does not show. The broker cannot
+/// detect such a pause before the first reply, so the fleet's invariants are not checked for it until then.
 #[test]
 fn hidden_pause_ends_lease_at_first_reply() {
     let mut fleet = fleet_with_clock_set_back(0.1, 15);
@@ -81,7 +83,8 @@
     assert!(fleet.run_until(3.0, |fleet| fleet.leader().is_some()));
     fleet.propose(propose(2)).unwrap();
     assert!(fleet.run_until(5.0, |fleet| fleet.invariants.activated_at.contains_key(&2)));
-    // The former leader resumes, still considers itself the leader, and first reads a request that has just been sent.
+    // The former leader resumes and still considers itself the leader. The first message that it receives is a new
+    // lease request.
     let request = LeaseRequest {
         sent_at: 0.0,
         id: 1,
--- a/crates/dunepond-consensus/tests/scenarios/restarts.rs
+++ b/crates/dunepond-consensus/tests/scenarios/restarts.rs
@@ -23,7 +23,8 @@
     fleet.kill(leader);
     assert!(fleet.run_until(5.0, |fleet| fleet.leader().is_some()));
     let new_leader = fleet.leader().unwrap();
-    // If the leader was killed before the version was committed, it is lost unless another voter had received it.
+    // If the leader was killed before version 2 was committed, the version is lost unless another voter had received
+    // it.
     let number = fleet.state(new_leader).highest_number;
     assert!(number == 2 || after < 0.05, "a committed version is lost");
     if number == 2 {
@@ -72,7 +73,7 @@
     let mut fleet = Fleet::with_map(3, 0, 31);
     fleet.propose(propose_with_fill(2)).unwrap();
     fleet.run_until(5.0, is_joint);
-    // The replacement of a folder causes a snapshot, which contains the proposal.
+    // When voter 0 returns with an empty folder, the other voters take a snapshot, which contains the proposal.
     fleet.kill(0);
     fleet.wipe_folder(0);
     fleet.start(0);
--- a/crates/dunepond-consensus/tests/scenarios/rollout.rs
+++ b/crates/dunepond-consensus/tests/scenarios/rollout.rs
@@ -1,4 +1,5 @@
-//! Proposals and their rollout while all brokers work: activation, withdrawal, stages, rejected entries.
+//! Scenarios of proposed versions and their rollout without failures of brokers: activation, withdrawal, first stages
+//! and rejected entries.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::{config_version, consensus_config, settlement, shard_map};
@@ -26,7 +27,8 @@
 fn activation_waits_for_lease_of_unreachable_broker() {
     let mut fleet = Fleet::with_map(5, 2, 2);
     fleet.run_for(3.0);
-    // The lease of the partitioned broker lasts for up to a second, and the broker may send parts until it ends.
+    // The lease of the partitioned broker lasts for up to a second more, and the broker may send parts until that lease
+    // ends.
     fleet.partition(&[&[0, 1, 2, 3, 4, 5]]);
     fleet.propose(propose(2)).unwrap();
     fleet.run_until(5.0, |fleet| fleet.invariants.activated_at.contains_key(&2));
@@ -61,18 +63,18 @@
 fn second_concurrent_proposal_is_rejected() {
     let mut fleet = Fleet::with_map(5, 0, 21);
     fleet.propose(propose(2)).unwrap();
-    // Rejected before the first one is committed, and after it is committed.
+    // The second proposal is rejected both before and after the first one is committed.
     assert_eq!(fleet.propose(propose(2)), Err(Rejection::ChangeOpen { open: 2 }));
     fleet.run_for(0.2);
     assert_eq!(fleet.propose(propose(3)), Err(Rejection::ChangeOpen { open: 2 }));
-    // If the proposer skips the check, all voters ignore the entry.
+    // If the leader proposes the second version without this check, all voters ignore the entry.
     let leader = fleet.leader().unwrap();
     fleet.propose_unchecked_at(leader, propose(3)).unwrap();
     assert_activated_within(&mut fleet, 5.0);
     assert_eq!(fleet.state(leader).highest_number, 2);
 }
 
-/// A version with the named fault, which the leader's check rejects.
+/// A version with the fault of the given name, for which the leader rejects it.
 fn invalid_version(fault: &str) -> ConfigVersion {
     let mut version = config_version(2, Some(shard_map(2, false)));
     let map = version.map.as_mut().unwrap();
--- a/crates/dunepond-consensus/tests/scenarios/support.rs
+++ b/crates/dunepond-consensus/tests/scenarios/support.rs
@@ -4,22 +4,22 @@
 use dunepond_simulation::fixtures::{config_version, consensus_config, shard_map};
 use dunepond_simulation::fleet::Fleet;
 
-/// Proposes a version that requires no fill.
+/// A command that proposes a version that requires no fill.
 pub fn propose(number: u64) -> Command {
     Command::Propose(Box::new(config_version(number, Some(shard_map(number, false)))))
 }
 
-/// Proposes a version that requires one fill.
+/// A command that proposes a version that requires one fill.
 pub fn propose_with_fill(number: u64) -> Command {
     Command::Propose(Box::new(config_version(number, Some(shard_map(number, true)))))
 }
 
-/// Reports the fill that [`propose_with_fill`] requires.
+/// A command that reports the fill required by the version of [`propose_with_fill`] as complete.
 pub fn fill_completed(number: u64) -> Command {
     Command::FillCompleted { number, segment: 0, holder: format!("cold{number}") }
 }
 
-/// Proposes a version with a first stage of half of the brokers.
+/// A command that proposes a version on which half of the brokers act alone in a first stage.
 pub fn propose_staged(number: u64) -> Command {
     let mut version = config_version(number, Some(shard_map(number, false)));
     version.first_stage_ratio = Some(0.5);
@@ -31,8 +31,8 @@
     fleet.all_in_phase(&ConfigPhase::Joint(1, 2))
 }
 
-/// Asserts that version 2 becomes active everywhere within `seconds`, and that no broker acted on version 1 alone after the
-/// switch bound.
+/// Asserts that version 2 becomes active at all brokers within `seconds`, and that no broker acted on version 1 alone
+/// after the switch bound had passed.
 pub fn assert_activated_within(fleet: &mut Fleet, seconds: f64) {
     assert!(
         fleet.run_until(seconds, |fleet| fleet.all_in_phase(&ConfigPhase::Active(2))
@@ -47,7 +47,8 @@
     );
 }
 
-/// Asserts that version 2 becomes active everywhere, regardless of the switch bound, for scenarios with long faults.
+/// Asserts that version 2 becomes active at all brokers. The switch bound is not checked, since the scenarios that use
+/// this function have longer faults.
 pub fn assert_active_everywhere(fleet: &mut Fleet) {
     assert!(
         fleet.run_until(10.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(2)) && fleet.all_have_leases()),
--- a/crates/dunepond-consensus/tests/seeds.rs
+++ b/crates/dunepond-consensus/tests/seeds.rs
@@ -1,5 +1,6 @@
-//! Simulated fleets under 30 seconds of random faults that depend on a seed. After all faults are healed the fleet has to
-//! continue from its state and activate another version. A seed that fails is turned into a scenario.
+//! Tests of simulated fleets with 30 seconds of random faults, which a seed determines. Once all faults are healed, a
+//! fleet has to continue from its state and activate another version. For a seed that fails, a test is added to
+//! `scenarios`.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::{config_version, settlement, shard_map};
@@ -40,7 +41,7 @@
         4 => fleet.kill(n),
         5 => fleet.brokers[n].tears_next_record = fleet.is_running(n),
         6 if !fleet.is_running(n) && voters_have_state(fleet, n) && fleet.blocked_links.is_empty() => {
-            // Only one folder is lost at a time: all voters have a state again before the next one.
+            // Folders are lost one at a time: the next one is only wiped once all voters have a state again.
             fleet.wipe_folder(n);
             fleet.start(n);
         }
@@ -92,7 +93,8 @@
     }
 }
 
-/// Proposes that broker `n` joins, leaves or replaces a voter. If a change is pending, completes or withdraws it instead.
+/// Proposes a list of voters that broker `n` joins, leaves, or joins in place of another voter. If a list is already
+/// pending, either starts its joining voter or withdraws the list instead.
 fn change_voters(fleet: &mut Fleet, n: usize) {
     let Some(leader) = fleet.leader() else { return };
     let mut list = fleet.voter_indices();
@@ -116,8 +118,8 @@
     }
 }
 
-/// Starts the joining voter with an empty folder, as an operator has to do. A joining broker that still runs a voter with a
-/// folder starts over by itself.
+/// Starts the voter that joins by the pending list, as an operator has to do. If the joining broker still runs a voter
+/// from an earlier list, that voter discards its folder by itself.
 fn start_joining_voter(fleet: &mut Fleet) {
     let Some(leader) = fleet.leader() else { return };
     let list = fleet.voter_indices();
@@ -151,7 +153,8 @@
         "not all brokers have leases again"
     );
     start_joining_voter(&mut fleet);
-    // A proposed version is activated or withdrawn by the leader, unless it waits in its first stage for an operator.
+    // Within this time the leader activates or withdraws a proposed version, unless the version is in its first stage,
+    // which an operator has to end.
     fleet.run_for(10.0);
     let leader = fleet.leader().expect("a fleet without faults keeps its leader");
     let number = fleet.state(leader).highest_number;
--- a/crates/dunepond-consensus/tests/storage_and_clock.rs
+++ b/crates/dunepond-consensus/tests/storage_and_clock.rs
@@ -1,10 +1,12 @@
-//! The size of the stored state over a long run, a leader with a full disk, and a clock that jumps forward.
+//! Tests of the size of the stored state over many versions, of a leader with a full disk, and of a clock that jumps
+//! forward.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::{config_version, consensus_config, shard_map};
 use dunepond_simulation::fleet::Fleet;
 
-/// Writes the batch to a journal as a host does, and updates the largest size of the journal in bytes.
+/// Writes the batch in `effects` to the journal as a host does, and updates the largest size in bytes that the journal
+/// has had.
 fn write_batch_to_journal(
     voter: &Voter,
     effects: &Effects,
@@ -45,7 +47,8 @@
             write_batch_to_journal(&voter, &effects, &mut journal, &mut max_journal_bytes);
             client_count += 1;
         }
-        // Each request is from another run of one of a thousand brokers.
+        // Each request has the name of one of a thousand brokers and a new incarnation, as if that broker had
+        // restarted.
         let request = LeaseRequest {
             id: 1,
             broker: format!("b{}", client_count % 1_000),
@@ -66,7 +69,8 @@
     let [(first_checkpoint, first_journal), (later_checkpoint, later_journal)] = sizes[..] else {
         panic!("two sizes are expected: {sizes:?}")
     };
-    // Both journals hold up to 513 entries. They differ in size because later indices and numbers have more digits.
+    // Both of the largest journals contain up to 513 entries. They differ in size because later indices and version
+    // numbers have more digits.
     assert!(
         later_checkpoint < 2 * first_checkpoint.max(1 << 16)
             && later_journal < first_journal + first_journal / 4
@@ -79,7 +83,8 @@
 fn leader_with_full_disk_is_replaced() {
     let mut fleet = Fleet::with_map(3, 2, 90);
     let leader = fleet.leader().unwrap();
-    // The host writes no record, so the voter sends and receives nothing until the host can write again.
+    // The leader's host cannot write records, so it neither calls the voter nor sends its messages. The test simulates
+    // that by removing the voter from the fleet.
     let voter = fleet.brokers[leader].voter.take();
     assert!(
         fleet.run_until(5.0, |fleet| fleet.leader().is_some() && fleet.all_have_leases()),
--- a/crates/dunepond-consensus/tests/upgrades.rs
+++ b/crates/dunepond-consensus/tests/upgrades.rs
@@ -1,4 +1,5 @@
-//! Compatibility with earlier and later builds: documents of format 1, and keys that a later build adds.
+//! Tests of compatibility with earlier and later builds: documents of format 1, the first stored format, and keys that
+//! a later build adds to configuration versions.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::{config_version, consensus_config, shard_map};
@@ -46,7 +47,7 @@
     (1..400).for_each(|n| drop(voter.tick(0.02 * f64::from(n))));
     let state = voter.state();
     assert!(voter.is_leader() && voter.has_state());
-    // Version 2 was withdrawn at the deadline, since its fill was never completed.
+    // The leader has withdrawn version 2 at the fill deadline, since its fill was never completed.
     assert_eq!((state.active_number(), state.highest_number, state.open.is_none()), (1, 2, true));
     assert_eq!(state.voters.voters.iter().map(|voter| voter.name.as_str()).collect::<Vec<_>>(), ["n1"]);
     voter.propose(8.0, propose(&config_version(3, Some(shard_map(3, false))))).unwrap();
@@ -65,7 +66,8 @@
     let second_version = version_with(2, extension("omens", false));
     fleet.propose(propose(&second_version)).unwrap();
     assert!(fleet.run_until(5.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(2))));
-    // The key is preserved in the log, in snapshots, after a restart and in a new folder, and reaches each broker.
+    // Although no build knows the key, it is preserved in the log, in snapshots, after a restart and in a new folder,
+    // and each broker receives it.
     fleet.kill(0);
     fleet.wipe_folder(0);
     fleet.start(0);
@@ -102,7 +104,8 @@
     fleet.run_for(3.0);
     let rejection = fleet.propose(propose(&second_version)).unwrap_err();
     assert!(matches!(rejection, Rejection::UnknownKeyAtVoter { number: 2, .. }), "{rejection}");
-    // The leader skips the check: the two older voters do not acknowledge the entry, and log the reason.
+    // The leader proposes the version without this check. The two voters that do not know the key do not acknowledge
+    // the entry, and log the reason.
     fleet.propose_unchecked_at(leader, propose(&second_version)).unwrap();
     fleet.run_for(3.0);
     assert!((0..3).all(|n| fleet.state(n).highest_number == 1), "the entry is not committed");
@@ -117,7 +120,7 @@
         fleet.all_have_leases() && fleet.all_in_phase(&ConfigPhase::Active(1)),
         "all brokers continue with version 1"
     );
-    // Once that leader is down, the two older voters continue without the entry.
+    // Once that leader is down, the two voters that do not know the key continue without the entry.
     fleet.kill(leader);
     assert!(fleet.run_until(5.0, |fleet| fleet.leader().is_some()));
     fleet.propose(propose(&config_version(2, Some(shard_map(2, false))))).unwrap();
--- a/crates/dunepond-consensus/tests/voters.rs
+++ b/crates/dunepond-consensus/tests/voters.rs
@@ -1,5 +1,5 @@
-//! Changes of voters, one at a time, by an operator's document: their outcome under failures, and the effects that removed
-//! voters still have.
+//! Tests of changes of voters, one at a time, by an operator's document: whether they complete under failures, and
+//! whether removed voters still affect the fleet.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::{config_version, settlement, shard_map};
@@ -39,7 +39,8 @@
 fn fleet_continues_after_change_of_voters(#[case] to: &[usize]) {
     let mut fleet = Fleet::with_map(3, 2, 40);
     complete_change(&mut fleet, to);
-    // As many voters fail as the list tolerates. A removed voter still runs, but does not count.
+    // As many voters are killed as the new list tolerates. A removed voter still runs, but does not count in
+    // majorities.
     fleet.run_for(1.0);
     if to.len() > 2 {
         fleet.kill(to[0]);
@@ -56,7 +57,7 @@
     let mut list = vec![0, 1, 2];
     for (number, new) in (2..).zip([3, 4, 5]) {
         fleet.propose(propose(number)).unwrap();
-        // The leader is replaced each time.
+        // Each change replaces the leader if it is one of the original voters, otherwise the first voter of the list.
         let leader = fleet.leader().unwrap();
         let removed = if list.contains(&leader) && leader < 3 { leader } else { list[0] };
         let at = list.iter().position(|n| *n == removed).unwrap();
@@ -72,7 +73,8 @@
     assert!(list.iter().all(|n| *n > 2));
     fleet.propose(propose(5)).unwrap();
     assert!(fleet.run_until(5.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(5))));
-    // A broker whose file still lists the first voters gets a lease, also after a restart, and reports the difference.
+    // A broker whose file still lists the original voters, none of which is a voter any more, gets a lease even after a
+    // restart, and reports that the voters differ from its file.
     fleet.kill(6);
     fleet.start(6);
     assert!(fleet.run_until(3.0, |fleet| fleet.has_lease(6)));
@@ -147,7 +149,8 @@
     let clock = fleet.clock(0);
     let replies = fleet.brokers[0].voter.as_mut().unwrap().handle_lease_request(clock, "n6", request).replies;
     assert!(matches!(&replies[0].1.answer, LeaseAnswer::NotAVoter(others) if others.len() == 3));
-    // A broker that only knows the first voters asks the removed one, which names the voters in force.
+    // A broker that only knows the original voters asks the removed voter, which replies with the voters of the list in
+    // force.
     fleet.start(1);
     fleet.start(2);
     fleet.kill(5);
