--- a/crates/dunepond-consensus/src/active_config.rs
+++ b/crates/dunepond-consensus/src/active_config.rs
@@ -10,7 +10,7 @@
 
 use crate::{ConfigVersion, RoutingRules, strictest_rules};
 
-/// Retry-After, in seconds, of a broker that has never had a lease.
+/// Retry-After, in seconds, with which a broker that has never had a lease rejects non-idempotent parts.
 const UNLEASED_RETRY_AFTER_SECONDS: f64 = 1.0;
 
 /// Which configuration versions a broker acts on at one moment. The values are the versions' numbers.
@@ -52,7 +52,7 @@
     pub lease_valid: bool,
 }
 
-/// The version or versions that a broker acts on while it holds a lease.
+/// The version or versions that a broker acts on while it has a valid lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RolloutSide {
     /// The active version alone.
@@ -85,7 +85,7 @@
     pub proposed_proof: Option<VerifiedMap>,
     /// The transition from the active version's shard map to the proposed version's, if both have one and they differ.
     pub transition: Option<MapTransition>,
-    /// The version or versions that the broker acts on while it holds a lease.
+    /// The version or versions that the broker acts on while it has a valid lease.
     pub side: RolloutSide,
     /// Start of the lease in seconds on the broker's own clock: the time at which its request was sent.
     pub lease_from: f64,
--- a/crates/dunepond-consensus/src/command.rs
+++ b/crates/dunepond-consensus/src/command.rs
@@ -13,14 +13,14 @@
     /// Proposes a configuration version. Once the command is committed, brokers act on the joint configuration of the
     /// active and the proposed version from their next lease on.
     Propose(Box<ConfigVersion>),
-    /// Reports that a fill is complete: a node now holds a replica that the proposed shard map requires.
+    /// Reports that a fill is complete: a node now stores a replica that the proposed shard map requires.
     #[serde(rename = "Filled")]
     FillCompleted {
         /// Number of the proposed version.
         number: u64,
         /// Id of the segment that was filled.
         segment: u64,
-        /// Name of the node that holds the filled replica.
+        /// Name of the node that stores the filled replica.
         holder: String,
     },
     /// Makes the proposed version the only active one.
--- a/crates/dunepond-consensus/src/error.rs
+++ b/crates/dunepond-consensus/src/error.rs
@@ -20,7 +20,7 @@
         name: String,
     },
     /// The operator's order to recover a fleet that lost the majority of its voters is invalid, or was written for
-    /// another folder or another state of it.
+    /// another folder or another last index of its log.
     #[error("the recovery order is rejected: {0}")]
     Recovery(#[from] RecoveryError),
     /// A message states an earlier epoch than the fleet's. Each recovery from a lost majority begins a new epoch, so
--- a/crates/dunepond-consensus/src/lease_client/clock_guard.rs
+++ b/crates/dunepond-consensus/src/lease_client/clock_guard.rs
@@ -3,7 +3,7 @@
 
 use crate::{ConsensusConfig, LeaseGrant, Rejection};
 
-/// Age in lease durations above which a newer sample replaces [`ClockGuard::reference`].
+/// Age of [`ClockGuard::reference`], in lease durations, above which a newer sample replaces it.
 const MAX_REFERENCE_AGE_LEASES: f64 = 3.0;
 
 /// Two times of a granted lease request: when this broker sent it, on this broker's clock, and when the leader received
--- a/crates/dunepond-consensus/src/lease_messages.rs
+++ b/crates/dunepond-consensus/src/lease_messages.rs
@@ -112,7 +112,8 @@
     /// Replicas of the active shard map whose fills are complete, as segment id and node name.
     #[serde(rename = "done")]
     pub completed_fills: Vec<(u64, String)>,
-    /// Entries of the [`crate::SettlementLog`] that the broker lacks. Each reply contains a limited number of them.
+    /// Entries of the [`crate::SettlementLog`] that the broker lacks, or a part of them, since each reply contains a
+    /// limited number.
     #[serde(rename = "debts")]
     pub settlements: SettlementUpdate,
     /// The broker's shares of fleet-wide quotas, if it has any.
--- a/crates/dunepond-consensus/src/lib.rs
+++ b/crates/dunepond-consensus/src/lib.rs
@@ -3,9 +3,9 @@
 //! readings.
 //!
 //! A [`Voter`] replicates log entries with the other voters through the `raft` library and grants leases. Every broker
-//! runs a [`LeaseClient`], which requests leases and turns the replies into an [`ActiveConfig`]. The broker consults the
-//! [`ActiveConfig`] before each action. Without leases two brokers could act on different versions at the same time, and
-//! a non-idempotent request could run at two segment owners.
+//! runs a [`LeaseClient`], which requests leases and turns the replies into an [`ActiveConfig`]. The broker consults
+//! the [`ActiveConfig`] before each action. Without leases two brokers could act on different versions at the same
+//! time, and a non-idempotent request could be executed by two owners of the same segment.
 //!
 //! Times are seconds on each broker's own monotonic clock, which counts suspended time, unless stated otherwise. The
 //! guarantees and their proofs are in `docs/notes/consensus.md`.
--- a/crates/dunepond-consensus/src/log_storage.rs
+++ b/crates/dunepond-consensus/src/log_storage.rs
@@ -37,9 +37,9 @@
 /// When [`LogStorage::compact`] takes a snapshot.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum SnapshotPolicy {
-    /// Only if at least [`SNAPSHOT_ENTRY_COUNT`] entries were applied since the last snapshot.
+    /// A snapshot is taken only if at least [`SNAPSHOT_ENTRY_COUNT`] entries were applied since the last one.
     WhenLong,
-    /// Regardless of the length of the log.
+    /// A snapshot is taken regardless of the length of the log.
     Now,
 }
 
--- a/crates/dunepond-consensus/src/rejection.rs
+++ b/crates/dunepond-consensus/src/rejection.rs
@@ -100,7 +100,7 @@
         number: u64,
         /// Id of the segment.
         segment: u64,
-        /// Name of the node that holds the filled replica.
+        /// Name of the node that stores the filled replica.
         holder: String,
     },
     /// The version is being rolled back from its first stage, so it can neither be activated nor withdrawn again.
--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -38,7 +38,7 @@
     /// build without epochs.
     #[serde(default)]
     pub epoch: u64,
-    /// Whether no leases are granted, because leases from before a recovery may still be valid.
+    /// Whether no leases are granted for now, since the fleet was recovered and earlier leases may still be valid.
     #[serde(default)]
     #[serde(rename = "quiet")]
     pub leases_suspended: bool,
@@ -146,8 +146,8 @@
         Some(self)
     }
 
-    /// The quiescence period in seconds on the leader's clock, counted from when it saw a change committed. It covers both
-    /// the configuration in force and `own`, the one in the leader's file; see
+    /// The quiescence period in seconds on the leader's clock, counted from when the leader saw an entry committed. It
+    /// covers both the configuration in force and `own`, the one in the leader's file; see
     /// [`ConsensusConfig::quiescence_seconds`].
     pub fn quiescence_seconds(&self, own: &ConsensusConfig) -> f64 {
         let lease = self.longest_lease_seconds.max(own.lease_seconds);
--- a/crates/dunepond-consensus/src/replicated_state/state_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/state_change.rs
@@ -14,7 +14,7 @@
         number: u64,
         /// Id of the segment.
         segment: u64,
-        /// Name of the node that holds the filled replica.
+        /// Name of the node that stores the filled replica.
         holder: String,
     },
     /// The first stage of the version of this number began.
@@ -40,7 +40,8 @@
     Config,
     /// The data folder of the voter of this name, or a new process start on it, was recorded.
     VoterSlot(String),
-    /// The list of voters of this number is pending until its new voter is ready.
+    /// The list of voters of this number was proposed. If a voter joins by it, the list is pending until that voter has
+    /// reported an empty folder.
     VotersPending(u64),
     /// The list of voters of this number came into force.
     VotersChanged(u64),
--- a/crates/dunepond-consensus/src/replicated_state/voter_list.rs
+++ b/crates/dunepond-consensus/src/replicated_state/voter_list.rs
@@ -1,5 +1,5 @@
-//! The list of voters. The fleet is founded with the list in the operator's file; after that the list is only changed by
-//! operators' documents, one voter at a time.
+//! The list of voters. The fleet is founded with the list in the operator's file; after that the list is only changed
+//! by operators' documents, by each of which at most one voter joins and at most one leaves.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,7 +15,8 @@
     /// The voters of the list in force.
     #[serde(rename = "list")]
     pub voters: Vec<VoterInfo>,
-    /// The list that is pending until its new voter is ready.
+    /// The list that was proposed and is not in force yet. If a voter joins by it, the list is pending until that voter
+    /// has reported an empty folder.
     #[serde(rename = "next")]
     pub pending: Option<VoterChange>,
     /// Name and folder id of the voter that was removed last. Both are stored because messages to that voter may be
--- a/crates/dunepond-consensus/src/voter/envelope.rs
+++ b/crates/dunepond-consensus/src/voter/envelope.rs
@@ -36,7 +36,7 @@
 pub(super) enum Body {
     /// Introduces the sender, and asks the receiver what it knows about the sender's folder.
     Hello {
-        /// Whether the sender's folder holds no state of the fleet.
+        /// Whether the sender's folder contains no state of the fleet.
         #[serde(rename = "blank")]
         folder_empty: bool,
         /// Keys of version extensions that the sender's build implements.
@@ -64,7 +64,7 @@
 /// What the sender knows about the receiver's folder and the list of voters.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct HelloReply {
-    /// Whether the sender's folder holds no state of the fleet.
+    /// Whether the sender's folder contains no state of the fleet.
     #[serde(rename = "blank")]
     pub folder_empty: bool,
     /// A later process start on the receiver's folder than the one that sent the hello, if the sender of this reply
--- a/crates/dunepond-consensus/src/voter/handshake.rs
+++ b/crates/dunepond-consensus/src/voter/handshake.rs
@@ -34,7 +34,7 @@
 pub(super) struct PeerFolder {
     /// Id of the folder, and the process start on it that sent the message.
     pub slot: VoterSlot,
-    /// Whether the folder holds no state of the fleet.
+    /// Whether the folder contains no state of the fleet.
     pub empty: bool,
 }
 
--- a/crates/dunepond-consensus/src/voter/membership.rs
+++ b/crates/dunepond-consensus/src/voter/membership.rs
@@ -9,7 +9,8 @@
 use crate::{VoterSlot, codec};
 
 impl Voter {
-    /// The next entry about voters or their folders that the leader has to write, if there is one.
+    /// The next log entry that changes the voters or records their folders and that the leader has to write; `None` if
+    /// none is due.
     pub(super) fn next_membership_entry(&self) -> Option<LogEntry> {
         let changed = self.changed_slot();
         let entry = changed.map(|(voter, slot)| LogEntry::VoterSlot { voter, slot });
--- a/crates/dunepond-consensus/src/voter/mod.rs
+++ b/crates/dunepond-consensus/src/voter/mod.rs
@@ -66,7 +66,7 @@
     has_state: bool,
     participation: Participation,
     /// Names of the other voters that have confirmed that this voter's folder is the latest one. Until a majority has
-    /// done so, a folder that holds a state may have been restored from a copy, so this voter does not take part.
+    /// done so, a folder that contains a state may have been restored from a copy, so this voter does not take part.
     confirmed_by: Vec<String>,
     /// Whether another voter reported that the committed list no longer contains this voter; see [`Voter::is_removed`].
     reported_removed: bool,
--- a/crates/dunepond-consensus/src/voter/receive.rs
+++ b/crates/dunepond-consensus/src/voter/receive.rs
@@ -94,7 +94,7 @@
             }
             return;
         }
-        // An acknowledgement of entries that this voter does not have is not meant for it.
+        // An acknowledgement of entries that this voter does not have cannot refer to its log, so it is dropped.
         if kind == MessageType::MsgAppendResponse && !message.reject && message.index > last_index {
             return;
         }
--- a/crates/dunepond-consensus/src/voter/recovery.rs
+++ b/crates/dunepond-consensus/src/voter/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery of a fleet whose majority of voters is permanently lost, from one voter's folder, by an operator's order.
-//! Entries that only the lost voters had committed are lost. Three measures limit the harm. The fleet's epoch is
-//! increased. Brokers that know the new epoch accept nothing from an earlier one. No lease is granted until all leases
-//! that the lost voters granted, and all queries sent under them, have ended.
+//! Entries that only the lost voters had committed are lost. Three measures limit the consequences. The fleet's epoch
+//! is increased. Brokers that know the new epoch accept nothing from an earlier one. No lease is granted until all
+//! leases that the lost voters granted, and all queries sent under them, have ended.
 
 use raft::eraftpb::{ConfState, EntryType};
 
@@ -65,7 +65,7 @@
             if !bytes.is_empty() {
                 let log_entry = decode::log_entry(bytes, &self.known_keys)
                     .map_err(|reason| RecoveryError::UnknownEntry(reason.to_string()))?;
-                // An entry that is ignored here was ignored by every voter.
+                // An entry that is invalid in this state has no effect; every voter ignores it.
                 let _ = state.apply(entry.index, log_entry);
             }
         }
--- a/crates/dunepond-consensus/src/voter_change.rs
+++ b/crates/dunepond-consensus/src/voter_change.rs
@@ -33,7 +33,8 @@
     pub proposed_at_unix_seconds: f64,
 }
 
-/// A voter's data folder, and the latest process start on it that the holder of this value knows of.
+/// A voter's data folder, and the latest process start on that folder which was known when this value was sent or
+/// stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterSlot {
     /// Id of the folder, drawn at random when the folder was empty.
--- a/crates/dunepond-consensus/tests/recovery.rs
+++ b/crates/dunepond-consensus/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of a fleet that has lost the majority of its voters, by an operator's order.
+//! Tests of the recovery of a fleet that has lost the majority of its voters, by an operator's order.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fixtures::{config_version, shard_map};
--- a/crates/dunepond-consensus/tests/routing_rules.rs
+++ b/crates/dunepond-consensus/tests/routing_rules.rs
@@ -1,4 +1,4 @@
-//! Properties of the strictest combination of two sets of routing rules.
+//! Property tests of the strictest combination of two sets of routing rules.
 
 use dunepond_consensus::*;
 use proptest::prelude::*;
@@ -43,7 +43,7 @@
         )
 }
 
-/// Whether `b` allows everything that `a` allows.
+/// Whether the rules `b` allow everything that the rules `a` allow.
 fn is_within(a: &RoutingRules, b: &RoutingRules) -> bool {
     let all_at_least =
         |a: &[f64], b: &[f64]| b.iter().enumerate().all(|(i, b)| a.get(i).is_some_and(|a| a >= b));
--- a/crates/dunepond-consensus/tests/scenarios/partitions.rs
+++ b/crates/dunepond-consensus/tests/scenarios/partitions.rs
@@ -1,4 +1,4 @@
-//! Changes to another configuration version while links are blocked, lossy or slow.
+//! Scenarios of changes to another configuration version while links between brokers are blocked, lossy or slow.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fleet::{Fleet, LinkConditions};
--- a/crates/dunepond-consensus/tests/scenarios/pauses.rs
+++ b/crates/dunepond-consensus/tests/scenarios/pauses.rs
@@ -1,4 +1,4 @@
-//! Brokers that are paused, and clocks that go back.
+//! Scenarios in which brokers are paused, or their clocks go back.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fleet::Fleet;
--- a/crates/dunepond-consensus/tests/scenarios/restarts.rs
+++ b/crates/dunepond-consensus/tests/scenarios/restarts.rs
@@ -1,4 +1,5 @@
-//! Changes to another configuration version while brokers are killed and restarted with their folders.
+//! Scenarios of changes to another configuration version while brokers are killed and restarted with their data
+//! folders.
 
 use dunepond_consensus::*;
 use dunepond_simulation::fleet::Fleet;
--- a/crates/dunepond-consensus/tests/upgrades.rs
+++ b/crates/dunepond-consensus/tests/upgrades.rs
@@ -5,7 +5,7 @@
 use dunepond_simulation::fixtures::{config_version, consensus_config, shard_map};
 use dunepond_simulation::fleet::Fleet;
 
-/// Journal of a single voter, written by the build of commit 63ed26b. It holds 520 settlements, the active
+/// Journal of a single voter, written by the build of commit 63ed26b. It contains 520 settlements, the active
 /// configuration version 1 and the proposed version 2.
 const JOURNAL: &[u8] = include_bytes!("data/format-1/journal");
 /// The configuration version that `format_1_documents_are_read_and_voter_continues` constructs, packed by the build
