--- a/crates/dunepond-consensus/src/voter/envelope.rs
+++ b/crates/dunepond-consensus/src/voter/envelope.rs
@@ -24,7 +24,8 @@
     /// Whether the sender has a state of the fleet.
     #[serde(rename = "seated")]
     pub has_state: bool,
-    /// Id of the receiver's data folder, or 0 to allow any. A receiver that runs on another folder drops the message.
+    /// Id of the receiver's data folder, or 0 to allow any. A receiver drops the message if it runs on a folder with
+    /// another id.
     #[serde(rename = "to")]
     pub to_folder: u64,
     pub body: Body,
@@ -35,7 +36,7 @@
 pub(super) enum Body {
     /// Introduces the sender, and asks the receiver what it knows about the sender's folder.
     Hello {
-        /// Whether the sender's folder holds no state of the fleet.
+        /// Whether the sender's folder contains no state of the fleet.
         #[serde(rename = "blank")]
         folder_empty: bool,
         /// Keys of version extensions that the sender's build implements.
@@ -63,14 +64,15 @@
 /// What the sender knows about the receiver's folder and the list of voters.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct HelloReply {
-    /// Whether the sender's folder holds no state of the fleet.
+    /// Whether the sender's folder contains no state of the fleet.
     #[serde(rename = "blank")]
     pub folder_empty: bool,
     /// A later process start on the receiver's folder than the one that sent the hello, if the sender of this reply
     /// knows of one. The receiver then knows that its folder was restored from a copy.
     #[serde(rename = "seen")]
     pub seen_slot: Option<VoterSlot>,
-    /// The receiver's folder and process start that are committed at `index`, if any are.
+    /// The receiver's folder and process start in the sender's state, which is applied up to `index`; `None` if that
+    /// state contains none.
     #[serde(rename = "agreed")]
     pub agreed_slot: Option<VoterSlot>,
     /// Whether the receiver is in the list of voters in force or joins by the pending list, according to the sender's
