--- a/crates/dunepond-membership/examples/cost.rs
+++ b/crates/dunepond-membership/examples/cost.rs
@@ -1,5 +1,6 @@
-//! What membership and requests cost: `cargo run --release -p dunepond-membership --example cost [brokers ...]`. All brokers run in this one
-//! process, and processor time is divided evenly among them.
+//! Measures the cost of membership and requests for fleets of the given sizes: `cargo run --release -p
+//! dunepond-membership --example cost [brokers ...]`. All brokers run in this process, so the processor time of one
+//! broker is that of the process divided by the number of brokers.
 
 use dunepond_membership::{BoundSockets, Event, MembershipOptions, Peers, RequestKind, bind, start_on};
 use std::time::{Duration, Instant};
@@ -8,7 +9,8 @@
 const REQUEST_COUNT: usize = 5000;
 const BODY_BYTES: usize = 1024;
 
-/// Processor time of this process, in seconds: fields 14 and 15 of its `stat`, in hundredths.
+/// Returns the processor time that this process has used, in seconds: the sum of fields 14 and 15 of `/proc/self/stat`,
+/// which are in hundredths of a second.
 fn processor_seconds() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
@@ -26,7 +28,7 @@
         .zip(&known)
         .map(|(sockets, (name, at))| {
             let mut options = MembershipOptions::new(name, 1, *at, known.clone(), at.port().into());
-            // The requests below exceed the default rate.
+            // The requests below exceed the default limit on requests per second.
             options.limits.max_requests_per_second = u32::MAX;
             start_on(sockets, options).expect("a start")
         })
--- a/crates/dunepond-membership/src/client.rs
+++ b/crates/dunepond-membership/src/client.rs
@@ -1,5 +1,6 @@
-//! Sends this broker's requests to peers over pooled HTTP connections. The number of requests in flight to each peer is
-//! limited, each request has a deadline, and no request is sent to a peer in backoff.
+//! Sends the caller's requests and this broker's liveness checks to peers over pooled HTTP connections. Each has a
+//! deadline. For the caller's requests, the number in flight to each peer is limited, and none is sent to a peer in
+//! backoff, which follows a failure to reach the peer.
 
 use crate::backoff::Backoff;
 use crate::context::Context;
@@ -27,9 +28,10 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 
-/// Fraction of the idle timeout after which pooled connections are closed, so that the peer does not close them first.
+/// Fraction of the idle timeout after which this broker closes an idle pooled connection, so that it does so before the
+/// peer, which waits for the whole timeout.
 const POOL_IDLE_RATIO: f64 = 0.5;
-/// Bit that distinguishes the ids of liveness checks from those of the callers' requests.
+/// Bit in a request id that distinguishes the ids of liveness checks from those of the callers' requests.
 const LIVENESS_ID_BIT: u64 = 1 << 63;
 
 /// A request that [`Peers::request`](crate::Peers::request) accepted, or a liveness check.
@@ -42,7 +44,7 @@
     pub deadline: Instant,
 }
 
-/// A verified response.
+/// A response that was verified to come from the peer to which the request was sent.
 pub(crate) struct ReceivedResponse {
     /// Address to which the request was sent.
     pub address: SocketAddr,
@@ -83,12 +85,12 @@
 struct PeerConnections {
     /// Number of requests to the peer that have not ended, including those that wait for a connection.
     in_flight: usize,
-    /// One permit for each connection that may be in use.
+    /// One permit for each connection to the peer that may be in use at the same time.
     slots: Arc<Semaphore>,
     backoff: Backoff,
 }
 
-/// Sends requests to peers, within the limits on each peer.
+/// Sends requests to peers, within the limits on requests and connections per peer.
 pub(crate) struct Client {
     context: Rc<Context>,
     http: hyper_util::client::legacy::Client<HttpConnector, Full<Bytes>>,
@@ -111,7 +113,7 @@
         Client { context, http, peers: RefCell::default() }
     }
 
-    /// Sends the request in a task of its own, which adds exactly one outcome to the event queue.
+    /// Sends the request in a separate task, which adds exactly one outcome to the event queue.
     pub fn send(self: &Rc<Self>, request: OutboundRequest) {
         let client = self.clone();
         tokio::task::spawn_local(async move {
@@ -134,8 +136,9 @@
         });
     }
 
-    /// Sends a liveness check in a task of its own, which sends exactly one outcome to `outcomes`. Backoff and the
-    /// limit on connections do not apply to it, since at most one check of each peer is in flight.
+    /// Sends a liveness check in a separate task, which sends exactly one outcome to `outcomes`. Backoff and the limits
+    /// on requests and connections per peer do not apply to liveness checks, since at most one check of each peer is in
+    /// flight.
     pub fn check_liveness(
         self: &Rc<Self>,
         check: LivenessCheck,
@@ -177,7 +180,7 @@
         let _in_flight = InFlightGuard { client: self, to: &request.to };
         self.check_backoff(request)?;
         let _slot = slots.acquire().await.map_err(|_| PeerError::Stopped)?;
-        // A request that was queued earlier may have found the peer unreachable in the meantime.
+        // While this request waited for a connection, another one may have found the peer unreachable.
         self.check_backoff(request)?;
         let response = self.send_with_retry(request).await;
         let now = self.context.now();
@@ -203,8 +206,8 @@
     }
 
     /// Sends the request, and retries it once if the refusal shows that a retry can succeed: with a new address token,
-    /// a new sequence number or another protocol version. A peer that refuses a request for such a reason has not acted
-    /// on it.
+    /// a new sequence number or another protocol version. A peer that refuses a request for one of these reasons has
+    /// not processed it, so the retry cannot process it twice.
     async fn send_with_retry(&self, request: &OutboundRequest) -> Result<ReceivedResponse, PeerError> {
         let token = || self.context.core.borrow().token_from(&request.to);
         let token_before = token();
@@ -216,7 +219,8 @@
                     {
                         true
                     }
-                    // Too many later requests overtook this one; the retry has a new sequence number.
+                    // Too many requests with higher sequence numbers arrived at the peer before this one; the retry has
+                    // a new number.
                     RefusalReason::Replayed => true,
                     reason => self.has_other_version(&to, reason),
                 };
@@ -226,8 +230,8 @@
         }
     }
 
-    /// Records the protocol versions that a refusal states. Returns whether there is another common version to try;
-    /// `false` if the refusal states no versions.
+    /// Records the protocol versions that a refusal states. Returns whether the request can be retried in another
+    /// version that both brokers support; `false` if the refusal states no versions.
     fn has_other_version(&self, to: &str, reason: &RefusalReason) -> bool {
         let range = match reason {
             RefusalReason::UnsupportedVersionV1 { supported, .. } => VersionRange::exactly(*supported),
@@ -326,7 +330,7 @@
                 let (payload, receive_permit) = (payload.to_vec(), raw.receive_permit);
                 Ok(ReceivedResponse { address, envelope, header, payload, receive_permit })
             }
-            // If the configured address is that of another broker, the refusal comes from that broker.
+            // The refusal may come from a broker of another name, if that broker's address is configured for this peer.
             MessageType::Refusal { id } if *id == request.id || *id == 0 => {
                 let reason =
                     postcard::from_bytes(payload).map_err(|_| PeerError::Malformed { from: to() })?;
--- a/crates/dunepond-membership/src/codec.rs
+++ b/crates/dunepond-membership/src/codec.rs
@@ -1,6 +1,6 @@
-//! The encoding of messages: a version byte; from version 2 on the sender's range of versions and a sequence number;
-//! the header; the payload; and a message authentication code if the fleet has a key. Version and range must stay first
-//! in every later version, so that brokers of any version can read them.
+//! The encoding of messages: a version byte; from version 2 on, the range of versions that the sender supports and a
+//! sequence number; the header; the payload; and a message authentication code if the fleet has a key. The version byte
+//! and the range must stay first in every later version, so that brokers of any version can read them.
 
 use crate::error::PeerError;
 use crate::messages::{Envelope, Message, MessageHeader};
@@ -10,11 +10,12 @@
 const MAC_BYTES: usize = 32;
 /// Context string with which the message key is derived from the fleet's key; it is part of the wire format.
 const KEY_CONTEXT: &str = "dunepond peers, messages, 1";
-/// Length of the version byte and the range in bytes, in versions that state a range.
+/// Length of the version byte and the version range together, in bytes, in messages that state the range.
 const RANGE_PREFIX_BYTES: usize = 3;
 const ENCODING_TO_MEMORY: &str = "encoding to memory cannot fail";
 
-/// Largest total size of envelope, header and authentication code, in bytes; the rest of a datagram carries gossip.
+/// Largest total size of envelope, header and authentication code, in bytes; the rest of a datagram is available for
+/// gossip.
 pub(crate) const MAX_OVERHEAD_BYTES: usize = 256;
 
 /// Signs and verifies messages with the fleet's key, if it has one. A valid authentication code proves that the sender
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Returns whether the fleet has a key, so that messages are authenticated.
+    /// Returns whether the fleet has a key. Without a key, messages are not authenticated.
     pub fn has_key(&self) -> bool {
         self.0.is_some()
     }
@@ -67,7 +68,7 @@
         [version, min, max, ..] if version >= FIRST_VERSION_WITH_RANGE => {
             (min <= version && version <= max).then_some((version, VersionRange { min, max }))
         }
-        // The message is of version 1 or truncated, so no range is stated.
+        // The message is of version 1, which states no range, or too short to state one.
         [version, ..] => Some((version, VersionRange::exactly(version))),
         [] => None,
     }
--- a/crates/dunepond-membership/src/context.rs
+++ b/crates/dunepond-membership/src/context.rs
@@ -16,10 +16,11 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Largest number of pairs of host and version range that are logged as having no common version.
+/// Largest number of warnings about senders that share no protocol version with this broker: one for each pair of host
+/// and version range.
 const MAX_LOGGED_INCOMPATIBLE: usize = 64;
-/// Memory that one permit of the budget for received bodies stands for, in bytes. One permit per byte could exceed the
-/// number of permits that a semaphore supports.
+/// Size of the part of a received body that one permit of the receive budget covers, in bytes. One permit per byte
+/// could exceed the number of permits that a semaphore supports.
 const RECEIVE_UNIT_BYTES: usize = 1024;
 
 /// State that is shared among the tasks of the membership's thread.
@@ -31,7 +32,8 @@
     pub udp: UdpSocket,
     /// Budget for bodies that are being received, in units of [`RECEIVE_UNIT_BYTES`].
     receive_budget: Arc<Semaphore>,
-    /// Hosts and version ranges that were logged as having no common version.
+    /// Hosts, with the version ranges that they state, for which a warning was logged because they share no version
+    /// with this broker.
     logged_incompatible: RefCell<BTreeSet<(String, VersionRange)>>,
     started: Instant,
 }
@@ -66,7 +68,8 @@
     /// the caller.
     pub fn apply(&self, actions: Actions) {
         for (to, bytes) in actions.datagrams {
-            // If the socket's buffer is full the datagram is dropped, as the network may drop any datagram.
+            // If the socket's buffer is full, the datagram is dropped: the protocol has to tolerate lost datagrams in
+            // any case.
             if self.udp.try_send_to(&bytes, to).is_ok() {
                 increment(&self.shared.counters.datagrams_out);
             }
@@ -80,8 +83,8 @@
         }
     }
 
-    /// Counts and logs a rejected message. A peer without a common version is logged as a warning, once for each
-    /// version range that it states.
+    /// Counts and logs a rejected message. A sender that shares no protocol version with this broker is logged as a
+    /// warning, once for each pair of host and version range.
     pub fn report_rejected(&self, error: &PeerError) {
         self.shared.counters.record_rejected(error);
         tracing::debug!(%error, "membership: message rejected");
--- a/crates/dunepond-membership/src/core/changes.rs
+++ b/crates/dunepond-membership/src/core/changes.rs
@@ -9,7 +9,7 @@
 
 impl Core {
     /// Collects timers, datagrams and member changes from the gossip library. Messages to `inline_recipient` are
-    /// returned instead of sent as datagrams, because this peer waits for them on a connection.
+    /// returned instead of sent as datagrams, because that peer waits for them on a connection.
     pub(super) fn collect_actions(
         &mut self,
         actions: &mut Actions,
@@ -21,7 +21,8 @@
             let (due, order) = (self.now + after.as_secs_f64(), self.timers_scheduled);
             self.timers.push(ScheduledTimer { due, order, timer });
         }
-        // Changes are found by comparing members, since the library's notifications do not include suspicions.
+        // The library's notifications are discarded, since they do not include suspicions. Changes are found by
+        // comparing the library's members before and after.
         while self.runtime.to_notify().is_some() {}
         let current = self.library_members();
         let inline = self.collect_datagrams(&current, actions, inline_recipient);
@@ -60,8 +61,8 @@
                 inline.push(payload.to_vec());
                 continue;
             }
-            // Datagrams are only sent to configured peers and members: otherwise gossip could direct them to any
-            // address.
+            // Datagrams are only sent to configured peers and members: otherwise the sender of a gossip message could
+            // make this broker send datagrams to any address.
             let configured = self.sender_policy.known_peers.get(&to.name).copied();
             let member = || current.get(&to.name).map(|member| member.id.listen_address);
             let Some(address) = configured.or_else(member) else { continue };
--- a/crates/dunepond-membership/src/core/freshness.rs
+++ b/crates/dunepond-membership/src/core/freshness.rs
@@ -1,11 +1,12 @@
-//! Replay protection. Someone may record a message and deliver it again an hour later, to the same incarnation of its
-//! receiver or to the next one, long after its sender went down.
+//! Replay protection. Someone may record a message and deliver it again an hour later, to the same incarnation of the
+//! receiver or to its next one, when the sender has long been down.
 //!
-//! From version 2 on, each datagram therefore echoes the address token of its receiver's current incarnation, which no
-//! message to an earlier incarnation contains, and carries a sequence number that an incarnation accepts only once. A
-//! message without the token is ignored, and its sender is sent the token in a hello, which echoes the sender's own
-//! token. With a key, requests must meet the same conditions. Without a key, only requests from members that have
-//! echoed the token before must meet them.
+//! From version 2 on, each datagram therefore echoes the address token that the receiver's current incarnation issued
+//! to the sender, and contains a sequence number that the receiver accepts only once. A message that was recorded for
+//! an earlier incarnation of the receiver does not contain the current token. A datagram without the current token is
+//! ignored, and its sender receives the token in a hello, which echoes the sender's own token. If the fleet has a key,
+//! requests must meet the same conditions. Without a key, only requests from members that have echoed the token before
+//! must meet them.
 
 use super::{Actions, Core};
 use crate::error::PeerError;
@@ -14,10 +15,11 @@
 use crate::version::FIRST_VERSION_WITH_RANGE;
 use std::net::SocketAddr;
 
-/// Largest number of hellos (datagrams that carry this broker's address token) that answer datagrams per second, to
-/// each configured peer and to all other senders together.
+/// Largest number of hellos (datagrams that contain this broker's address token) that are sent per second in answer to
+/// datagrams; each configured peer is counted separately, and all other senders are counted together.
 const MAX_HELLOS_PER_SECOND: u32 = 20;
-/// Time after its first sending within which gossip that lacked the receiver's address token is sent again, in seconds.
+/// Largest age of gossip that is sent again because it lacked the receiver's address token, in seconds since it was
+/// first sent.
 const RESEND_WINDOW_SECONDS: f64 = 1.0;
 
 /// Gossip that was sent without the receiver's address token.
@@ -34,7 +36,7 @@
 
 impl Core {
     /// Checks a request that came over a connection from `source`: that its sender is verified, that it is not a
-    /// replay, and that the sender does not exceed its rate.
+    /// replay, and that the sender does not exceed the limit on requests per second.
     pub fn authenticate_request(
         &mut self,
         now: f64,
@@ -70,10 +72,10 @@
         Ok(())
     }
 
-    /// Returns whether a request is accepted without a key. The address of a member was verified, so a request in its
-    /// name must come from the member's incarnation. Once the member has echoed the token that was sent to that
-    /// address, its requests must echo the token too. Senders that are not members cannot be checked in this way, but
-    /// their requests do not change the membership.
+    /// Returns whether a request is accepted in a fleet without a key. A request in the name of a member must state the
+    /// incarnation that is the member, since the address of that incarnation was verified. Once the member has echoed
+    /// the token that was sent to its address, its requests must echo the token too. A sender that is not a member
+    /// cannot be checked in this way, but its requests do not change the membership.
     fn may_request_without_key(&self, header: &MessageHeader, needs_token: bool, echoes_token: bool) -> bool {
         let from = &header.from;
         let is_that_member = self.active_member(&from.name).is_none_or(|member| {
@@ -84,14 +86,14 @@
         is_that_member && !echoes_earlier_token
     }
 
-    /// Returns the address token that a refusal to `name` over a connection carries. Without a key it is 0, since a
-    /// connection does not prove that its peer receives messages at the address of `name`.
+    /// Returns the address token that a refusal to `name` over a connection contains. Without a key the token is 0,
+    /// since a connection does not prove that its peer receives messages at the address of `name`.
     pub fn token_in_refusal(&self, name: &str) -> u64 {
         if self.sender_policy.has_key { self.incarnations.token_for(name) } else { 0 }
     }
 
-    /// Stores the address token in a refusal that was received over a connection to `address`. Without a key, the token
-    /// is ignored.
+    /// Processes a refusal that was received over a connection to `address`: stores the address token that it contains.
+    /// In a fleet without a key, the token is ignored.
     pub fn on_token_refusal(&mut self, envelope: &Envelope, header: &MessageHeader, address: SocketAddr) {
         if self.sender_policy.has_key
             && self.verify_membership_sender(header, address).is_ok()
@@ -129,8 +131,8 @@
     }
 
     /// Checks that a datagram, from protocol version 2 on, echoes the address token of this broker's current
-    /// incarnation and is not a replay. A sender that does not echo the token is sent it in a hello; any other sender
-    /// is recorded.
+    /// incarnation and is not a replay. A sender that does not echo the token receives the token in a hello. For any
+    /// other sender, the receipt of the message is recorded.
     pub(super) fn check_fresh(
         &mut self,
         envelope: &Envelope,
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Stores gossip that was sent without the receiver's token, so that it can be sent again.
+    /// Stores gossip that was sent without the receiver's address token, so that it can be sent again with the token.
     pub(super) fn keep_for_resend(&mut self, name: String, payload: &[u8]) {
         let kept = &mut self.unverified_gossip;
         if kept.len() < self.limits.max_members || kept.contains_key(&name) {
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Sends the kept gossip to `name` again, with the address token that has been received from `name` since.
+    /// Sends the stored gossip to `name` again, with the address token that `name` has issued in the meantime.
     pub(super) fn resend_gossip(&mut self, name: &str, actions: &mut Actions) {
         let Some(sent) = self.unverified_gossip.remove(name) else { return };
         if self.now - sent.sent_at >= RESEND_WINDOW_SECONDS {
--- a/crates/dunepond-membership/src/core/liveness.rs
+++ b/crates/dunepond-membership/src/core/liveness.rs
@@ -1,9 +1,9 @@
 //! Liveness checks over the request channel. If a flood of datagrams fills a member's socket, legitimate datagrams are
-//! dropped, and the member would be declared down although it is alive. A suspected configured peer is therefore also
-//! asked over a connection before the suspicion times out. The request tells the peer that it is suspected. The peer
+//! dropped, and the member would be declared down although it is alive. A configured peer that is suspected to be down
+//! is therefore also asked over a connection before the suspicion times out. The request states the suspicion. The peer
 //! responds as it would by datagram, with a higher incarnation number of the gossip library, which is the only way to
-//! refute a suspicion. The messages are the library's own, so a liveness check cannot carry anything that a datagram
-//! could not.
+//! refute a suspicion. Request and response consist of messages of the gossip library, so a liveness check cannot
+//! contain anything that a datagram could not.
 
 use super::{Actions, Core};
 use crate::error::PeerError;
@@ -14,10 +14,12 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// Fraction of the suspicion timeout within which the first check is sent, at a random time: checks by all members at
-/// once would overload the suspected one, and the first response reaches the others by gossip.
+/// Fraction of the suspicion timeout within which the first check is sent, at a random time. If all members sent their
+/// checks at once, they would overload the suspected member, although a response to one of them reaches the others by
+/// gossip.
 const FIRST_CHECK_RATIO: f64 = 0.5;
-/// Fraction of the suspicion timeout that a check may take; the next check follows after another such fraction.
+/// Timeout of one check, as a fraction of the suspicion timeout. The next check is sent this long after the previous
+/// one ended.
 const CHECK_TIMEOUT_RATIO: f64 = 0.25;
 /// Largest number of gossip messages in one liveness check or its response.
 const MAX_MESSAGES: usize = 8;
@@ -29,7 +31,7 @@
     pub to: String,
     /// Body of the request.
     pub body: Vec<u8>,
-    /// Time that the check may take, in seconds.
+    /// Timeout of the check, in seconds.
     pub timeout_seconds: f64,
 }
 
@@ -139,9 +141,9 @@
         waiting.map(|check| check.due).fold(f64::INFINITY, f64::min)
     }
 
-    /// Encodes the body of a liveness check: a ping of the gossip library that carries the suspicion, which the member
-    /// refutes, and an announcement, which the member answers even if it has renewed its identity since. Returns `None`
-    /// if `to` is not a member.
+    /// Encodes the body of a liveness check: two messages of the gossip library. The first is a ping that states the
+    /// suspicion, so that the member refutes it. The second is an announcement, which the member answers even if it has
+    /// renewed its identity since it was suspected. Returns `None` if `to` is not a member.
     fn liveness_request(&self, to: &str) -> Option<Vec<u8>> {
         let member = self.foca.iter_membership_state().find(|member| member.id().name == to)?;
         let dst = member.id();
--- a/crates/dunepond-membership/src/core/mod.rs
+++ b/crates/dunepond-membership/src/core/mod.rs
@@ -1,10 +1,10 @@
-//! The membership without input and output: the gossip library `foca`, and what the library leaves to its user, namely
-//! verification of senders, limits on the state that peers can make this broker store, announcements to configured
-//! peers that are not members, and handling of stalls of this process.
+//! The membership protocol without input and output. It uses the gossip library `foca`, and adds what the library
+//! leaves to its user: verification of senders, limits on the state that peers can make this broker store,
+//! announcements to configured peers that are not members, and handling of stalls of this process.
 //!
-//! The event loop passes in each datagram, and calls [`Core::tick`] at [`Core::next_tick_at`] or earlier. Datagrams
-//! that wait in the socket have to be passed in before a tick: after a stall they show which peers are alive before a
-//! timer declares them down.
+//! The event loop passes each datagram to [`Core::on_datagram`], and calls [`Core::tick`] at [`Core::next_tick_at`] or
+//! earlier. It must pass in the datagrams that wait in the socket before it calls [`Core::tick`]: after a stall of this
+//! process, they show that peers are alive which overdue timers would otherwise declare down.
 
 mod changes;
 mod freshness;
@@ -33,24 +33,26 @@
 
 pub use liveness::LivenessCheck;
 
-/// Number of members that are asked for an indirect probe, and number of members to which one round of gossip is sent.
+/// Number of members that are asked to probe a member that did not answer this broker, and number of members to which
+/// one round of gossip is sent.
 const FANOUT_COUNT: usize = 3;
 /// Number of times that this broker transmits each membership update.
 const MAX_TRANSMISSIONS: u8 = 10;
 const GOSSIP_INTERVAL_SECONDS: f64 = 0.2;
 const REANNOUNCE_INTERVAL_SECONDS: f64 = 30.0;
-/// Time for which members that are down are remembered, in seconds, so that old gossip does not add them again.
+/// Time for which a member is remembered after it went down, in seconds, so that old gossip does not add it again.
 const DOWN_RETENTION_SECONDS: f64 = 120.0;
 /// Interval of announcements to members that are down, whether they are configured or not, in seconds.
 const ANNOUNCE_TO_DOWN_INTERVAL_SECONDS: f64 = 15.0;
 const ANNOUNCE_TO_DOWN_COUNT: usize = 2;
-/// Longest interval between ticks, in seconds, so that a stall can be distinguished from idleness.
+/// Longest interval between ticks, in seconds. Since the core's clock is updated this often even if nothing happens, a
+/// longer gap between updates shows that the process stalled.
 const MAX_TICK_INTERVAL_SECONDS: f64 = 0.25;
-/// Range of the random factor on announcement intervals, so that brokers that started together do not keep announcing
-/// together.
+/// Range of the random factor on announcement intervals, so that brokers that started at the same time do not keep
+/// announcing at the same times.
 const ANNOUNCE_JITTER: std::ops::Range<f64> = 0.75..1.25;
-/// Time for which an earlier incarnation is refused after the last message of a later one, as a multiple of the
-/// suspicion timeout.
+/// Time after the last message of a broker's later incarnation for which messages of its earlier incarnations are
+/// rejected, as a multiple of the suspicion timeout.
 const STALE_RETENTION_TIMEOUTS: f64 = 2.0;
 
 /// What the event loop must do after a call to [`Core`].
@@ -64,7 +66,7 @@
     pub error: Option<PeerError>,
 }
 
-/// The state of the membership protocol, which datagrams, ticks and the outcomes of liveness checks advance.
+/// The state of the membership protocol, which changes with datagrams, ticks and the outcomes of liveness checks.
 pub struct Core {
     foca: Foca<PeerId, PostcardCodec, Pcg64, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<PeerId>,
@@ -87,14 +89,15 @@
     liveness_checks: BTreeMap<String, liveness::PendingCheck>,
     versions: versions::VersionState,
     sequences: versions::SequenceNumbers,
-    /// Gossip that was sent to peers whose address token is not known yet, by the peer's name; it is sent again once
-    /// the token is known.
+    /// The last gossip that was sent to each peer from which no address token has been received yet, by the peer's
+    /// name; it is sent again once the token arrives.
     unverified_gossip: BTreeMap<String, freshness::SentGossip>,
     datagram_limiter: RateLimiter,
     request_limiter: RateLimiter,
     refusal_limiter: RateLimiter,
     hello_limiter: RateLimiter,
-    /// Whether the gossip library has processed a message since its members were last compared with `members`.
+    /// Whether the gossip library has processed a message since the library's members were last compared with
+    /// `members`.
     members_stale: bool,
 }
 
@@ -146,8 +149,9 @@
 }
 
 impl Core {
-    /// Creates a core. `options.listen_address` must have its final port. `token_secret` must be used by this
-    /// incarnation only, and no other process may be able to guess it.
+    /// Creates a core. `options.listen_address` must have its final port. This broker's address tokens are derived from
+    /// `token_secret`, which must be used by this incarnation only, and must be impossible for other processes to
+    /// guess.
     pub fn new(options: &MembershipOptions, token_secret: [u8; 32], now: f64) -> Result<Core, PeerError> {
         let authenticator = Authenticator::new(options.key.as_deref())?;
         let sender_policy = SenderPolicy::new(&options.name, authenticator.has_key(), &options.known_peers)?;
@@ -201,7 +205,8 @@
         self.members.values().map(|member| Peer::new(&member.id, member.state)).collect()
     }
 
-    /// Returns the address for messages to `name`: the configured address, or else the one that the member states.
+    /// Returns the address to which messages to `name` are sent: the configured address, or else the listen address
+    /// that the member of this name states.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         let configured = self.sender_policy.known_peers.get(name).copied();
         configured.or_else(|| self.members.get(name).map(|member| member.id.listen_address))
@@ -218,7 +223,8 @@
     pub fn tick(&mut self, now: f64) -> Actions {
         self.advance_clock(now);
         let mut actions = Actions::default();
-        // Timers that this loop schedules wait for the next tick even if they are due at once, so that the loop ends.
+        // A timer that is scheduled in this loop runs at the next tick, even if it is due at once, so that the loop
+        // ends.
         for timer in self.take_due_timers() {
             // The error is ignored: a late timer may belong to a probe cycle that is over, for which the library
             // reports an error and begins the next cycle.
@@ -234,7 +240,7 @@
         actions
     }
 
-    /// Tells the members that this broker leaves. No other method may be called afterwards.
+    /// Notifies the members that this broker leaves. No other method may be called afterwards.
     pub fn leave(&mut self, now: f64) -> Actions {
         self.advance_clock(now);
         let mut actions = Actions::default();
@@ -243,8 +249,8 @@
         actions
     }
 
-    /// Returns the header of a message to `to`. Only datagrams carry this broker's address token, since they go to the
-    /// peer's own address.
+    /// Returns the header of a message to `to`. Only gossip and hello datagrams issue this broker's address token,
+    /// since they are sent to the peer's own address.
     pub fn header_for(&self, to: &str, message_type: MessageType) -> MessageHeader {
         let is_datagram = matches!(message_type, MessageType::Gossip | MessageType::Hello);
         let is_request = matches!(message_type, MessageType::Request { .. });
@@ -265,7 +271,7 @@
         self.incarnations.token_from(name)
     }
 
-    /// Returns the protocol versions that this broker speaks.
+    /// Returns the protocol versions that this broker supports.
     pub fn supported_versions(&self) -> VersionRange {
         self.versions.supported
     }
@@ -275,8 +281,8 @@
         &self.authenticator
     }
 
-    /// Advances the clock. After a stall of this process, timers are extended by the length of the stall: peers may
-    /// have sent messages that this broker did not read.
+    /// Advances the clock. After a stall of this process, all timers of the gossip library are postponed by the length
+    /// of the stall, because peers may have sent messages during the stall that this broker did not read.
     fn advance_clock(&mut self, now: f64) {
         let gap = now - self.now;
         if gap > self.timing.stall_threshold_seconds {
@@ -294,7 +300,7 @@
         due.into_iter().map(|scheduled| scheduled.timer).collect()
     }
 
-    /// Announces this broker to each configured peer that is not a member, at its configured address.
+    /// Announces this broker to each configured peer that is not a member or is down, at the peer's configured address.
     fn announce_to_absent_peers(&mut self) {
         let is_absent = |name: &&String| self.active_member(name).is_none();
         let names: Vec<String> = self.sender_policy.known_peers.keys().filter(is_absent).cloned().collect();
--- a/crates/dunepond-membership/src/core/receive.rs
+++ b/crates/dunepond-membership/src/core/receive.rs
@@ -29,8 +29,8 @@
             self.refuse_datagram(source, &error, bytes, &mut actions);
             actions.error = Some(error);
         }
-        // Nearly all datagrams of a flood are rejected above; comparing all members for each of them would multiply
-        // their cost.
+        // Members are compared only if the gossip library has processed a message. Nearly all datagrams of a flood are
+        // rejected before that, and comparing all members for each of them would multiply the cost of the flood.
         if self.members_stale {
             self.collect_actions(&mut actions, None);
         }
@@ -121,8 +121,8 @@
         Ok(FilteredGossip { payload: gossip.encode(), error })
     }
 
-    /// Limits the number of members that are not configured, so that these cannot exclude configured ones. Fails if the
-    /// message would exceed the limit.
+    /// Limits the number of members that are not configured, so that they cannot use up the room for configured peers.
+    /// Fails if the message would exceed the limit.
     fn check_member_limit(&self, sender: &PeerId, gossip: &GossipMessage<'_>) -> Result<(), PeerError> {
         let is_unknown = |name: &str| name != self.local_id().name && !self.is_configured(name);
         let is_new = |id: &&PeerId| is_unknown(&id.name) && !self.members.contains_key(&id.name);
@@ -145,8 +145,8 @@
         received: &[u8],
         actions: &mut Actions,
     ) {
-        // No refusal is sent for a refusal, for a datagram without the token, which is answered with a hello, or for a
-        // replayed datagram, which its stated sender did not send now.
+        // Three kinds of datagram get no refusal: a refusal; a datagram without the address token, which is answered
+        // with a hello; and a replayed datagram, since the sender that it states is not the one who sent it now.
         let unanswered = matches!(
             error,
             PeerError::Refused { .. } | PeerError::InvalidToken { .. } | PeerError::Replayed { .. }
@@ -163,8 +163,8 @@
         let (address, version) = (*address, self.response_version(received));
         let payload = postcard::to_stdvec(&reason.for_version(version)).unwrap_or_default();
         let bytes = self.encode(version, &header, &payload);
-        // A refusal must be shorter than the refused datagram, so that two brokers that refuse each other's refusals
-        // stop.
+        // A refusal must be shorter than the refused datagram. Otherwise two brokers could refuse each other's refusals
+        // forever.
         let fits = bytes.len() < received.len();
         if fits && self.refusal_limiter.admit("", MAX_REFUSALS_PER_SECOND, self.now) {
             actions.datagrams.push((address, bytes));
--- a/crates/dunepond-membership/src/core/versions.rs
+++ b/crates/dunepond-membership/src/core/versions.rs
@@ -1,9 +1,10 @@
-//! The protocol version for each peer: the highest that both brokers speak. From version 2 on, a message states its
-//! sender's range; a broker that speaks only version 1 is recognized by its messages and its refusals.
+//! Choice of the protocol version for messages to each peer: the highest version that both brokers support. From
+//! version 2 on, a message states the range of versions that its sender supports; a broker that supports only version 1
+//! is recognized by its messages and its refusals.
 //!
 //! The versions of a broker do not change within an incarnation. Messages to a peer whose versions are not known yet
-//! use this broker's highest version: a newer peer answers in a version that both speak; an older one refuses the
-//! message, and announces itself within a second.
+//! use this broker's highest version: a peer that supports it answers in a version that both support; an older peer
+//! refuses the message, and its own announcement, which follows within about a second, shows its version.
 
 use super::{Actions, Core};
 use crate::codec::{encode, peek_version};
@@ -11,21 +12,21 @@
 use crate::version::{FIRST_VERSION_WITH_RANGE, VersionRange};
 use std::collections::BTreeMap;
 
-/// Interval of hellos to peers that have only sent version 1, in seconds: they may speak newer versions, but assume
-/// that this broker does not.
+/// Interval of hellos to peers that have only sent messages of version 1, in seconds. Such a peer may support newer
+/// versions, but use version 1 because it assumes that this broker supports only version 1.
 const HELLO_INTERVAL_SECONDS: f64 = 10.0;
-/// Number of peers for which sequence numbers are kept, as a multiple of the limit on members; beyond it, those of
-/// peers without a known address are dropped.
+/// Number of peers for which sequence numbers are stored, as a multiple of the limit on members. Above this number, the
+/// sequence numbers for peers without a known address are dropped.
 const SEQUENCES_PER_MEMBER: usize = 2;
 
-/// The protocol versions that this broker speaks, and those that peers stated in refusals.
+/// The protocol versions that this broker supports, and those that peers stated in refusals.
 pub(super) struct VersionState {
     /// The protocol versions that this broker speaks.
     pub supported: VersionRange,
-    /// Version ranges that configured peers stated in refusals, by the peer's name. A peer is added only if none of its
-    /// messages has been recorded in `incarnations`.
+    /// Version ranges that configured peers stated in refusals, by the peer's name. A range is stored only for a peer
+    /// without an entry in `incarnations`, since the versions in such an entry take precedence.
     assumed: BTreeMap<String, VersionRange>,
-    /// Time of the next hellos to peers that have only sent version 1, in seconds on the core's clock.
+    /// Time of the next hellos to peers that have only sent messages of version 1, in seconds on the core's clock.
     next_hello_at: f64,
 }
 
@@ -46,8 +47,8 @@
 #[derive(Default)]
 pub(super) struct SequenceNumbers {
     by_name: BTreeMap<String, Sequences>,
-    /// The highest sequence numbers that were dropped. The numbers of peers that are added continue from them, since
-    /// peers would reject repeated numbers as replays.
+    /// The highest sequence numbers that were dropped. The numbers for each peer that is added start after them, since
+    /// a peer that was dropped before would reject repeated numbers as replays.
     floor: Sequences,
 }
 
@@ -61,7 +62,7 @@
     }
 
     /// Returns the protocol version in which to respond to the encoded message `received`, whose version may be
-    /// unsupported: one that its sender reads, if there is one.
+    /// unsupported: a version that its sender also supports, if there is one.
     pub fn response_version(&self, received: &[u8]) -> u8 {
         let supported = self.versions.supported;
         match peek_version(received) {
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Records that `name` refused the version of a message, and stated the range `range`. Returns whether there is
-    /// another common version to try.
+    /// Records that `name` refused the version of a message, and stated that it supports `range`. Returns whether the
+    /// message can be sent again in another version that both brokers support.
     pub fn on_version_refused(&mut self, name: &str, range: VersionRange) -> bool {
         let tried = self.version_for(name);
         if self.is_configured(name) && self.incarnations.versions(name).is_none() {
@@ -100,7 +101,7 @@
         encode(&envelope, header, payload, &self.authenticator)
     }
 
-    /// Returns the sequence numbers of messages to `name`, which are added if they are missing.
+    /// Returns the sequence numbers last used for messages to `name`, and adds an entry if there is none.
     fn sequences_to(&mut self, name: &str) -> &mut Sequences {
         let by_name = &self.sequences.by_name;
         if !by_name.contains_key(name) && by_name.len() > SEQUENCES_PER_MEMBER * self.limits.max_members {
@@ -110,8 +111,8 @@
         self.sequences.by_name.entry(name.into()).or_insert(floor)
     }
 
-    /// Drops the sequence numbers of peers without a known address. The highest dropped numbers become the floor, from
-    /// which a peer that is added again continues: it would reject repeated numbers as replays.
+    /// Drops the sequence numbers of peers without a known address. The highest dropped numbers become the floor, after
+    /// which the numbers start if such a peer is added again: the peer would reject repeated numbers as replays.
     fn drop_sequences(&mut self) {
         let by_name = std::mem::take(&mut self.sequences.by_name);
         for (name, sequences) in by_name {
@@ -125,7 +126,8 @@
         }
     }
 
-    /// Sends hellos to configured peers that have only sent version 1, to state which versions this broker speaks.
+    /// Sends hellos to configured peers that have only sent messages of version 1, to state which versions this broker
+    /// supports.
     pub(super) fn send_hello_to_older_peers(&mut self, actions: &mut Actions) {
         let max = self.versions.supported.max;
         if self.now < self.versions.next_hello_at || max < FIRST_VERSION_WITH_RANGE {
--- a/crates/dunepond-membership/src/counters.rs
+++ b/crates/dunepond-membership/src/counters.rs
@@ -1,5 +1,4 @@
-//! Counters since the start of the process. Operators rely on the names under which they are printed, so these must not
-//! change.
+//! Counters since the start of the process. Operators rely on the printed names, so these must not change.
 
 use crate::error::PeerError;
 use serde::Serialize;
@@ -54,7 +53,8 @@
     requests_rejected as "not_taken",
     /// Requests of peers that were passed to the caller.
     requests_received as "asked",
-    /// Requests of peers that were refused because a limit was reached.
+    /// Requests of peers that were refused with [`RefusalReason::Busy`](crate::RefusalReason::Busy), for example
+    /// because a limit was reached.
     requests_shed as "asked_busy",
     /// Liveness checks that were sent to suspected members.
     liveness_checks_sent as "signs",
@@ -75,25 +75,26 @@
     unverified_sender as "claimed",
     /// Messages that were rejected because of a wrong authentication code.
     authentication_failed as "bad_seal",
-    /// Messages that were rejected because they are from an earlier incarnation.
+    /// Messages that were rejected because their sender's incarnation is earlier than the latest one known under its
+    /// name.
     stale_incarnation as "stale",
     /// Messages that were rejected because they do not echo this broker's current address token.
     invalid_token as "unproven",
     /// Messages that were rejected because they were received before.
     replayed as "old",
-    /// Messages that were rejected because they are for another broker.
+    /// Messages that were rejected because they are addressed to another broker.
     wrong_recipient as "not_us",
-    /// Messages that were rejected because their sender exceeds its rate.
+    /// Messages that were rejected because their sender exceeds the limit on messages per second.
     rate_limited as "flood",
-    /// Messages that were rejected because they are larger than the limit.
+    /// Messages that were rejected because they exceed the limit on bodies or datagrams.
     too_large as "too_large",
-    /// Messages that were rejected because the member table is full.
+    /// Messages that were rejected because too many names that are not configured are known.
     too_many_members as "full",
     /// Refusals that were received by datagram. If this counter grows, the key, name or version of this broker does not
     /// match the other brokers.
     refusals_received as "refused_us",
     /// Membership changes that the caller did not receive, because a later change of the same peer replaced them in the
-    /// queue.
+    /// event queue.
     coalesced as "coalesced",
 }
 
@@ -103,7 +104,7 @@
 }
 
 impl CounterCells {
-    /// Increments the counter of the reason for which a message was rejected.
+    /// Increments the counter for the error with which a message was rejected.
     pub fn record_rejected(&self, error: &PeerError) {
         increment(match error {
             PeerError::Malformed { .. } | PeerError::Gossip { .. } => &self.malformed,
@@ -122,7 +123,7 @@
         });
     }
 
-    /// Increments the counter of the outcome of a request of this broker.
+    /// Increments the counter for the outcome of a request of this broker.
     pub fn record_response(&self, result: &Result<Vec<u8>, PeerError>) {
         increment(match result {
             Ok(_) => &self.responses,
--- a/crates/dunepond-membership/src/error.rs
+++ b/crates/dunepond-membership/src/error.rs
@@ -40,7 +40,7 @@
         "a message of {bytes} bytes exceeds the limit of {max_bytes} bytes (request or datagram to {to})"
     )]
     TooLarge { to: String, bytes: usize, max_bytes: usize },
-    /// The peer could not be reached recently; it is not tried again before the backoff ends.
+    /// The peer could not be reached recently; no request is sent to it before the backoff ends.
     #[error("{to} could not be reached recently; the next attempt is possible in {wait_seconds:.3} s")]
     BackingOff { to: String, wait_seconds: f64 },
     /// The connection could not be opened.
@@ -53,19 +53,19 @@
     #[error("the connection to {to} ended before the response was complete")]
     ConnectionLost { to: String },
     /// The peer refused a message. With the reasons [`RefusalReason::Timeout`], [`RefusalReason::NoResponse`],
-    /// [`RefusalReason::Declined`] and [`RefusalReason::TooLarge`] its caller may have received the request and acted
-    /// on it; with all other reasons, the peer did not act on the message.
+    /// [`RefusalReason::Declined`] and [`RefusalReason::TooLarge`] the code that uses this crate at the peer may have
+    /// received and processed the request; with all other reasons, the peer did not process the message.
     #[error("{to} refused the message: {reason}")]
     Refused { to: String, reason: RefusalReason },
     /// A message cannot be decoded.
     #[error("a message from {from} cannot be decoded")]
     Malformed { from: String },
-    /// A message uses a protocol version that is not supported here.
+    /// A message uses a protocol version that this broker does not support.
     #[error(
         "cannot read a message from {from}, which speaks protocol version {stated}; this broker speaks {supported}"
     )]
     UnsupportedVersion { from: String, stated: VersionRange, supported: VersionRange },
-    /// The protocol version in use with the peer does not have this kind of request.
+    /// The protocol version that is used for messages to the peer has no requests of this kind.
     #[error("{to} speaks protocol version {version}, which has no requests to {path}")]
     UnsupportedKind { to: String, path: &'static str, version: u8 },
     /// The name that the sender claims cannot be verified for its address.
@@ -77,19 +77,19 @@
     /// The sender's incarnation is earlier than the latest one known under its name.
     #[error("{name} sent a message as incarnation {incarnation}, but the later incarnation {known} is known")]
     StaleIncarnation { name: String, incarnation: u64, known: u64 },
-    /// The message does not echo the address token of this broker's incarnation.
+    /// The message does not echo the address token that this broker's incarnation issued to the sender.
     #[error("a message from {name} lacks this broker's current address token")]
     InvalidToken { name: String },
-    /// The sequence number was received before, or is too old to be checked.
+    /// The sequence number was received before, or is too far below the highest received one to be checked.
     #[error("a message from {name} is a replay, or too old to be checked")]
     Replayed { name: String },
     /// The message is addressed to another broker.
     #[error("received a message that is addressed to {to}, not to this broker")]
     WrongRecipient { to: String },
-    /// The sender exceeds its message rate.
+    /// The sender exceeds the limit on messages per second.
     #[error("{name} sent more than {per_second} messages in a second")]
     RateLimited { name: String, per_second: u32 },
-    /// The table of members that are not configured is full.
+    /// The limit on names that are not configured is reached.
     #[error("the limit of {limit} names that are not configured is reached")]
     TooManyMembers { limit: usize },
     /// The gossip library rejected a message.
--- a/crates/dunepond-membership/src/event_loop.rs
+++ b/crates/dunepond-membership/src/event_loop.rs
@@ -1,4 +1,5 @@
-//! The membership's thread, which runs one loop over sockets, timers and the callers' requests on a runtime of its own.
+//! The membership's thread, which runs one loop over sockets, timers and the callers' requests on its own async
+//! runtime.
 
 use crate::client::{Client, LivenessOutcome, OutboundRequest};
 use crate::context::Context;
@@ -23,7 +24,7 @@
 /// Shortest sleep between iterations, in seconds, so that the loop does not spin while a tick is due.
 const MIN_SLEEP_SECONDS: f64 = 0.001;
 
-/// The state that [`run`] takes over on the membership's thread.
+/// The arguments of [`run`], which are moved to the membership's thread.
 pub(crate) struct EventLoop {
     pub sockets: BoundSockets,
     pub options: MembershipOptions,
@@ -34,8 +35,8 @@
     pub stopped: watch::Receiver<bool>,
 }
 
-/// Runs the event loop until [`crate::Peers::stop`] is called or the handle is dropped, and then tells the members that
-/// this broker leaves.
+/// Runs the event loop until [`crate::Peers::stop`] is called or the handle is dropped, and then notifies the members
+/// that this broker leaves.
 pub(crate) async fn run(event_loop: EventLoop) {
     let EventLoop { sockets, options, core, shared, mut requests, events, mut stopped } = event_loop;
     let registered =
@@ -49,18 +50,20 @@
     let mut buffer = vec![0; options.limits.max_datagram_bytes + 1];
     let context = Rc::new(Context::new(options, core, shared, events, udp));
     let client = Rc::new(Client::new(context.clone()));
-    // The channel is unbounded, but at most one check of each suspected member is in flight.
+    // This channel is unbounded, but its length is limited, since at most one liveness check of each suspected member
+    // is in flight.
     let (outcomes, mut liveness_outcomes) = mpsc::unbounded_channel();
     tokio::task::spawn_local(server::accept(tcp, context.clone()));
     loop {
-        // Waiting datagrams are processed before timers: after a stall they show which peers are alive.
+        // Waiting datagrams are processed before timers: after a stall of this process they show that peers are alive
+        // which the timers would declare down.
         let read = read_datagrams(&context, &mut buffer);
         let actions = context.core.borrow_mut().tick(context.now());
         context.apply(actions);
         let checks = context.core.borrow_mut().due_liveness_checks();
         checks.into_iter().for_each(|check| client.check_liveness(check, outcomes.clone()));
         if read == MAX_DATAGRAMS_PER_ITERATION {
-            // More datagrams may wait; without this yield a flood would keep the thread from handling requests.
+            // More datagrams may be waiting. In a flood, this thread would handle no requests if it did not yield here.
             tokio::task::yield_now().await;
         }
         let events_wait = context.events.borrow().has_waiting();
--- a/crates/dunepond-membership/src/event_queue.rs
+++ b/crates/dunepond-membership/src/event_queue.rs
@@ -12,7 +12,8 @@
 use std::sync::atomic::Ordering::Relaxed;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// The outcome of a request of this broker, with the reservations that it holds until the caller receives it.
+/// The outcome of a request of this broker, with the reservations that are released when the outcome is sent to the
+/// caller.
 pub(crate) struct CompletedRequest {
     pub id: u64,
     pub to: String,
@@ -31,12 +32,12 @@
     _receive_permit: Option<OwnedSemaphorePermit>,
 }
 
-/// A queue for events that the channel to the caller has no room for. There are at most as many responses as requests
-/// may be in flight, and only the last change of each peer is queued.
+/// A queue for events that the channel to the caller has no room for. The number of queued responses is bounded by the
+/// limit on requests in flight, and only the last membership change of each peer is queued.
 pub(crate) struct EventQueue {
     channel: Sender<Event>,
-    /// Body sizes of the events in the channel, oldest first, in bytes. Sizes of events that the caller has read are
-    /// removed before the next event is sent.
+    /// Body sizes of the events in the channel, oldest first, in bytes. The sizes of events that the caller has read
+    /// are removed before the next event is sent.
     sent_bytes: VecDeque<usize>,
     responses: VecDeque<QueuedResponse>,
     /// The last queued membership change of each peer, by name.
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Returns whether the limit on unread events leaves room for an event of `bytes` bytes. If the unread events have
-    /// no bytes, there is room for an event of any size.
+    /// Returns whether an event with a body of `bytes` bytes fits into the limit on the total body size of the events
+    /// that the caller has not read. If none of these has a body, an event of any size fits.
     fn has_room(&mut self, bytes: usize) -> bool {
         while self.sent_bytes.len() > self.channel.len() {
             self.sent_bytes.pop_front();
@@ -70,7 +71,7 @@
         if !self.has_room(bytes) {
             return Err(event);
         }
-        // The size is recorded first, since the caller may read the event at once.
+        // The size is recorded before the event is sent, since the caller may read the event at once.
         self.sent_bytes.push_back(bytes);
         self.channel.try_send(event).map_err(|error| {
             self.sent_bytes.pop_back();
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Returns whether any event is queued.
+    /// Returns whether any event waits for room in the channel to the caller.
     pub fn has_waiting(&self) -> bool {
         !self.responses.is_empty() || !self.changes.is_empty()
     }
--- a/crates/dunepond-membership/src/gossip.rs
+++ b/crates/dunepond-membership/src/gossip.rs
@@ -16,7 +16,7 @@
     pub header: Header<PeerId>,
     encoded_header: &'a [u8],
     updates: Vec<Update<'a>>,
-    /// Whether the number of updates follows the header; otherwise the datagram ends after the header.
+    /// Whether the header is followed by the number of updates. If not, the datagram ends after the header.
     has_update_count: bool,
 }
 
@@ -38,7 +38,7 @@
                 updates.push(Update { member, encoded: &before[..before.len() - rest.len()] });
             }
         }
-        // Members send nothing after the updates, and trailing bytes would reach the library unfiltered.
+        // Brokers send nothing after the updates, and trailing bytes could not be filtered, so they are rejected.
         if !rest.is_empty() {
             return Err(malformed());
         }
--- a/crates/dunepond-membership/src/handle.rs
+++ b/crates/dunepond-membership/src/handle.rs
@@ -1,5 +1,5 @@
-//! The callers' handle, which starts the membership's thread and passes requests to it through bounded queues without
-//! ever blocking a caller.
+//! The handle for callers, which starts the membership's thread and passes requests to it through bounded queues
+//! without ever blocking a caller.
 
 use crate::client::OutboundRequest;
 use crate::core::Core;
@@ -22,8 +22,8 @@
 use tokio::sync::{mpsc, watch};
 
 const THREAD_NAME: &str = "peers";
-/// Right shift of the random first request id, in bits: ids start in the lowest quarter of their range, so that they
-/// never wrap.
+/// Number of bits by which the random first request id is shifted right. Ids thus start in the lowest quarter of the
+/// range of `u64`, so that they never wrap.
 const FIRST_ID_SHIFT: u32 = 2;
 
 /// Handle of a running membership. All methods except [`Peers::stop`] return without blocking.
@@ -107,7 +107,8 @@
     }
 
     /// Sends a request to `to`, the name of a configured peer or a member, with a timeout in seconds. Returns the id of
-    /// the request; exactly one [`Event::Response`] with this id follows. If this returns an error, no event follows.
+    /// the request; exactly one [`Event::Response`] with this id follows. If this method returns an error, no event
+    /// follows.
     pub fn request(
         &self,
         to: &str,
@@ -142,7 +143,7 @@
             return Err(PeerError::Busy { to, limit: limits.max_requests });
         }
         let id = self.next_request_id.fetch_add(1, Relaxed);
-        // NaN counts as a timeout of zero.
+        // A timeout of NaN counts as zero.
         let timeout_seconds =
             if timeout_seconds > 0.0 { timeout_seconds.min(self.max_request_timeout_seconds) } else { 0.0 };
         let deadline = Instant::now() + Duration::from_secs_f64(timeout_seconds);
@@ -178,8 +179,8 @@
         self.shared.counters.read()
     }
 
-    /// Tells the members that this broker leaves, and waits until the membership's thread has ended, which takes some
-    /// milliseconds. Requests in flight get no event.
+    /// Notifies the members that this broker leaves, and waits until the membership's thread has ended, which takes
+    /// some milliseconds. No event follows for requests in flight.
     pub fn stop(mut self) {
         self.stop.send_replace(true);
         if let Some(thread) = self.thread.take() {
--- a/crates/dunepond-membership/src/identity.rs
+++ b/crates/dunepond-membership/src/identity.rs
@@ -1,4 +1,4 @@
-//! The identity of a broker, and a member of the fleet as others see it.
+//! The identity of a broker, and the state of a member as another broker sees it.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -27,8 +27,8 @@
         self.name.clone()
     }
 
-    /// Returns whether this identity replaces `other`, which has the same name. The address is compared last, so that
-    /// all members choose the same one of two brokers that claim the same incarnation.
+    /// Returns whether this identity replaces `other`, which has the same name. If two brokers claim the same name,
+    /// incarnation and number of renewals, the greater address wins, so that all members choose the same broker.
     fn win_addr_conflict(&self, other: &PeerId) -> bool {
         (self.incarnation, self.renewals, self.listen_address)
             > (other.incarnation, other.renewals, other.listen_address)
--- a/crates/dunepond-membership/src/incarnations.rs
+++ b/crates/dunepond-membership/src/incarnations.rs
@@ -1,10 +1,11 @@
 //! The latest known incarnation of each broker, by name, with its protocol versions, its address token and its sequence
 //! numbers.
 //!
-//! Without a key an address in a request proves nothing. Each broker therefore issues an *address token* to each peer,
-//! in datagrams that only go to that peer's address, and expects the peer to echo it: a sender that echoes it receives
-//! what is sent to that address. A token belongs to one incarnation of its issuer, so an echoed token also shows that
-//! the message is not a recording of one that was sent to an earlier incarnation.
+//! In a fleet without a key, the address that a request states proves nothing. Each broker therefore issues an *address
+//! token* to each peer, in datagrams that are only sent to that peer's address, and expects the peer to echo the token
+//! in its messages. A sender that echoes the token evidently receives the datagrams that are sent to that address. A
+//! token belongs to one incarnation of its issuer, so an echoed token also shows that the message was not recorded
+//! while an earlier incarnation of the issuer was running.
 
 use crate::error::PeerError;
 use crate::identity::PeerId;
@@ -24,17 +25,18 @@
     /// Whether the incarnation has echoed the address token that this broker issued to it.
     has_echoed_token: bool,
     versions: PeerVersions,
-    /// Sequence numbers of received datagrams, which are numbered separately since they may overtake requests.
+    /// Sequence numbers of received datagrams. Datagrams and requests are numbered separately, since they may overtake
+    /// each other.
     datagrams: ReplayWindow,
-    /// Sequence numbers of received requests, which are numbered separately since they may overtake datagrams.
+    /// Sequence numbers of received requests.
     requests: ReplayWindow,
 }
 
-/// The protocol versions that a peer speaks.
+/// The protocol versions that a peer supports.
 #[derive(Clone, Copy)]
 pub(crate) struct PeerVersions {
     pub range: VersionRange,
-    /// Whether the peer stated the range itself, which a message of version 1 cannot do.
+    /// Whether the peer stated the range itself. A message of version 1 cannot state a range.
     pub stated: bool,
 }
 
@@ -56,7 +58,8 @@
 pub(crate) struct Incarnations {
     /// Secret from which this broker's address tokens are derived.
     token_secret: [u8; 32],
-    /// Time for which an earlier incarnation is refused after the last message of a later one, in seconds.
+    /// Time after the last message of a broker's later incarnation for which messages of its earlier incarnations are
+    /// rejected, in seconds.
     retention_seconds: f64,
     /// Largest number of tracked names that are not configured.
     max_unknown_names: usize,
@@ -92,9 +95,10 @@
             .is_some_and(|latest| latest.has_echoed_token && latest.number == id.incarnation)
     }
 
-    /// Fails if a later incarnation of the same name is a member (`active`, 0 if there is none) or has sent a message
-    /// recently. A later incarnation that is down does not exclude an earlier one forever: a broker whose data folder
-    /// was restored may start with an earlier incarnation, and must be able to send requests.
+    /// Fails if a later incarnation than `id` is known under the same name: either it is a member that is not down
+    /// (`active` is the member's incarnation, 0 if there is no such member), or it has sent a message recently. A later
+    /// incarnation that is down does not exclude an earlier one forever: a broker whose data folder was restored may
+    /// start with an earlier incarnation, and must be able to send requests.
     pub fn check_not_stale(&self, id: &PeerId, active: u64, now: f64) -> Result<(), PeerError> {
         let recent = self
             .by_name
@@ -108,8 +112,8 @@
         Ok(())
     }
 
-    /// Records that a message from the incarnation `id` was received. Fails if its name is not configured and too many
-    /// names are tracked, so that unknown names cannot exclude configured ones.
+    /// Records that a message from the incarnation `id` was received. Fails if the name of `id` is not configured and
+    /// too many names are tracked, so that names that are not configured cannot use up the room for configured ones.
     pub fn record_received(
         &mut self,
         id: &PeerId,
@@ -138,11 +142,12 @@
         Ok(())
     }
 
-    /// Records the sequence number of a message that [`Incarnations::record_received`] accepted. Returns whether the
-    /// message is received for the first time.
+    /// Records the sequence number of a message that [`Incarnations::record_received`] accepted. Returns `false` if the
+    /// message was received before, or if its sequence number is too low to be checked.
     pub fn record_sequence(&mut self, header: &MessageHeader, sequence: u64) -> bool {
         let Some(latest) = self.by_name.get_mut(&header.from.name) else { return true };
-        // Another token under the same incarnation means that the sender's data folder was restored, so that its
+        // Each start of a broker issues another token. Another token under the same incarnation therefore means that
+        // the sender was restarted with a restored data folder, so that it uses the incarnation again, and that its
         // sequence numbers start over.
         let issued = header.issued_token;
         if issued != 0 && latest.issued_token != 0 && issued != latest.issued_token {
--- a/crates/dunepond-membership/src/lib.rs
+++ b/crates/dunepond-membership/src/lib.rs
@@ -1,14 +1,15 @@
-//! Membership among brokers, and requests between them: a gossip protocol with suspicion and incarnations over UDP
-//! (`foca`), and a request channel over HTTP/1.1 (`hyper`), on one thread of its own. Events reach the caller over a
-//! bounded channel; no call waits for a peer, and no peer can make the state of this crate grow without limit.
+//! Membership of brokers in a fleet, and requests between brokers. Membership uses a gossip protocol with suspicion and
+//! incarnations over UDP (the library `foca`), requests use HTTP/1.1 (the library `hyper`); both run on one separate
+//! thread. The *caller*, the code that uses this crate, receives events over a bounded channel. No function that it
+//! calls waits for a peer, and no peer can make the state of this crate grow without limit.
 //!
-//! Brokers that share a configuration must reach each other while some are partitioned, slow, stalled or down, and
-//! while programs that are not brokers, or that speak another protocol version, send to the same port. None of this may
-//! delay the event loop that serves queries.
+//! Brokers with the same configuration must keep communicating while some of them are partitioned, slow, stalled or
+//! down, and while programs that are not brokers, or that use another protocol version, send to the same port. None of
+//! these conditions may delay the event loop that serves queries.
 //!
-//! [`Core`] is the part without input and output: it uses no socket, file, clock or thread. [`start`] runs it on real
-//! sockets. Times are in seconds (f64) on a monotonic clock, sizes in bytes. `docs/notes/membership.md` explains the
-//! design.
+//! [`Core`] implements the membership protocol without input and output: it uses no socket, file, clock or thread.
+//! [`start`] runs a [`Core`] on real sockets. Times are in seconds (f64) on a monotonic clock, sizes in bytes.
+//! `docs/notes/membership.md` explains the design.
 #![warn(missing_docs)]
 
 mod backoff;
--- a/crates/dunepond-membership/src/messages.rs
+++ b/crates/dunepond-membership/src/messages.rs
@@ -6,16 +6,17 @@
 use crate::version::VersionRange;
 use serde::{Deserialize, Serialize};
 
-/// The part of a message that precedes its header, in a form that all versions read.
+/// The part of a message that precedes its header. Brokers of all versions can read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Envelope {
     /// The protocol version of the rest of the message.
     pub version: u8,
-    /// The protocol versions that the sender speaks; a message of version 1 does not state them and counts as stating
-    /// version 1 alone.
+    /// The protocol versions that the sender supports. A message of version 1 does not state them, and counts as
+    /// stating version 1 alone.
     pub supported: VersionRange,
-    /// Sequence number. An incarnation of a sender numbers its datagrams to each receiver in increasing order, and its
-    /// requests separately. The number is 0 in version 1 and in responses.
+    /// Sequence number. Each incarnation of a sender numbers its datagrams to each receiver in increasing order, and
+    /// its requests to each receiver in a separate sequence. The number is 0 in version 1, and in responses and
+    /// refusals.
     pub sequence: u64,
 }
 
@@ -33,7 +34,7 @@
     pub to: String,
     /// The address token that the sender issues to the receiver; 0 if there is none.
     pub issued_token: u64,
-    /// The address token that the receiver issued to the sender, as the sender knows it; 0 if there is none.
+    /// The address token that the sender last received from the receiver; 0 if there is none.
     pub echoed_token: u64,
     /// Type of the message, with the fields that only this type has.
     pub message_type: MessageType,
@@ -63,8 +64,8 @@
         /// Id of the refused request; 0 if a datagram was refused, or the request could not be decoded.
         id: u64,
     },
-    /// A datagram without a payload, which states the sender's versions and carries address tokens. It exists from
-    /// version 2 on.
+    /// A datagram without a payload, which states the sender's versions and carries address tokens. This type exists
+    /// from version 2 on.
     Hello,
 }
 
--- a/crates/dunepond-membership/src/options.rs
+++ b/crates/dunepond-membership/src/options.rs
@@ -31,10 +31,10 @@
     pub max_pending_requests_per_peer: usize,
     /// Largest number of events that wait for the caller.
     pub max_queued_events: usize,
-    /// Largest number of names in the member table beyond the configured ones, including those that are down.
+    /// Largest number of members that are not configured peers, including those that are down.
     pub max_members: usize,
-    /// Largest total size of all bodies that are being received, in bytes; the same limit applies separately to all
-    /// events that wait for the caller.
+    /// Largest total size of all bodies that are being received, in bytes; the same limit applies separately to the
+    /// total size of the bodies in all events that wait for the caller.
     pub max_receive_bytes: usize,
     /// Largest total size of the bodies of this broker's requests in flight, in bytes.
     pub max_send_bytes: usize,
@@ -70,16 +70,16 @@
 pub struct Timing {
     /// Interval at which this broker probes one member, in seconds.
     pub probe_interval_seconds: f64,
-    /// Time that a probed member may take to answer before other members are asked to probe it, in seconds.
+    /// Time within which a probed member must answer, in seconds; otherwise other members are asked to probe it.
     pub probe_timeout_seconds: f64,
     /// Time for which a suspected member may refute the suspicion before it is declared down, in seconds.
     pub suspicion_timeout_seconds: f64,
     /// Interval of announcements to configured peers that are not members, in seconds.
     pub announce_interval_seconds: f64,
     /// Gap between two updates of the core's clock above which this process counts as stalled, in seconds; all timers
-    /// of the gossip protocol are then extended by the gap.
+    /// of the gossip protocol are then postponed by the length of the gap.
     pub stall_threshold_seconds: f64,
-    /// Longest time for opening a connection, in seconds.
+    /// Timeout for opening a connection, in seconds.
     pub connect_timeout_seconds: f64,
     /// Backoff after the first failure to reach a peer, in seconds; it doubles with each further failure, with jitter.
     pub initial_backoff_seconds: f64,
@@ -89,10 +89,10 @@
     pub first_request_timeout_seconds: f64,
     /// Time for which a connection without a request stays open, in seconds.
     pub idle_timeout_seconds: f64,
-    /// Longest time for receiving the body of a peer's request, and for each write of a response, in seconds.
+    /// Timeout for receiving the body of a peer's request, and for each write of a response, in seconds.
     pub transfer_timeout_seconds: f64,
-    /// Longest timeout of a request, whether this broker or a peer sends it, in seconds; longer ones are shortened to
-    /// it.
+    /// Longest timeout of a request, whether this broker or a peer sends it, in seconds; longer timeouts are reduced to
+    /// this value.
     pub max_request_timeout_seconds: f64,
 }
 
@@ -120,24 +120,25 @@
 pub struct MembershipOptions {
     /// Name of this broker.
     pub name: String,
-    /// Incarnation of this broker, which must increase with each start under the same name: the greater of two
-    /// incarnations replaces the other.
+    /// Incarnation of this broker, which must increase with each start under the same name: members replace the earlier
+    /// incarnation by the greater one.
     pub incarnation: u64,
     /// Address on which to listen, with UDP and TCP on one port; port 0 selects a free one.
     pub listen_address: SocketAddr,
     /// Configured peers: names, with the addresses to which messages are sent. An address may be that of a relay, and
-    /// is never replaced by the address that a peer states. This broker's own name may be among them, and is ignored.
+    /// is never replaced by the address that a peer states. This broker's own name may be among the names, and is
+    /// ignored.
     pub known_peers: Vec<(String, SocketAddr)>,
     /// Seed of the random number generators.
     pub seed: u64,
     /// The fleet's shared secret of 16 bytes or more. With a key, each message is authenticated, and its source address
-    /// is not checked; without one, a configured peer must send from its configured address, so that no relay can be in
-    /// between.
+    /// is not checked; without a key, a configured peer must send from its configured address, which excludes relays
+    /// between brokers.
     pub key: Option<String>,
-    /// The protocol versions that this broker speaks; a smaller range than [`VersionRange::SUPPORTED`] makes it act as
-    /// an older release.
+    /// The protocol versions that this broker supports; with a smaller range than [`VersionRange::SUPPORTED`], the
+    /// broker acts as an older release.
     pub supported_versions: VersionRange,
-    /// Limits on work and sizes.
+    /// Limits on concurrent work, queues and sizes.
     pub limits: Limits,
     /// Intervals and timeouts.
     pub timing: Timing,
--- a/crates/dunepond-membership/src/rate_limit.rs
+++ b/crates/dunepond-membership/src/rate_limit.rs
@@ -2,7 +2,8 @@
 
 use std::collections::BTreeMap;
 
-/// Age from which the window of a sender is removed, in seconds. Windows are removed only when another sender is added.
+/// Time since the start of a sender's window after which the window is removed, in seconds. Such windows are removed
+/// only when another sender is added.
 const RETENTION_SECONDS: f64 = 60.0;
 const WINDOW_SECONDS: f64 = 1.0;
 
--- a/crates/dunepond-membership/src/refusal.rs
+++ b/crates/dunepond-membership/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The reason for which a request or datagram is refused, which is sent back to its sender.
+//! The reason why a request or datagram is refused, which is sent back to the sender of the message.
 
 use crate::version::VersionRange;
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
     /// A limit on concurrent work is reached.
     #[error("overloaded: a limit on concurrent requests is reached")]
     Busy,
-    /// The peer's caller did not respond before the deadline.
+    /// The refusing broker did not receive the whole request in time, or had no response before the request's deadline.
     #[error("no response before the request's deadline")]
     Timeout,
     /// The body exceeds the receiver's limit.
@@ -19,14 +19,14 @@
         /// The receiver's limit, in bytes.
         max_bytes: u64,
     },
-    /// The receiver does not speak the protocol version of the message; this is the form of
-    /// [`RefusalReason::UnsupportedVersion`] that brokers of version 1 read.
+    /// The receiver does not support the protocol version of the message. Brokers of version 1 read this reason,
+    /// instead of [`RefusalReason::UnsupportedVersion`].
     #[error("the receiver speaks protocol version {supported}, the message has version {stated}")]
     UnsupportedVersionV1 {
-        /// If the refusing broker speaks only version 1, the version of the refused message; otherwise the highest
+        /// If the refusing broker supports only version 1, the version of the refused message; otherwise the highest
         /// version that the message states for its sender.
         stated: u8,
-        /// The highest protocol version that the refusing broker speaks.
+        /// The highest protocol version that the refusing broker supports.
         supported: u8,
     },
     /// The name that the sender claims cannot be verified for its address.
@@ -55,19 +55,20 @@
         /// The name of the refusing broker.
         name: String,
     },
-    /// The sender exceeds its message rate.
+    /// The sender exceeds the receiver's limit on messages per second.
     #[error("the sender exceeds its message rate")]
     RateLimited,
-    /// The receiver's table of members that are not configured is full.
+    /// The receiver's limit on names that are not configured is reached.
     #[error("the receiver's member table is full")]
     TooManyMembers,
-    /// The peer's caller dropped the request without a response.
+    /// At the refusing broker, the code that uses this crate dropped the request without a response.
     #[error("the request was dropped without a response")]
     NoResponse,
-    /// The peer's caller refused the request, for the reason that this text states.
+    /// At the refusing broker, the code that uses this crate declined the request, for the reason that this text
+    /// states.
     #[error("declined: {0}")]
     Declined(String),
-    /// The receiver does not speak the protocol version of the message. This reason exists from version 2 on.
+    /// The receiver does not support the protocol version of the message. This reason exists from version 2 on.
     #[error(
         "the message's protocol version is not supported: the receiver speaks {supported}, the sender {stated}"
     )]
@@ -84,11 +85,12 @@
         /// Number of the kind, as the request states it.
         kind: u32,
     },
-    /// The request does not echo the address token of the receiver's current incarnation; the refusal carries the
+    /// The request does not echo the address token of the receiver's current incarnation; the refusal contains the
     /// token. This reason exists from version 2 on.
     #[error("the request lacks the receiver's current address token")]
     InvalidToken,
-    /// The sequence number was received before, or is too old to be checked. This reason exists from version 2 on.
+    /// The sequence number was received before, or is too far below the highest received one to be checked. This reason
+    /// exists from version 2 on.
     #[error("the message is a replay")]
     Replayed,
 }
--- a/crates/dunepond-membership/src/replay.rs
+++ b/crates/dunepond-membership/src/replay.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-/// Number of sequence numbers, counted back from the highest received one, that are tracked individually; lower ones
-/// count as replays.
+/// Number of sequence numbers, counted back from the highest received one, that are tracked individually; messages with
+/// lower numbers count as replays.
 const REPLAY_WINDOW: u64 = 1024;
 
 /// The sequence numbers that were received recently from one sender.
@@ -13,7 +13,8 @@
 }
 
 impl ReplayWindow {
-    /// Records `sequence`. Returns `false` if it was received before, or is too old to be checked.
+    /// Records `sequence`. Returns `false` if it was received before, or is too far below the highest recorded one to
+    /// be checked.
     pub fn insert(&mut self, sequence: u64) -> bool {
         let latest = self.received.last().copied().unwrap_or(0).max(sequence);
         let oldest = latest.saturating_sub(REPLAY_WINDOW);
--- a/crates/dunepond-membership/src/request_kind.rs
+++ b/crates/dunepond-membership/src/request_kind.rs
@@ -12,14 +12,16 @@
     Lease,
     /// A proposal to the leader of a new configuration version.
     Propose,
-    /// An exchange of the counts of transfers between partners.
+    /// An exchange of the counts of the bytes that partners have transferred for each other.
     TransferCounts,
-    /// A report on a replica fill, or a request for one.
+    /// Entries for the settlement ledger that the leader is asked to propose, such as the record of a fill that has
+    /// started.
     Fill,
-    /// A push of the committed configuration.
+    /// A reply to a lease request. A voter sends it as a separate request if the lease request went to another voter or
+    /// is no longer pending.
     State,
-    /// A liveness check, which this crate answers itself: a suspected member is asked, over a connection, to refute the
-    /// suspicion.
+    /// A liveness check, in which a suspected member is asked over a connection to refute the suspicion. This crate
+    /// answers it without the caller.
     LivenessCheck,
     /// An offer of a rebalance plan to the leader.
     RebalancePlan,
@@ -71,7 +73,7 @@
     }
 }
 
-/// The number of a request kind in a message, which may be one that this broker does not know.
+/// The number of a request kind in a message. The kind may be one that this broker does not know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KindCode(pub u32);
 
--- a/crates/dunepond-membership/src/sender_auth.rs
+++ b/crates/dunepond-membership/src/sender_auth.rs
@@ -1,7 +1,7 @@
 //! Verification of senders. With the fleet's key, the authentication code shows that the sender holds the key. Without
-//! a key, a message must come from the address that its sender states, and a configured name must state its configured
-//! address. This relies on the operating system: on one machine no process can send from a UDP port that another
-//! process has bound.
+//! a key, a message must come from the address that its sender states, and the stated address of a sender with a
+//! configured name must be the configured one. This check relies on the operating system: on one machine, no process
+//! can send from a UDP port that another process has bound.
 
 use crate::error::PeerError;
 use crate::identity::PeerId;
@@ -11,8 +11,8 @@
 /// Largest length of a broker's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// The transport over which a message arrived. A datagram is sent from the port on which its sender listens, a
-/// connection is opened from any port.
+/// The transport over which a message arrived. A datagram is sent from the port on which its sender listens, while a
+/// connection may be opened from any port.
 #[derive(Clone, Copy, Debug)]
 pub enum Transport {
     /// A UDP datagram.
@@ -84,8 +84,9 @@
     }
 
     /// Decides on a gossip update about a third party: `Ok(true)` accepts it, `Ok(false)` ignores it, and an error
-    /// rejects it. Without a key, an update about a member must name the incarnation that has itself sent from its own
-    /// address; otherwise any member could declare another one down under a greater incarnation.
+    /// rejects it. Without a key, an update about a member must state the identity under which that member has itself
+    /// sent messages from its own address; otherwise any member could declare another member down under a greater
+    /// incarnation.
     pub fn accepts_update(
         &self,
         about: &PeerId,
@@ -107,14 +108,15 @@
         }
         Ok(match active_member {
             Some(member) => member == about,
-            // Announcements reach a configured peer at its configured address, so its own messages will add it as a
-            // member.
+            // An update does not add a configured peer: this broker sends announcements to the peer's configured
+            // address, and the peer's own messages will add it as a member.
             None => !self.known_peers.contains_key(&about.name),
         })
     }
 
-    /// Returns whether the address that `id` states is the one expected without a key: the configured address of a
-    /// configured name; the unchanged address of any other name while it is a member.
+    /// Returns whether the address that `id` states is the one that is expected without a key. For a configured name,
+    /// this is the configured address; for any other name that is a member, it is the member's current address. For all
+    /// other names, any address is expected.
     fn is_expected_address(&self, id: &PeerId, active_member: Option<&PeerId>) -> bool {
         match self.known_peers.get(&id.name) {
             Some(address) => *address == id.listen_address,
--- a/crates/dunepond-membership/src/server/mod.rs
+++ b/crates/dunepond-membership/src/server/mod.rs
@@ -19,7 +19,8 @@
 use tokio::sync::Notify;
 use tokio_io_timeout::TimeoutStream;
 
-/// Pause after a failed accept: the process has no free file descriptors, and another attempt would fail at once.
+/// Pause after a failed attempt to accept a connection. The process then has no free file descriptors, and another
+/// attempt at once would fail too.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(50);
 
 /// A connection from a peer.
@@ -68,7 +69,7 @@
 
 impl Server {
     /// Returns whether one more connection can be accepted. At the limit, the oldest connection without a verified
-    /// request is closed to make room, so that unverified senders cannot exclude peers.
+    /// request is closed to make room, so that unverified senders cannot use up the room for peers.
     fn make_room(&self) -> bool {
         let mut connections = self.connections.borrow_mut();
         if connections.len() < self.context.options.limits.max_incoming_connections {
@@ -86,12 +87,13 @@
         })
     }
 
-    /// Serves requests on a connection until it ends, must close, or delivers no verified request in time.
+    /// Serves requests on a connection until the connection ends, must close to make room, or has delivered no verified
+    /// request in time.
     async fn serve(self: &Rc<Self>, stream: TcpStream, source: SocketAddr, connection: Rc<Connection>) {
         let timing = &self.context.options.timing;
         let _ = stream.set_nodelay(true);
         let mut stream = TimeoutStream::new(stream);
-        // Without this timeout, a peer that does not read a response would keep it in this process's memory.
+        // Without this timeout, a response that the peer does not read would stay in this process's memory.
         stream.set_write_timeout(Some(Duration::from_secs_f64(timing.transfer_timeout_seconds)));
         let service = service_fn(|request| {
             let (server, connection) = (self.clone(), connection.clone());
--- a/crates/dunepond-membership/src/server/request.rs
+++ b/crates/dunepond-membership/src/server/request.rs
@@ -22,7 +22,7 @@
 
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
-/// A received body, with its path and the reservation of memory for it.
+/// The received body of a request, with the HTTP path of the request and the reservation of memory for the body.
 struct ReceivedBody {
     path: String,
     bytes: Bytes,
@@ -76,20 +76,20 @@
         }
     }
 
-    /// Increments the counter of the reason for which a request failed.
+    /// Increments the counter for the error with which a request failed, if there is one.
     fn count_failure(&self, error: &PeerError) {
         match error {
             PeerError::Refused { reason: RefusalReason::Busy, .. } | PeerError::Busy { .. } => {
                 increment(&self.context.shared.counters.requests_shed)
             }
-            // The caller refused the request or did not respond, or the body was not received in time.
+            // Not counted: the caller refused the request or did not respond, or the body was not received in time.
             PeerError::Refused { .. } | PeerError::Timeout { .. } => {}
             rejected => self.context.report_rejected(rejected),
         }
     }
 
     /// Runs all phases of a request, and returns the response's body. `target` is filled in as soon as the request's
-    /// version and sender are known, so that the peer can also read a refusal.
+    /// version and sender are known, so that a refusal can be encoded in a form that the peer reads.
     async fn process(
         self: &Rc<Self>,
         request: Request<Incoming>,
@@ -169,7 +169,7 @@
         Ok(DecodedRequest { envelope, header, id, code, timeout_ms, payload })
     }
 
-    /// Checks that the request is from a verified sender, and for this broker.
+    /// Checks that the request is from a verified sender, and addressed to this broker.
     fn verify(
         &self,
         request: &DecodedRequest<'_>,
@@ -186,15 +186,15 @@
         Ok(())
     }
 
-    /// Returns the kind of a request, or a refusal if this broker does not know it. A newer broker may send such a
-    /// kind, and continues after the refusal.
+    /// Returns the kind of a request, or a refusal if this broker does not know the kind. A newer broker may send such
+    /// a request, and continues without requests of this kind after the refusal.
     fn supported_kind(&self, code: KindCode) -> Result<RequestKind, PeerError> {
         let supported = self.context.core.borrow().supported_versions();
         let kind = code.kind().filter(|kind| kind.min_version() <= supported.max);
         kind.ok_or_else(|| self.refused(RefusalReason::UnknownKind { kind: code.0 }))
     }
 
-    /// Answers a liveness check without the caller, and returns the response's body.
+    /// Answers a liveness check without passing it to the caller, and returns the response's body.
     fn answer_liveness_check(&self, request: &DecodedRequest<'_>) -> Result<Vec<u8>, PeerError> {
         let answered = self.context.core.borrow_mut().answer_liveness_check(&request.header, request.payload);
         let (body, actions) = answered?;
--- a/crates/dunepond-membership/src/server/response.rs
+++ b/crates/dunepond-membership/src/server/response.rs
@@ -9,7 +9,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
-/// The receiver of a response, as far as it could be read from the request.
+/// The receiver of a response, as far as it is known from the request.
 #[derive(Default)]
 pub(super) struct ResponseTarget {
     /// Name of the peer; empty if the request could not be decoded.
@@ -42,14 +42,15 @@
         *response.status_mut() = status;
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(CONTENT_TYPE));
-        // The connection is closed if the peer was not verified or its body was not received.
+        // The connection is closed after a refusal with a status of 4xx, since the peer may not have been verified, or
+        // its body may not have been received.
         if !status.is_success() && !status.is_server_error() {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 
-    /// Encodes a response or refusal in the version that the peer reads.
+    /// Encodes a response or refusal in the protocol version that was chosen for the peer.
     fn encode(
         &self,
         target: &ResponseTarget,
--- a/crates/dunepond-membership/src/sockets.rs
+++ b/crates/dunepond-membership/src/sockets.rs
@@ -3,7 +3,7 @@
 use crate::error::PeerError;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
-/// Number of attempts to find a port that is free for both kinds of socket.
+/// Number of attempts to find a port that is free for both UDP and TCP.
 const MAX_PORTS_TRIED: usize = 32;
 
 /// The bound UDP and TCP sockets of a broker that is not started yet.
--- a/crates/dunepond-membership/src/version.rs
+++ b/crates/dunepond-membership/src/version.rs
@@ -1,12 +1,12 @@
-//! Protocol versions. Each broker speaks one contiguous range of versions; two brokers use the highest version that
-//! both speak, so that a fleet can be upgraded and rolled back one broker at a time.
+//! Protocol versions. Each broker supports one contiguous range of versions; two brokers use the highest version that
+//! both support, so that a fleet can be upgraded and rolled back one broker at a time.
 
 use serde::{Deserialize, Serialize};
 
-/// The highest protocol version that this release speaks.
+/// The highest protocol version that this release supports.
 pub const PROTOCOL_VERSION: u8 = 2;
-/// The first version whose messages state the sender's version range, carry a sequence number and must echo an address
-/// token.
+/// The first version whose messages state the sender's version range and a sequence number, and must echo the
+/// receiver's address token.
 pub(crate) const FIRST_VERSION_WITH_RANGE: u8 = 2;
 
 /// An inclusive range of protocol versions.
@@ -19,7 +19,7 @@
 }
 
 impl VersionRange {
-    /// The versions that this release speaks.
+    /// The versions that this release supports.
     pub const SUPPORTED: VersionRange = VersionRange { min: 1, max: PROTOCOL_VERSION };
 
     /// Returns the range that contains only `version`.
--- a/crates/dunepond-membership/tests/core/failure_detection.rs
+++ b/crates/dunepond-membership/tests/core/failure_detection.rs
@@ -14,7 +14,7 @@
     assert!(network.all_alive());
     network.clear_changes();
     network.stalled[0] = true;
-    // Datagrams that are sent during the stall are lost, as if they exceeded the socket's buffer.
+    // Datagrams that are sent to n0 during the stall are lost, as if the buffer of its socket were full.
     network.run_until(11.0, |_, to| to == 0);
     assert!(network.changes[1].contains(&"down n0".into()), "{:?}", network.changes[1]);
     network.stalled[0] = false;
@@ -23,8 +23,8 @@
     assert!(network.all_alive(), "{:?}", network.changes);
 }
 
-/// n0 stalls while it suspects n3, and misses the refutation, since it receives nothing during the stall. Without an
-/// extension of the suspicion timeout it would declare n3 down.
+/// n0 stalls while it suspects n3, and misses the refutation, since it receives nothing during the stall. If n0 did not
+/// extend the suspicion timeout by the length of the stall, it would declare n3 down.
 #[rstest]
 fn stall_extends_suspicion_timeouts(#[values(false, true)] key: bool) {
     let mut network = SimulatedNetwork::new(5, key);
@@ -72,7 +72,7 @@
     assert!(network.all_alive());
 }
 
-/// No datagram reaches n0, because a flood fills its socket. It must not be declared down, since it still responds to
+/// No datagram reaches n0, because a flood fills its socket. n0 must not be declared down, since it still responds to
 /// liveness checks over connections.
 #[rstest]
 fn flooded_peer_stays_up_by_liveness_checks(#[values(false, true)] key: bool, #[values(2, 5)] count: usize) {
@@ -90,8 +90,8 @@
     assert!(network.changes[1].contains(&"down n0".into()), "{:?}", network.changes[1]);
 }
 
-/// A liveness check changes the membership, so without a key it must echo the token that was sent to the sender's
-/// address: otherwise any process could send one in a member's name.
+/// A liveness check changes the membership, so in a fleet without a key it must echo the address token that the
+/// receiver sent to the sender's address: otherwise any process could send a liveness check in a member's name.
 #[test]
 fn liveness_check_requires_address_token() {
     let mut network = SimulatedNetwork::new(3, false);
--- a/crates/dunepond-membership/tests/core/limits.rs
+++ b/crates/dunepond-membership/tests/core/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on the rate of messages and on the number of names.
+//! Limits on the rate of messages and on the number of names that are not configured.
 
 use dunepond_membership::{
     Authenticator, Core, Envelope, Limits, MessageHeader, MessageType, PeerError, PeerId, RefusalReason,
@@ -41,7 +41,8 @@
     assert!(matches!(errors[9], Some(PeerError::RateLimited { per_second: 10, .. })), "{errors:?}");
     assert_eq!(errors[8], None);
 
-    // The limit on names also applies to names in gossip updates, and to senders that do not become members.
+    // The limit on names that are not configured also applies to names in gossip updates, and to senders that do not
+    // become members.
     let mut network = SimulatedNetwork::new(3, false);
     network.run_until(3.0, no_loss);
     let unknown_member = |number: usize| {
--- a/crates/dunepond-membership/tests/core/network.rs
+++ b/crates/dunepond-membership/tests/core/network.rs
@@ -1,4 +1,4 @@
-//! A simulated network of membership cores, whose clock, losses and stalls the test controls.
+//! A simulated network of membership cores. The test controls its clock, losses and stalls.
 
 use dunepond_membership::{
     Actions, Authenticator, Core, Envelope, Event, LivenessCheck, MembershipOptions, Message, MessageHeader,
@@ -41,11 +41,11 @@
     pub inboxes: Vec<Vec<(usize, Vec<u8>)>>,
     /// Membership changes that each broker reported, as text.
     pub changes: Vec<Vec<String>>,
-    /// Whether losses are caused by a flood, so that they affect datagrams only and not connections.
+    /// Whether losses are caused by a flood, which affects datagrams but not connections.
     pub datagram_flood: bool,
     /// All datagrams that were sent, including lost ones: sender, receiver, bytes.
     pub sent: Vec<(usize, usize, Vec<u8>)>,
-    /// Number of liveness checks that reached their receiver; it serves as the sequence number of these checks.
+    /// Number of liveness checks that reached their receiver, which is also the sequence number of the last of them.
     pub check_count: u64,
 }
 
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Records the actions of broker `from`, and sends its datagrams except those for which `lost` returns true.
+    /// Records the actions of broker `from`, and sends its datagrams except those for whose sender and receiver `lost`
+    /// returns true.
     pub fn deliver(&mut self, from: usize, actions: Actions, lost: &impl Fn(usize, usize) -> bool) {
         for (to, bytes) in actions.datagrams {
             let to = usize::from(to.port()) - 7000;
@@ -83,7 +84,7 @@
         }));
     }
 
-    /// Runs until `end`, in steps of 10 ms.
+    /// Runs the network until the simulated time `end`, in steps of 10 ms.
     pub fn run_until(&mut self, end: f64, lost: impl Fn(usize, usize) -> bool) {
         while self.now < end {
             self.now += 0.01;
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Carries out a liveness check over a simulated connection. Except in a flood, the connection fails if datagrams
-    /// are lost in either direction.
+    /// Carries out a liveness check over a simulated connection. Unless `datagram_flood` is set, the connection fails
+    /// if datagrams are lost in either direction.
     pub fn check_liveness(
         &mut self,
         from: usize,
--- a/crates/dunepond-membership/tests/core/replay.rs
+++ b/crates/dunepond-membership/tests/core/replay.rs
@@ -8,7 +8,8 @@
 
 use crate::network::{KEY, SimulatedNetwork, address, no_loss, options};
 
-/// Delivers the recorded datagrams to n0 again, in order, from their source addresses. Returns the errors.
+/// Delivers the recorded datagrams to n0 again, in order and from the addresses of their senders. Returns the errors
+/// with which n0 rejects them.
 fn replay(network: &mut SimulatedNetwork, recorded: &[(usize, Vec<u8>)]) -> Vec<PeerError> {
     let mut errors = Vec::new();
     for (from, bytes) in recorded {
@@ -21,7 +22,7 @@
 }
 
 /// Old datagrams of n2 are replayed to n0 after n2 has been down for so long that n0 no longer remembers it. n0 must
-/// not add n2 again, whether or not it was restarted in the meantime.
+/// not add n2 again, whether or not n0 was restarted in the meantime.
 #[rstest]
 fn replayed_datagram_has_no_effect(#[values(false, true)] key: bool, #[values(false, true)] restarted: bool) {
     let mut network = SimulatedNetwork::new(3, key);
@@ -32,7 +33,7 @@
         network.sent.iter().filter(to_n0).map(|sent| (sent.0, sent.2.clone())).collect();
     assert!(recorded.iter().filter(|datagram| datagram.0 == 2).count() > 3);
     network.stalled[2] = true;
-    // A member that is down is remembered for two minutes.
+    // n0 remembers a member for two minutes after it went down.
     network.run_until(160.0, no_loss);
     assert!(
         !network.cores[0].members().iter().any(|peer| peer.name == "n2"),
@@ -71,7 +72,8 @@
         let result = authenticate(&mut network.cores[0], after);
         assert!(matches!(result, Err(PeerError::Replayed { .. })), "{result:?}");
     }
-    // The next incarnation of the receiver does not know the sequence numbers, but issues another token.
+    // The next incarnation of the receiver does not know the received sequence numbers, but it issues another address
+    // token, which the replayed request does not echo.
     let mut next = Core::new(&options(0, 2, 2, key), [77; 32], 3600.0).unwrap();
     let result = authenticate(&mut next, 3600.0);
     assert!(
@@ -80,8 +82,8 @@
     );
 }
 
-/// A sender without the token is sent the token in a hello, sends its datagram again, and is accepted within the same
-/// tick, so that no probe is lost.
+/// A sender that lacks the receiver's address token receives the token in a hello, and sends its datagram again with
+/// the token. The datagram is accepted at the same simulated time, so that no probe is lost.
 #[rstest]
 fn sender_without_token_is_accepted_after_hello(#[values(false, true)] key: bool) {
     let mut cores =
@@ -96,8 +98,8 @@
     assert_eq!(cores[1].members()[0].name, "n0");
 }
 
-/// A request that later requests overtook must not be rejected as a replay. A request with a much lower sequence number
-/// is rejected, since it can no longer be checked.
+/// A request that arrives after requests with higher sequence numbers must not be rejected as a replay. A request whose
+/// number is much lower than the highest one is rejected, since it can no longer be checked.
 #[test]
 fn reordered_requests_are_accepted_once() {
     let mut network = SimulatedNetwork::new(2, true);
--- a/crates/dunepond-membership/tests/core/untrusted_gossip.rs
+++ b/crates/dunepond-membership/tests/core/untrusted_gossip.rs
@@ -81,7 +81,8 @@
         postcard::from_bytes::<RefusalReason>(payload).unwrap(),
         RefusalReason::UnsupportedVersion { stated: newer_range, supported: VersionRange::SUPPORTED }
     );
-    // Datagrams from unknown addresses and shorter datagrams are not refused, and refusals are rate-limited.
+    // No refusal is sent for datagrams from unknown addresses, or for datagrams that are shorter than the refusal.
+    // Refusals are rate-limited.
     assert!(core.on_datagram(0.1, address(9), &newer).datagrams.is_empty());
     assert!(core.on_datagram(0.1, address(1), &newer[..20]).datagrams.is_empty());
     let sent: usize = (0..100).map(|_| core.on_datagram(0.2, address(1), &newer).datagrams.len()).sum();
--- a/crates/dunepond-membership/tests/core/versions.rs
+++ b/crates/dunepond-membership/tests/core/versions.rs
@@ -15,7 +15,8 @@
 const OLD: VersionRange = VersionRange::exactly(1);
 const NEXT: VersionRange = VersionRange { min: 1, max: PROTOCOL_VERSION + 1 };
 
-/// Creates a network with one core for each entry of `versions`, which speaks these versions.
+/// Creates a network with one core for each entry of `versions`, which is the range of versions that this core
+/// supports.
 fn fleet(versions: &[VersionRange], key: bool) -> SimulatedNetwork {
     let mut network = SimulatedNetwork::new(versions.len(), key);
     for (number, versions) in versions.iter().enumerate() {
@@ -37,7 +38,7 @@
     Core::new(&options, [number as u8 + 10 * incarnation as u8; 32], now).unwrap()
 }
 
-/// Replaces the core `number` with a later incarnation that speaks `versions`.
+/// Replaces the core `number` with a later incarnation that supports `versions`.
 fn replace(network: &mut SimulatedNetwork, number: usize, versions: &VersionRange, key: bool) {
     let incarnation = network.cores[number].local_id().incarnation + 1;
     network.cores[number] = new_core(number, incarnation, versions, network.cores.len(), key, network.now);
@@ -74,8 +75,8 @@
             let (sent_versions, common) =
                 (versions_sent(&network, from, to), versions[from].highest_common(versions[to]).unwrap());
             assert!(sent_versions.contains(&common), "{from} to {to}: {sent_versions:?}");
-            // A broker also sends hellos in its own highest version to peers that have only sent version 1, to state
-            // which versions it speaks.
+            // A broker also sends hellos in its own highest version to peers that have only sent messages of version 1,
+            // to state which versions it supports.
             let is_common_or_hello =
                 sent_versions.iter().all(|version| *version == common || versions[from].max > common);
             assert!(is_common_or_hello, "{from} to {to}: {sent_versions:?}");
@@ -142,7 +143,8 @@
     }
 }
 
-/// Each core refuses the other's refusal. The exchange must end, since each refusal is shorter than the message before.
+/// Each core refuses the other's refusals. The exchange must end, since each refusal is shorter than the message that
+/// it refuses.
 #[test]
 fn refusals_of_refusals_end() {
     let mut network = fleet(&[VersionRange::exactly(2), VersionRange::exactly(3)], false);
@@ -159,8 +161,8 @@
     assert!((1..4).contains(&refusals.count()));
 }
 
-/// Each core assumes that the other one speaks only version 1, as happens when a datagram crosses a restart. Both must
-/// return to the highest common version.
+/// Each core assumes that the other one supports only version 1, as can happen if a datagram is in flight while a
+/// broker restarts. Both must return to the highest common version.
 #[test]
 fn mutually_assumed_version_1_recovers() {
     let mut network = fleet(&[VersionRange::SUPPORTED; 2], false);
--- a/crates/dunepond-membership/tests/errors.rs
+++ b/crates/dunepond-membership/tests/errors.rs
@@ -3,8 +3,8 @@
 use dunepond_membership::{Core, Limits, MembershipOptions, PeerError, RefusalReason, Timing, VersionRange};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Defines a function that returns one value of each variant of an enum. The match fails to compile if a variant is
-/// missing.
+/// Defines a function that returns one value of each variant of an enum. The function does not compile if a variant is
+/// missing in the macro call.
 macro_rules! one_value_per_variant {
     ($function:ident, $type:ident: $($variant:ident $fields:tt,)*) => {
         fn $function() -> Vec<$type> {
--- a/crates/dunepond-membership/tests/fleet/mod.rs
+++ b/crates/dunepond-membership/tests/fleet/mod.rs
@@ -39,7 +39,7 @@
     Broker { peers, events }
 }
 
-/// Starts brokers `n1`, `n2`, ... that know each other, with options adapted by `change`.
+/// Starts brokers `n1`, `n2`, ..., which are configured as peers of each other, with options adapted by `change`.
 pub fn fleet(count: usize, change: impl Fn(&mut MembershipOptions)) -> Vec<Broker> {
     let sockets: Vec<BoundSockets> = (0..count).map(|_| bind_free_port()).collect();
     let names: Vec<String> = (1..=count).map(|number| format!("n{number}")).collect();
@@ -57,8 +57,8 @@
 }
 
 impl Broker {
-    /// Waits for the first event for which `select` returns a value, and returns that value. Requests that arrive
-    /// before it are echoed.
+    /// Waits for the first event for which `select` returns a value, and returns that value. Responds to requests that
+    /// arrive before that event with their own body.
     pub fn wait_for_event<T>(&self, description: &str, mut select: impl FnMut(&Event) -> Option<T>) -> T {
         let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Waits until the peer `name` is up, and returns its incarnation.
+    /// Waits for the event that the peer `name` is up, and returns its incarnation.
     pub fn wait_for_up(&self, name: &str) -> u64 {
         self.wait_for_event(&format!("{name} to be up"), |event| match event {
             Event::PeerUp(peer) if peer.name == name => Some(peer.incarnation),
@@ -83,14 +83,14 @@
         })
     }
 
-    /// Waits until the peer `name` is down.
+    /// Waits for the event that the peer `name` is down.
     pub fn wait_for_down(&self, name: &str) {
         self.wait_for_event(&format!("{name} to be down"), |event| {
             matches!(event, Event::PeerDown(peer) if peer == name).then_some(())
         });
     }
 
-    /// Waits for the next request, and drops other events that arrive before it.
+    /// Waits for the next request of a peer, and drops other events that arrive before the request.
     pub fn next_request(&self) -> (String, RequestKind, Vec<u8>, Responder) {
         let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
@@ -117,7 +117,7 @@
 }
 
 impl Broker {
-    /// Waits until all peers in `names` are up.
+    /// Waits for the events that the peers in `names` are up.
     pub fn wait_for_all_up(&self, names: &[&str]) {
         let mut missing = names.to_vec();
         while !missing.is_empty() {
--- a/crates/dunepond-membership/tests/golden.rs
+++ b/crates/dunepond-membership/tests/golden.rs
@@ -35,8 +35,8 @@
         .collect()
 }
 
-/// Asserts that labels and encodings equal those of a golden file. Compares line by line, so that a failure shows the
-/// first difference.
+/// Asserts that the labels and encodings in `actual` equal those of a golden file. They are compared line by line, so
+/// that a failure shows the first difference.
 fn assert_matches_golden(file: &str, actual: &[(String, String)]) {
     let golden = golden_lines(file);
     for (golden, actual) in golden.iter().zip(actual) {
@@ -45,7 +45,8 @@
     assert_eq!(golden.len(), actual.len(), "{file}");
 }
 
-/// Asserts that `postcard` encodes each labelled value as in a golden file, and decodes the file to the values.
+/// Asserts that `postcard` encodes each labelled value as in a golden file, and decodes the encodings in the file to
+/// the same values.
 fn assert_postcard_matches_golden<T: Serialize + DeserializeOwned + PartialEq + Debug>(
     file: &str,
     values: &[(String, T)],
@@ -270,7 +271,7 @@
     authenticator: Authenticator,
     /// Datagrams in flight: time of arrival, sender, receiver, bytes.
     in_flight: VecDeque<(f64, usize, usize, Vec<u8>)>,
-    /// Labels and encodings of what happened so far, as in the golden files.
+    /// Labels and encodings of all messages, membership changes and errors so far, as in the golden files.
     recorded: Vec<(String, String)>,
 }
 
@@ -315,7 +316,8 @@
         self.recorded.push((format!("{:.2} {label}", self.now), encoding));
     }
 
-    /// Records the actions of core `from`, and sends its datagrams except those for which `lost` returns true.
+    /// Records the actions of core `from`, and sends its datagrams except those for whose sender and receiver `lost`
+    /// returns true.
     fn deliver(&mut self, from: usize, actions: Actions, lost: &impl Fn(usize, usize) -> bool) {
         for (to, bytes) in actions.datagrams {
             let to = usize::from(to.port()) - 7000;
@@ -340,7 +342,7 @@
         }
     }
 
-    /// Runs all cores except those in `stopped` until `end`, in steps of 10 ms.
+    /// Runs all cores except those in `stopped` until the simulated time `end`, in steps of 10 ms.
     fn run_until(&mut self, end: f64, stopped: &[usize], lost: impl Fn(usize, usize) -> bool) {
         while self.now < end {
             self.now += 0.01;
@@ -402,9 +404,9 @@
     false
 }
 
-/// Runs a conversation that covers joining, a member of version 1 that leaves and returns in a later incarnation and
-/// version, a suspicion that is refuted over a connection, refused messages, and a member that goes down. Returns what
-/// was recorded.
+/// Runs a conversation of three simulated brokers, which covers joining, a member of version 1 that leaves and returns
+/// in a later incarnation and version, a suspicion that is refuted over a connection, refused messages, and a member
+/// that goes down. Returns the recorded labels and encodings.
 fn conversation(key: Option<&str>) -> Vec<(String, String)> {
     let mut network = SimulatedNetwork::new(key);
     network.run_until(1.6, &[], no_loss);
@@ -428,8 +430,8 @@
     network.recorded
 }
 
-/// Asserts that the conversation equals the golden file, that the file's messages keep their encoding, and that the
-/// conversation contains enough entries of each kind.
+/// Asserts that the conversation equals the golden file, that each message in the file is encoded to the same bytes
+/// after it was decoded, and that the conversation contains enough entries of each kind.
 fn check_conversation(file: &str, key: Option<&str>) {
     let actual = conversation(key);
     assert_matches_golden(file, &actual);
@@ -484,8 +486,8 @@
     Some((head, body))
 }
 
-/// Returns an HTTP head in hexadecimal, without the values that vary between runs. Hexadecimal protects the golden
-/// files from text replacements across the repository.
+/// Returns an HTTP head in hexadecimal, without the values that vary between runs. Hexadecimal is used so that text
+/// replacements across the repository do not change the golden files.
 fn normalized_head(head: &str) -> String {
     let lines: Vec<&str> = head
         .split("\r\n")
--- a/crates/dunepond-membership/tests/membership.rs
+++ b/crates/dunepond-membership/tests/membership.rs
@@ -32,7 +32,7 @@
         ["n1", "n2", "n3"].into_iter().zip(fleet.iter().map(|broker| broker.peers.local_addr())).collect();
     let stopped = fleet.pop().unwrap();
     let address = stopped.peers.local_addr();
-    // A broker that stops tells the others that it leaves.
+    // A broker that is stopped notifies the others that it leaves.
     stopped.peers.stop();
     fleet[0].wait_for_down("n3");
     let restarted = start_broker(dunepond_membership::bind(address).unwrap(), options("n3", 2, &known_peers));
@@ -45,7 +45,8 @@
             let (.., body, responder) = restarted.next_request();
             restarted.peers.respond(responder, Ok(body));
         });
-        // The first request may fail on a pooled connection to the earlier incarnation; a new one is then opened.
+        // The first request may fail on a pooled connection to the earlier incarnation of n3; the next request then
+        // opens a new connection.
         let response = (0..5).find_map(|_| fleet[0].call("n3", b"again", 2.0).ok());
         assert_eq!(response.unwrap(), b"again");
     });
@@ -76,8 +77,8 @@
     assert!(duplicate.peers.members().iter().all(|peer| peer.state != PeerState::Alive));
 }
 
-/// Starts a relay that forwards connections and datagrams to `to`, from its own addresses, and returns its address. It
-/// drops datagrams while `drops_datagrams` is set.
+/// Starts a relay that forwards connections and datagrams to `to` from its own sockets, and drops datagrams while
+/// `drops_datagrams` is set. Returns the address of the relay.
 fn relay(to: SocketAddr, drops_datagrams: Arc<AtomicBool>) -> SocketAddr {
     let (tcp, udp) = loop {
         let tcp = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -107,7 +108,7 @@
     address
 }
 
-/// Starts two brokers with a key that reach each other through relays only. Returns them with the flag that makes the
+/// Starts two brokers with a key that communicate through relays only. Returns the brokers, and the flag that makes the
 /// relays drop all datagrams.
 fn brokers_behind_relays(
     suspicion_timeout_seconds: f64,
@@ -148,8 +149,8 @@
     });
 }
 
-/// With a key, the refusal of a request carries the receiver's address token, with which the request is retried. No
-/// datagram carries the token here, since the relays drop them all.
+/// With a key, the refusal of a request contains the receiver's address token, with which the request is retried. In
+/// this test no datagram can deliver the token, since the relays drop all datagrams.
 #[test]
 fn refusal_carries_address_token_with_key() {
     let (n1, n2, _) = brokers_behind_relays(0.8, true);
@@ -163,8 +164,8 @@
     assert_eq!(n2.peers.counters().invalid_token, 1);
 }
 
-/// In the worst case of a flood no datagram arrives: both brokers suspect each other, check over connections, and must
-/// not declare each other down.
+/// In the worst case of a flood no datagram arrives: both brokers suspect each other, send liveness checks over
+/// connections, and must not declare each other down.
 #[test]
 fn liveness_checks_keep_peer_up() {
     let (n1, n2, drops_datagrams) = brokers_behind_relays(3.0, false);
--- a/crates/dunepond-membership/tests/old/mod.rs
+++ b/crates/dunepond-membership/tests/old/mod.rs
@@ -1,5 +1,6 @@
-//! The wire format of version 1: what brokers of that version read and write. The definitions, with their original
-//! names, must not be changed, and must not use any code of the crate, so that tests notice a change of the format.
+//! The wire format of version 1: what brokers of that version read and write. The definitions have the names of that
+//! version. They must not be changed, and must not use any code of the crate, so that tests notice a change of the
+//! format.
 #![allow(dead_code, reason = "each test file uses only some of the definitions")]
 
 use serde::{Deserialize, Serialize};
--- a/crates/dunepond-membership/tests/requests.rs
+++ b/crates/dunepond-membership/tests/requests.rs
@@ -100,7 +100,7 @@
             fleet[0].call("n2", b"", 2.0).unwrap();
         }
     });
-    // All requests used the same few connections.
+    // All 20 requests used the same few connections.
     assert!(fleet[1].peers.counters().connections_in <= 4, "{:?}", fleet[1].peers.counters());
 }
 
@@ -145,7 +145,7 @@
     assert!(matches!(broker.call("n2", b"", 2.0), Err(PeerError::Unreachable { .. })));
     let started = Instant::now();
     let (mut backed_off, mut attempts) = (0, 0);
-    // On an idle machine, this number of backed-off requests takes a quarter of a second.
+    // On an idle machine, 50 backed-off requests take a quarter of a second, since they are sent 5 ms apart.
     while backed_off < 50 || started.elapsed() < Duration::from_secs(1) {
         assert!(started.elapsed() < TEST_TIMEOUT, "{backed_off} backed_off, {attempts} attempts");
         match broker.call("n2", b"", 2.0).unwrap_err() {
@@ -158,7 +158,8 @@
         }
         std::thread::sleep(Duration::from_millis(5));
     }
-    // The backoff doubles from at least 25 ms up to at least half a second.
+    // The delays between attempts double from at least 25 ms to at least half a second, which limits the number of
+    // attempts.
     assert!(
         attempts >= 1 && attempts <= 6 + 2 * started.elapsed().as_secs(),
         "{backed_off} backed_off, {attempts} attempts"
@@ -205,7 +206,7 @@
 #[test]
 fn request_without_response_gets_reason() {
     let fleet = fleet(2, |_| {});
-    // The address of n2 is configured under another name.
+    // n0 is configured with the address of n2 under the name n3.
     let known_peers = [("n3", fleet[1].peers.local_addr())];
     let misconfigured = start_broker(bind_free_port(), options("n0", 1, &known_peers));
     let result = misconfigured.call("n3", b"", 2.0);
@@ -242,7 +243,8 @@
     });
     fleet[1].wait_for_all_up(&["n1", "n3"]);
     fleet[0].wait_until("n2 and n3 to be members", |peers| peers.members().len() == 2);
-    // n1 reads no events. Outcomes of its own requests are queued; requests of others are refused if there is no room.
+    // n1 reads no events. If the channel of its events is full, outcomes of its own requests are queued, and requests
+    // of its peers are refused.
     let ids: Vec<u64> =
         (0..8).map(|_| fleet[1].peers.request("n1", RequestKind::Raft, vec![], 3.0).unwrap()).collect();
     let results = fleet[1].wait_for_responses(&ids);
@@ -301,7 +303,7 @@
     let ids = [request("n1", large()).unwrap(), request("n1", large()).unwrap()];
     wait_for_requests(2);
     let third = n2.call("n1", &large(), 20.0);
-    // The refusal may be lost if the receiver closes the connection before it has read the body.
+    // The refusal may be lost if n1 closes the connection before it has read the request's body.
     assert!(busy(&third) || matches!(third, Err(PeerError::ConnectionLost { .. })), "{third:?}");
     fleet[0].wait_until("the refusal of the third request", |peers| peers.counters().requests_shed == 1);
     drop_events();
@@ -316,7 +318,7 @@
     let accepted: Vec<bool> = (0..4).map(|_| request("silent", large()).is_ok()).collect();
     assert_eq!(accepted, [true, true, true, false]);
     // The fourth limit is on the bytes of bodies that are being received. Each request states the length of its body
-    // but never sends the body, so the request that is read last is refused.
+    // but never sends the body, so two bodies reserve the whole limit, and the third request is refused.
     let request_head = b"POST /raft HTTP/1.1\r\nhost: x\r\ncontent-length: 4194304\r\n\r\n";
     let streams: Vec<TcpStream> =
         (0..3).map(|_| TcpStream::connect(fleet[0].peers.local_addr()).unwrap()).collect();
--- a/crates/dunepond-membership/tests/untrusted_senders.rs
+++ b/crates/dunepond-membership/tests/untrusted_senders.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-/// Sends `bytes` over a new connection, and returns what is received until the connection is closed or idle.
+/// Sends `bytes` over a new connection, and returns the bytes that are received until the connection is closed or idle.
 fn send_raw(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -65,7 +65,7 @@
     fleet
 }
 
-/// Asserts that n1's caller received no request and no peer went down, and that n2 still gets a response from n1.
+/// Asserts that n1 reported neither a request nor a peer that is down, and that n2 still gets a response from n1.
 fn assert_unaffected(fleet: &[Broker]) {
     let events: Vec<Event> = fleet[0].events.try_iter().collect();
     let is_unexpected = |event: &Event| matches!(event, Event::Request { .. } | Event::PeerDown(_));
@@ -156,8 +156,8 @@
     assert_unaffected(&fleet);
 }
 
-/// Sends many times as many datagrams as a socket buffers. Their number is fixed, so that the result does not depend on
-/// the load of the machine.
+/// Sends many times more datagrams than the buffer of a socket can store. Their number is fixed, so that the result
+/// does not depend on the load of the machine.
 #[test]
 fn foreign_datagrams_change_nothing() {
     let fleet = start_pair();
@@ -173,7 +173,8 @@
         }
         assert_unaffected(&fleet);
     }
-    // The receiver has read all earlier datagrams by now, so that its socket buffers all of these.
+    // The receiver has read all earlier datagrams by now, so the buffer of its socket has room for the three that
+    // follow.
     for bytes in [&unverified[..], &newer, &[PROTOCOL_VERSION]] {
         socket.send_to(bytes, address).unwrap();
     }
@@ -181,7 +182,7 @@
         let counters = peers.counters();
         counters.unverified_sender > 0 && counters.unsupported_version > 0 && counters.malformed > 0
     });
-    // Unknown senders get no answer.
+    // Unknown senders of datagrams get no answer.
     socket.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
     assert!(socket.recv(&mut [0; 2000]).is_err());
     assert_unaffected(&fleet);
@@ -224,8 +225,8 @@
     );
 }
 
-/// Guards that the server applies the limit, however slow the machine is. The tests of the core check the rate itself,
-/// with a simulated clock.
+/// Checks that the server applies the limit on requests per second, however slow the machine is. The tests of the core
+/// check the exact number, with a simulated clock.
 #[test]
 fn request_rate_is_limited() {
     let max_per_second = 5;
@@ -250,7 +251,8 @@
             answered += n2.wait_for_responses(&ids).iter().filter(|result| result.is_ok()).count() as u64;
         }
         done.store(true, Relaxed);
-        // The limit applies to each window of one second, including the first and the last, which are not complete.
+        // The limit applies to each window of one second, including the first and the last window, which the measured
+        // time covers only in part.
         assert!(
             answered >= 1 && answered <= u64::from(max_per_second) * (started.elapsed().as_secs() + 2),
             "{answered}"
--- a/crates/dunepond-membership/tests/versions.rs
+++ b/crates/dunepond-membership/tests/versions.rs
@@ -1,6 +1,6 @@
 //! Brokers of different protocol versions on real sockets. A broker of version 1 is represented by the wire format in
-//! `old`, and by brokers that are configured to speak version 1 only; the tests of the core check that these write that
-//! format.
+//! `old`, and by brokers that are configured to support version 1 only; the tests of the core check that such brokers
+//! send messages in that format.
 
 mod fleet;
 mod old;
@@ -41,7 +41,7 @@
     (head[9..12].into(), body)
 }
 
-/// Sends requests from each running broker to each other one until one receives a response.
+/// Sends requests from each running broker to each other running broker, until each has responded to each other one.
 fn assert_all_respond(fleet: &[Option<Broker>]) {
     let running: Vec<&Broker> = fleet.iter().flatten().collect();
     let assert_responds = |sender: &Broker, receiver: &Broker, name: &str| {
@@ -113,7 +113,8 @@
     .enumerate()
     {
         let incarnation = step as u64 + 2;
-        // The broker leaves gracefully, and the other brokers must declare it down, but no other broker.
+        // The broker leaves gracefully. The other brokers must report it down, and must not report any other broker
+        // down while they exchange requests.
         fleet[number].take().unwrap().peers.stop();
         for other in others(number) {
             fleet[other].as_ref().unwrap().wait_for_down(names[number]);
@@ -142,7 +143,7 @@
     });
     let (header, payload) = old::read(&response).unwrap();
     assert_eq!((&status[..], header.about, payload), ("200", old::About::Answer { id: 7 }, &b"mine"[..]));
-    // Refusals to a broker of version 1 have reasons that exist in version 1.
+    // Refusals that are sent to a broker of version 1 only have reasons that exist in version 1.
     let refusal = |bytes: &[u8]| {
         let (status, response) = post(address, "/counts", bytes);
         let (_, payload) = old::read(&response).unwrap();
@@ -154,7 +155,7 @@
     assert_eq!(refusal(&wrong_recipient), ("421".into(), old::Refused::NotMe { name: "n1".into() }));
 }
 
-/// A newer broker sends a kind of request that its receiver does not know, in a protocol version that both speak.
+/// A newer broker sends a kind of request that its receiver does not know, in a protocol version that both support.
 #[test]
 fn unknown_kind_is_refused() {
     let n2 = "127.0.0.1:9".parse().unwrap();
@@ -174,7 +175,7 @@
     };
     assert_eq!(request(&newer), ("501".into(), PROTOCOL_VERSION, RefusalReason::UnknownKind { kind: 99 }));
     assert_eq!(request(&Envelope::VERSION_1), ("400".into(), 1, RefusalReason::Malformed));
-    // No broker sends a request whose path is not that of its kind.
+    // A request whose path is not that of its kind is malformed, since no broker sends such a request.
     let (status, _) = post(broker.peers.local_addr(), "/raft", &encode(&newer, &header, b"", &authenticator));
     assert_eq!(status, "400");
 }
@@ -211,7 +212,7 @@
     });
     let broker = start_broker(bind_free_port(), options("n1", 1, &[("n2", address)]));
     assert_eq!(broker.call("n2", b"hello", 10.0).unwrap(), b"hello");
-    // A request of a kind that version 1 does not have is not sent, and ends in an error.
+    // A request of a kind that version 1 does not have is not sent to n2, and its outcome is an error.
     let id = broker.peers.request("n2", RequestKind::LivenessCheck, vec![], 10.0).unwrap();
     let result = broker.wait_for_response(id);
     assert!(
