--- a/crates/dunepond-membership/examples/cost.rs
+++ b/crates/dunepond-membership/examples/cost.rs
@@ -1,6 +1,8 @@
-//! Measures the cost of membership and requests for fleets of the given sizes: `cargo run --release -p
-//! dunepond-membership --example cost [brokers ...]`. All brokers run in this process, so the processor time of one
-//! broker is that of the process divided by the number of brokers.
+//! Measures the cost of membership and requests for fleets of the given sizes:
+//! `cargo run --release -p dunepond-membership --example cost [brokers ...]`.
+//!
+//! All brokers run in this process, so the processor time of one broker is that of the process divided by the number of
+//! brokers.
 
 use dunepond_membership::{BoundSockets, Event, MembershipOptions, Peers, RequestKind, bind, start_on};
 use std::time::{Duration, Instant};
--- a/crates/dunepond-membership/src/client.rs
+++ b/crates/dunepond-membership/src/client.rs
@@ -367,7 +367,8 @@
     }
 }
 
-/// Derives a random seed from a peer's name, so that the backoffs from several peers do not run in lockstep.
+/// Derives a seed for random numbers from a peer's name, so that the backoffs from several peers do not run in
+/// lockstep.
 fn name_seed(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
     u64::from_le_bytes(hash.as_bytes()[..8].try_into().expect("a BLAKE3 hash has 32 bytes"))
--- a/crates/dunepond-membership/src/context.rs
+++ b/crates/dunepond-membership/src/context.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the current time on the core's clock, in seconds since the start.
+    /// Returns the current time on the core's clock, in seconds since this context was created.
     pub fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64()
     }
--- a/crates/dunepond-membership/src/core/liveness.rs
+++ b/crates/dunepond-membership/src/core/liveness.rs
@@ -15,8 +15,8 @@
 use std::net::SocketAddr;
 
 /// Fraction of the suspicion timeout within which the first check is sent, at a random time. If all members sent their
-/// checks at once, they would overload the suspected member, although a response to one of them reaches the others by
-/// gossip.
+/// checks at once, they would overload the suspected member, although the response to a single check reaches all
+/// members by gossip.
 const FIRST_CHECK_RATIO: f64 = 0.5;
 /// Timeout of one check, as a fraction of the suspicion timeout. The next check is sent this long after the previous
 /// one ended.
@@ -60,8 +60,8 @@
     }
 
     /// Processes a peer's liveness check that [`Core::authenticate_request`] accepted. Returns the response's body, and
-    /// actions to carry out. Unlike other requests, a check changes the membership, so without a key every sender must
-    /// echo this broker's address token.
+    /// actions to carry out. Unlike other requests, a liveness check changes the membership, so in a fleet without a
+    /// key every sender must echo this broker's address token.
     pub fn answer_liveness_check(
         &mut self,
         header: &MessageHeader,
@@ -143,7 +143,7 @@
 
     /// Encodes the body of a liveness check: two messages of the gossip library. The first is a ping that states the
     /// suspicion, so that the member refutes it. The second is an announcement, which the member answers even if it has
-    /// renewed its identity since it was suspected. Returns `None` if `to` is not a member.
+    /// rejoined with a renewed identity since. Returns `None` if `to` is not a member.
     fn liveness_request(&self, to: &str) -> Option<Vec<u8>> {
         let member = self.foca.iter_membership_state().find(|member| member.id().name == to)?;
         let dst = member.id();
--- a/crates/dunepond-membership/src/core/mod.rs
+++ b/crates/dunepond-membership/src/core/mod.rs
@@ -1,6 +1,6 @@
 //! The membership protocol without input and output. It uses the gossip library `foca`, and adds what the library
 //! leaves to its user: verification of senders, limits on the state that peers can make this broker store,
-//! announcements to configured peers that are not members, and handling of stalls of this process.
+//! announcements (requests to join) to configured peers that are not members, and handling of stalls of this process.
 //!
 //! The event loop passes each datagram to [`Core::on_datagram`], and calls [`Core::tick`] at [`Core::next_tick_at`] or
 //! earlier. It must pass in the datagrams that wait in the socket before it calls [`Core::tick`]: after a stall of this
@@ -90,7 +90,7 @@
     versions: versions::VersionState,
     sequences: versions::SequenceNumbers,
     /// The last gossip that was sent to each peer from which no address token has been received yet, by the peer's
-    /// name; it is sent again once the token arrives.
+    /// name; it is sent again if the token arrives soon afterwards.
     unverified_gossip: BTreeMap<String, freshness::SentGossip>,
     datagram_limiter: RateLimiter,
     request_limiter: RateLimiter,
@@ -150,8 +150,7 @@
 
 impl Core {
     /// Creates a core. `options.listen_address` must have its final port. This broker's address tokens are derived from
-    /// `token_secret`, which must be used by this incarnation only, and must be impossible for other processes to
-    /// guess.
+    /// `token_secret`, which must be used by this incarnation only; no other process may be able to guess it.
     pub fn new(options: &MembershipOptions, token_secret: [u8; 32], now: f64) -> Result<Core, PeerError> {
         let authenticator = Authenticator::new(options.key.as_deref())?;
         let sender_policy = SenderPolicy::new(&options.name, authenticator.has_key(), &options.known_peers)?;
@@ -219,7 +218,8 @@
         first.clamp(self.now, self.now + MAX_TICK_INTERVAL_SECONDS)
     }
 
-    /// Runs the timers that are due, and sends announcements and hellos that are due.
+    /// Runs the timers that are due, and prepares the due announcements to configured peers that are not members, and
+    /// the due hellos to peers of version 1. The returned actions contain the datagrams to send.
     pub fn tick(&mut self, now: f64) -> Actions {
         self.advance_clock(now);
         let mut actions = Actions::default();
--- a/crates/dunepond-membership/src/core/receive.rs
+++ b/crates/dunepond-membership/src/core/receive.rs
@@ -16,7 +16,7 @@
 /// The payload of a datagram after filtering.
 struct FilteredGossip {
     payload: Vec<u8>,
-    /// Why the last rejected update was dropped; `None` if no update was rejected.
+    /// Why the last update that was dropped was rejected; `None` if no update was rejected.
     error: Option<PeerError>,
 }
 
@@ -136,8 +136,8 @@
         if unknown + new.len() > limit { Err(PeerError::TooManyMembers { limit }) } else { Ok(()) }
     }
 
-    /// Tells a configured peer, at its configured address, why its datagram was rejected. Other sources get no refusal,
-    /// since their address may be forged.
+    /// Sends a refusal, which states why a datagram was rejected, if the datagram came from the configured address of a
+    /// peer. Other sources get no refusal, since their address may be forged.
     fn refuse_datagram(
         &mut self,
         source: SocketAddr,
--- a/crates/dunepond-membership/src/core/versions.rs
+++ b/crates/dunepond-membership/src/core/versions.rs
@@ -3,8 +3,8 @@
 //! is recognized by its messages and its refusals.
 //!
 //! The versions of a broker do not change within an incarnation. Messages to a peer whose versions are not known yet
-//! use this broker's highest version: a peer that supports it answers in a version that both support; an older peer
-//! refuses the message, and its own announcement, which follows within about a second, shows its version.
+//! are sent in this broker's highest version: a peer that supports it answers in a version that both support; an older
+//! peer refuses the message, and its own announcement, which follows within about a second, shows its version.
 
 use super::{Actions, Core};
 use crate::codec::{encode, peek_version};
@@ -12,8 +12,9 @@
 use crate::version::{FIRST_VERSION_WITH_RANGE, VersionRange};
 use std::collections::BTreeMap;
 
-/// Interval of hellos to peers that have only sent messages of version 1, in seconds. Such a peer may support newer
-/// versions, but use version 1 because it assumes that this broker supports only version 1.
+/// Interval of hellos (datagrams that state this broker's versions) to peers that have only sent messages of version 1,
+/// in seconds. Such a peer may support newer versions, but use version 1 because it assumes that this broker supports
+/// only version 1.
 const HELLO_INTERVAL_SECONDS: f64 = 10.0;
 /// Number of peers for which sequence numbers are stored, as a multiple of the limit on members. Above this number, the
 /// sequence numbers for peers without a known address are dropped.
@@ -21,7 +22,7 @@
 
 /// The protocol versions that this broker supports, and those that peers stated in refusals.
 pub(super) struct VersionState {
-    /// The protocol versions that this broker speaks.
+    /// The protocol versions that this broker supports.
     pub supported: VersionRange,
     /// Version ranges that configured peers stated in refusals, by the peer's name. A range is stored only for a peer
     /// without an entry in `incarnations`, since the versions in such an entry take precedence.
--- a/crates/dunepond-membership/src/event.rs
+++ b/crates/dunepond-membership/src/event.rs
@@ -1,4 +1,5 @@
-//! Events for the caller: requests of peers, outcomes of the caller's requests, and changes of the membership.
+//! Events for the caller, the code that uses this crate: requests of peers, outcomes of the caller's requests, and
+//! changes of the membership.
 
 use crate::error::PeerError;
 use crate::identity::Peer;
@@ -29,12 +30,13 @@
     Response {
         /// The id of the request.
         id: u64,
-        /// Name of the peer that the request was addressed to.
+        /// Name of the peer to which the request was sent.
         to: String,
         /// The body of the response, or why there is none.
         result: Result<Vec<u8>, PeerError>,
     },
-    /// A peer is alive: it joined, it returned, or it refuted a suspicion.
+    /// A peer is alive: it joined, it returned under another incarnation or after it was down, or it refuted a
+    /// suspicion.
     PeerUp(Peer),
     /// The peer of this name is suspected to be down.
     PeerSuspected(String),
--- a/crates/dunepond-membership/src/gossip.rs
+++ b/crates/dunepond-membership/src/gossip.rs
@@ -1,5 +1,5 @@
-//! Datagrams of the gossip library, decoded so that updates about third parties can be filtered before the library
-//! processes them.
+//! Decoding of the gossip library's datagrams, so that updates about third parties can be filtered before the library
+//! processes the datagrams.
 
 use crate::error::PeerError;
 use crate::identity::PeerId;
--- a/crates/dunepond-membership/src/http.rs
+++ b/crates/dunepond-membership/src/http.rs
@@ -1,4 +1,4 @@
-//! Definitions that the client and the server of the HTTP request channel share.
+//! Definitions that are shared by the client and the server for requests over HTTP.
 
 use crate::refusal::RefusalReason;
 use hyper::StatusCode;
@@ -10,7 +10,7 @@
 /// Largest size that the encoding of a message adds to its body, in bytes.
 pub(crate) const MESSAGE_OVERHEAD_BYTES: usize = 1024;
 
-/// Returns the HTTP status of a response that carries this refusal.
+/// Returns the HTTP status of a response whose body contains a refusal for this reason.
 pub(crate) fn status(reason: &RefusalReason) -> StatusCode {
     match reason {
         RefusalReason::Busy => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/dunepond-membership/src/identity.rs
+++ b/crates/dunepond-membership/src/identity.rs
@@ -10,7 +10,7 @@
     pub name: String,
     /// Incarnation of the broker, which increases with each start under the same name.
     pub incarnation: u64,
-    /// Number of times that the broker rejoined without a restart after others had declared it down.
+    /// Number of times that the broker rejoined without a restart after other brokers had declared it down.
     pub renewals: u32,
     /// Address on which the broker states that it listens, for UDP and TCP.
     pub listen_address: SocketAddr,
@@ -46,7 +46,7 @@
     Down,
 }
 
-/// A member as this broker sees it.
+/// A member of the fleet, as this broker sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
     /// Name of the member.
--- a/crates/dunepond-membership/src/messages.rs
+++ b/crates/dunepond-membership/src/messages.rs
@@ -32,9 +32,11 @@
     pub from: PeerId,
     /// Name of the receiver.
     pub to: String,
-    /// The address token that the sender issues to the receiver; 0 if there is none.
+    /// The address token that the sender issues to the receiver, which echoes it to prove that it receives messages at
+    /// its address; 0 if the message issues none.
     pub issued_token: u64,
-    /// The address token that the sender last received from the receiver; 0 if there is none.
+    /// The address token that the receiver issued to the sender, which the sender returns; 0 if the sender knows none,
+    /// or if the type of the message has none.
     pub echoed_token: u64,
     /// Type of the message, with the fields that only this type has.
     pub message_type: MessageType,
@@ -59,12 +61,12 @@
         /// Id of the request, as the request states it.
         id: u64,
     },
-    /// A refusal, which carries a [`RefusalReason`](crate::RefusalReason).
+    /// A refusal, whose payload is a [`RefusalReason`](crate::RefusalReason).
     Refusal {
         /// Id of the refused request; 0 if a datagram was refused, or the request could not be decoded.
         id: u64,
     },
-    /// A datagram without a payload, which states the sender's versions and carries address tokens. This type exists
+    /// A datagram without a payload, which states the sender's versions and contains address tokens. This type exists
     /// from version 2 on.
     Hello,
 }
--- a/crates/dunepond-membership/src/options.rs
+++ b/crates/dunepond-membership/src/options.rs
@@ -74,7 +74,7 @@
     pub probe_timeout_seconds: f64,
     /// Time for which a suspected member may refute the suspicion before it is declared down, in seconds.
     pub suspicion_timeout_seconds: f64,
-    /// Interval of announcements to configured peers that are not members, in seconds.
+    /// Interval of announcements (requests to join) to configured peers that are not members, in seconds.
     pub announce_interval_seconds: f64,
     /// Gap between two updates of the core's clock above which this process counts as stalled, in seconds; all timers
     /// of the gossip protocol are then postponed by the length of the gap.
--- a/crates/dunepond-membership/src/sender_auth.rs
+++ b/crates/dunepond-membership/src/sender_auth.rs
@@ -57,8 +57,8 @@
         Ok(SenderPolicy { local_name: local_name.into(), has_key, known_peers: addresses })
     }
 
-    /// Verifies the sender of an authenticated message from `source`. `active_member` is the member of the same name
-    /// that is not down, if there is one.
+    /// Verifies the sender of an authenticated message from `source`. `active_member` is the member with the name in
+    /// `id`, unless there is none or it is down.
     pub fn verify_sender(
         &self,
         id: &PeerId,
@@ -116,7 +116,7 @@
 
     /// Returns whether the address that `id` states is the one that is expected without a key. For a configured name,
     /// this is the configured address; for any other name that is a member, it is the member's current address. For all
-    /// other names, any address is expected.
+    /// other names, any address is accepted.
     fn is_expected_address(&self, id: &PeerId, active_member: Option<&PeerId>) -> bool {
         match self.known_peers.get(&id.name) {
             Some(address) => *address == id.listen_address,
--- a/crates/dunepond-membership/src/server/mod.rs
+++ b/crates/dunepond-membership/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! The server for peers' requests. Connections are accepted up to a limit, and closed if they send no verified request
-//! in time.
+//! The server for peers' requests. The number of connections is limited, and a connection that delivers no verified
+//! request in time is closed.
 
 mod request;
 mod response;
@@ -27,7 +27,7 @@
 struct Connection {
     /// Whether the connection has delivered a verified request.
     verified: Cell<bool>,
-    /// Notified when the connection must close.
+    /// Notified when the connection must close to make room for another one.
     close: Notify,
 }
 
--- a/crates/dunepond-membership/src/server/request.rs
+++ b/crates/dunepond-membership/src/server/request.rs
@@ -1,5 +1,5 @@
-//! The handling of one request of a peer: it is received, verified, passed to the caller and answered. Each phase can
-//! fail with a typed error, from which the refusal to the peer is derived.
+//! The handling of one request of a peer: the request is received, verified, passed to the caller and answered. Each
+//! phase can fail with a typed error, from which the refusal to the peer is derived.
 
 use super::response::ResponseTarget;
 use super::{Connection, Server};
@@ -39,7 +39,8 @@
     payload: &'a [u8],
 }
 
-/// Counts a request of the peer `name` as pending until dropped.
+/// Counts a request of the peer `name` as pending, that is, passed to the caller without a response yet, until this
+/// guard is dropped.
 struct PendingGuard {
     server: Rc<Server>,
     name: String,
--- a/crates/dunepond-membership/src/server/response.rs
+++ b/crates/dunepond-membership/src/server/response.rs
@@ -21,7 +21,7 @@
 }
 
 impl Server {
-    /// Builds the HTTP response that carries the result of a request.
+    /// Builds the HTTP response with the result of a request.
     pub(super) fn respond(
         &self,
         target: &ResponseTarget,
--- a/crates/dunepond-membership/tests/fleet/mod.rs
+++ b/crates/dunepond-membership/tests/fleet/mod.rs
@@ -57,8 +57,8 @@
 }
 
 impl Broker {
-    /// Waits for the first event for which `select` returns a value, and returns that value. Responds to requests that
-    /// arrive before that event with their own body.
+    /// Waits for the first event for which `select` returns a value, and returns that value. Requests that arrive
+    /// before that event are answered with the request's body.
     pub fn wait_for_event<T>(&self, description: &str, mut select: impl FnMut(&Event) -> Option<T>) -> T {
         let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
--- a/crates/dunepond-membership/tests/golden.rs
+++ b/crates/dunepond-membership/tests/golden.rs
@@ -365,7 +365,8 @@
         }
     }
 
-    /// Carries out a liveness check by encoding and decoding the request and the response.
+    /// Carries out a liveness check. The request and the response are encoded and decoded, as they are on a real
+    /// connection.
     fn check_liveness(
         &mut self,
         from: usize,
--- a/crates/dunepond-membership/tests/membership.rs
+++ b/crates/dunepond-membership/tests/membership.rs
@@ -32,7 +32,7 @@
         ["n1", "n2", "n3"].into_iter().zip(fleet.iter().map(|broker| broker.peers.local_addr())).collect();
     let stopped = fleet.pop().unwrap();
     let address = stopped.peers.local_addr();
-    // A broker that is stopped notifies the others that it leaves.
+    // A broker that is stopped notifies the other members that it leaves.
     stopped.peers.stop();
     fleet[0].wait_for_down("n3");
     let restarted = start_broker(dunepond_membership::bind(address).unwrap(), options("n3", 2, &known_peers));
--- a/crates/dunepond-membership/tests/untrusted_senders.rs
+++ b/crates/dunepond-membership/tests/untrusted_senders.rs
@@ -51,7 +51,7 @@
     )
 }
 
-/// Starts two brokers, and waits until they have each other's address tokens.
+/// Starts two brokers, and waits until each has received the other's address token.
 fn start_pair() -> Vec<Broker> {
     let fleet = fleet(2, |options| {
         (options.timing.first_request_timeout_seconds, options.timing.suspicion_timeout_seconds) = (0.3, 3.0)
@@ -225,8 +225,8 @@
     );
 }
 
-/// Checks that the server applies the limit on requests per second, however slow the machine is. The tests of the core
-/// check the exact number, with a simulated clock.
+/// Checks that the server applies the limit on requests per second, however slow the machine is. The tests in
+/// `tests/core` check the exact number, with a simulated clock.
 #[test]
 fn request_rate_is_limited() {
     let max_per_second = 5;
--- a/crates/dunepond-membership/tests/versions.rs
+++ b/crates/dunepond-membership/tests/versions.rs
@@ -1,6 +1,6 @@
-//! Brokers of different protocol versions on real sockets. A broker of version 1 is represented by the wire format in
-//! `old`, and by brokers that are configured to support version 1 only; the tests of the core check that such brokers
-//! send messages in that format.
+//! Brokers of different protocol versions on real sockets. Brokers of version 1 are represented by the wire format in
+//! `old`, and by brokers that are configured to support version 1 only; the tests in `tests/core` check that such
+//! brokers send messages in that format.
 
 mod fleet;
 mod old;
