--- a/crates/dunepond-membership/src/identity.rs
+++ b/crates/dunepond-membership/src/identity.rs
@@ -1,4 +1,4 @@
-//! The identity of a broker, and a member of the fleet as others see it.
+//! The identity of a broker, and the state of a member as another broker sees it.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
     pub name: String,
     /// Incarnation of the broker, which increases with each start under the same name.
     pub incarnation: u64,
-    /// Number of times that the broker rejoined without a restart after others had declared it down.
+    /// Number of times that the broker rejoined without a restart after other brokers had declared it down.
     pub renewals: u32,
     /// Address on which the broker states that it listens, for UDP and TCP.
     pub listen_address: SocketAddr,
@@ -27,8 +27,8 @@
         self.name.clone()
     }
 
-    /// Returns whether this identity replaces `other`, which has the same name. The address is compared last, so that
-    /// all members choose the same one of two brokers that claim the same incarnation.
+    /// Returns whether this identity replaces `other`, which has the same name. If two brokers claim the same name,
+    /// incarnation and number of renewals, the greater address wins, so that all members choose the same broker.
     fn win_addr_conflict(&self, other: &PeerId) -> bool {
         (self.incarnation, self.renewals, self.listen_address)
             > (other.incarnation, other.renewals, other.listen_address)
@@ -46,7 +46,7 @@
     Down,
 }
 
-/// A member as this broker sees it.
+/// A member of the fleet, as this broker sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
     /// Name of the member.
--- a/crates/dunepond-membership/src/messages.rs
+++ b/crates/dunepond-membership/src/messages.rs
@@ -6,16 +6,17 @@
 use crate::version::VersionRange;
 use serde::{Deserialize, Serialize};
 
-/// The part of a message that precedes its header, in a form that all versions read.
+/// The part of a message that precedes its header. Brokers of all versions can read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Envelope {
     /// The protocol version of the rest of the message.
     pub version: u8,
-    /// The protocol versions that the sender speaks; a message of version 1 does not state them and counts as stating
-    /// version 1 alone.
+    /// The protocol versions that the sender supports. A message of version 1 does not state them, and counts as
+    /// stating version 1 alone.
     pub supported: VersionRange,
-    /// Sequence number. An incarnation of a sender numbers its datagrams to each receiver in increasing order, and its
-    /// requests separately. The number is 0 in version 1 and in responses.
+    /// Sequence number. Each incarnation of a sender numbers its datagrams to each receiver in increasing order, and
+    /// its requests to each receiver in a separate sequence. The number is 0 in version 1, and in responses and
+    /// refusals.
     pub sequence: u64,
 }
 
@@ -31,9 +32,11 @@
     pub from: PeerId,
     /// Name of the receiver.
     pub to: String,
-    /// The address token that the sender issues to the receiver; 0 if there is none.
+    /// The address token that the sender issues to the receiver, which echoes it to prove that it receives messages at
+    /// its address; 0 if the message issues none.
     pub issued_token: u64,
-    /// The address token that the receiver issued to the sender, as the sender knows it; 0 if there is none.
+    /// The address token that the receiver issued to the sender, which the sender returns; 0 if the sender knows none,
+    /// or if the type of the message has none.
     pub echoed_token: u64,
     /// Type of the message, with the fields that only this type has.
     pub message_type: MessageType,
@@ -58,13 +61,13 @@
         /// Id of the request, as the request states it.
         id: u64,
     },
-    /// A refusal, which carries a [`RefusalReason`](crate::RefusalReason).
+    /// A refusal, whose payload is a [`RefusalReason`](crate::RefusalReason).
     Refusal {
         /// Id of the refused request; 0 if a datagram was refused, or the request could not be decoded.
         id: u64,
     },
-    /// A datagram without a payload, which states the sender's versions and carries address tokens. It exists from
-    /// version 2 on.
+    /// A datagram without a payload, which states the sender's versions and contains address tokens. This type exists
+    /// from version 2 on.
     Hello,
 }
 
