--- a/crates/dunepond-quota/src/demand.rs
+++ b/crates/dunepond-quota/src/demand.rs
@@ -9,8 +9,8 @@
 
 /// Weight of the newest sample in the exponential moving average of the demand.
 const NEWEST_SAMPLE_RATIO: f64 = 0.25;
-/// Rejected demand counts up to this multiple of the use or of the available share, whichever is larger: a few requests
-/// that are retried again and again are rejected many times.
+/// Limit on the rejected demand in a sample, as a multiple of the broker's use or of its available share, whichever is
+/// larger. Without the limit, a few requests that are retried again and again would count once for each rejection.
 const MAX_REJECTED_RATIO: f64 = 1.0;
 
 /// One broker's smoothed demand for one quota.
@@ -21,9 +21,9 @@
 }
 
 impl Demand {
-    /// Adds a sample. `used` is the use since the last sample, `rejected` the demand that was rejected beyond it, and
-    /// `available` the share that this broker holds, all as fractions of the quota's total. `available` limits what the
-    /// broker can use, whatever its demand.
+    /// Adds a sample. `used` is what the broker used since the last sample, `rejected` the further demand that it
+    /// rejected, and `available` the share that it may use, all as fractions of the quota's total. A broker cannot use
+    /// more than `available`, so demand beyond its share shows only in `rejected`.
     pub fn record_sample(&mut self, used: f64, rejected: f64, available: f64) {
         let (used, available) = (non_negative(used), non_negative(available));
         let sample = used + non_negative(rejected).min(MAX_REJECTED_RATIO * used.max(available));
@@ -45,14 +45,15 @@
 /// The report that a broker sends with each lease request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DemandReport {
-    /// [`crate::Allocation::shrunk_generation`] of the allocation that the broker acts on, which acknowledges the shrink; 0
-    /// if the broker has received no allocation since it started.
+    /// [`crate::Allocation::shrunk_generation`] of the allocation that the broker follows. Reporting it confirms that
+    /// the broker no longer uses the larger share from before that shrink; 0 if the broker has received no allocation
+    /// since it started.
     #[serde(rename = "shrunk")]
     pub shrunk_generation: u64,
     /// The shared quotas according to the broker's own configuration file.
     #[serde(rename = "bounds")]
     pub shared: SharedQuotas,
-    /// Demand in units by quota name, including what the floor covers.
+    /// Demand in units by quota name, including the part that the broker's floor covers.
     #[serde(rename = "needs")]
     pub demand_units: BTreeMap<String, u32>,
 }
--- a/crates/dunepond-quota/src/entry.rs
+++ b/crates/dunepond-quota/src/entry.rs
@@ -1,4 +1,5 @@
-//! Consensus log entries that change the quota ledger. The serialized names are part of the log's format.
+//! Consensus log entries that change the quota ledger. The serialized names are part of the log's format and must not
+//! change.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +8,8 @@
 /// A log entry that changes the [`crate::QuotaLedger`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum QuotaEntry {
-    /// Replaces the shared quotas and removes all brokers. Valid only while no unit is reserved.
+    /// Replaces the shared quotas and removes all brokers from the ledger. Rejected while units are reserved for any
+    /// broker.
     #[serde(rename = "Bounds")]
     Configure(SharedQuotas),
     /// Adds a broker, which may hold shares from then on.
@@ -16,7 +18,7 @@
         /// Name of the broker to add.
         broker: String,
     },
-    /// Removes a broker, which may no longer hold shares. Valid only while no unit is reserved for it.
+    /// Removes a broker, which may no longer hold shares. Rejected while units are reserved for the broker.
     #[serde(rename = "Free")]
     RemoveBroker {
         /// Name of the broker to remove.
@@ -29,9 +31,9 @@
         #[serde(rename = "parts")]
         shares: Vec<QuotaShare>,
     },
-    /// Releases the units that are reserved for a broker beyond its granted units: when a share shrinks, its old size stays
-    /// reserved until this entry. The leader proposes the entry when, by its clock, the broker has certainly stopped using
-    /// what it held before the shrink.
+    /// Frees the units that stayed reserved for a broker after its shares shrank: a shrunk share counts at its old size
+    /// until this entry is applied. The leader proposes the entry once its clock shows that the broker has certainly
+    /// stopped using the old size.
     #[serde(rename = "Settled")]
     Release {
         /// Name of the broker whose share shrank.
@@ -49,6 +51,6 @@
     /// Name of the quota.
     #[serde(rename = "bound")]
     pub quota: String,
-    /// Granted units beyond the floor.
+    /// Units granted to the broker beyond its floor.
     pub units: u32,
 }
--- a/crates/dunepond-quota/src/error.rs
+++ b/crates/dunepond-quota/src/error.rs
@@ -5,7 +5,7 @@
 /// Why a quota entry or a quota configuration is rejected. A rejected entry changes nothing.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum QuotaError {
-    /// The configured ratio of each quota that is split into floors is out of range.
+    /// The configured fraction of each quota that is split into the brokers' floors is out of range.
     #[error("limits: `floor` is {0}, expected a ratio above 0 and at most 1")]
     FloorRatio(f64),
     /// The configured number of brokers is out of range.
@@ -27,10 +27,10 @@
     /// The configuration names a quota twice.
     #[error("limits: the quota `{0}` is named twice")]
     DuplicateQuota(String),
-    /// The floors of all brokers add up to more than the total.
+    /// The floors of all brokers add up to more than the [`crate::TOTAL_UNITS`] of a quota.
     #[error("limits: the floors of {brokers} brokers, each of {floor_units} units, exceed the total")]
     FloorsExceedTotal {
-        /// Units of each quota that every broker would own without a lease.
+        /// Configured floor: the units of each quota that every broker owns without a lease.
         floor_units: u32,
         /// Configured number of brokers that may exist at the same time.
         brokers: u32,
@@ -43,7 +43,7 @@
         /// Longest allowed window, in milliseconds.
         max: u64,
     },
-    /// The entry needs configured quotas, and none have been configured yet.
+    /// The entry adds a broker or sets shares, but no quotas have been configured yet.
     #[error("limits: no quotas are configured yet")]
     NotConfigured,
     /// The entry replaces the shared quotas while units are reserved for a broker.
@@ -53,7 +53,7 @@
     StillLeased {
         /// Name of a quota of which units are reserved.
         quota: String,
-        /// Number of units that are reserved for one broker.
+        /// Number of units of `quota` that are reserved for one of the brokers.
         units: u32,
     },
     /// The proposed quotas are already in force.
@@ -90,27 +90,28 @@
     /// The entry names a quota that is not configured.
     #[error("limits: quota `{0}` is not configured")]
     UnknownQuota(String),
-    /// The entry would reserve more units than are spare.
+    /// The entry would reserve more units of a quota for brokers than the quota has beyond the floors.
     #[error(
         "limits: {units} units of `{quota}` would be reserved beyond the floors, but only {spare} are spare"
     )]
     ExceedsTotal {
         /// Name of the quota whose shares would be too large.
         quota: String,
-        /// Number of units that would be reserved for all brokers beyond the floors.
+        /// Number of units of the quota that would be reserved beyond the floors, for all brokers together.
         units: u64,
-        /// Number of units that belong to no floor.
+        /// Number of units of the quota that belong to no broker's floor.
         spare: u32,
     },
     /// The entry sets shares to the sizes that they already have.
     #[error("limits: the entry would change nothing")]
     NoChange,
-    /// The entry releases a shrink that was already released, or that a later shrink replaced.
+    /// The entry releases units after a shrink, but those units were already released, or the broker's shares have
+    /// shrunk again since.
     #[error("limits: no release of units of broker `{broker}` is awaited at generation {generation}")]
     NotAwaited {
         /// Name of the broker whose units would be released.
         broker: String,
-        /// Ledger generation of the shrink that the entry names.
+        /// Ledger generation, as stated in the entry, of the shrink after which units would be released.
         generation: u64,
     },
     /// A broker other than the leader proposed a release.
--- a/crates/dunepond-quota/src/ledger.rs
+++ b/crates/dunepond-quota/src/ledger.rs
@@ -1,5 +1,6 @@
-//! The replicated ledger of spare units, which records how many units each broker holds. Each voter checks and applies
-//! the same entries of the consensus log by itself. The ledger reads no clock, so all voters get the same result.
+//! The replicated ledger of spare units, those that belong to no broker's floor. It records how many of them each
+//! broker holds. Each voter checks and applies the same entries of the consensus log by itself. The ledger reads no
+//! clock, so all voters get the same result.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +8,13 @@
 
 use crate::{Allocation, QuotaEntry, QuotaError, QuotaShare, SharedQuotas};
 
-/// One broker's units of one quota, beyond its floor.
+/// One broker's units of one quota, beyond the broker's floor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct UnitGrant {
     /// Units that the ledger currently grants the broker.
     #[serde(rename = "now")]
     pub granted: u32,
-    /// Units that the broker may still be using; at least `granted`.
+    /// Units that cannot be granted to other brokers, because this broker may still be using them; at least `granted`.
     #[serde(rename = "counted")]
     pub reserved: u32,
 }
@@ -52,7 +53,7 @@
     }
 }
 
-/// The replicated state of all quotas: which are shared, and which units each broker holds.
+/// The replicated state of all quotas: their configuration, and how many units each broker holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuotaLedger {
     /// The shared quotas; `None` before the first configuration.
@@ -71,7 +72,7 @@
         self.brokers.values().map(|shares| u64::from(shares.reserved_units(quota))).sum()
     }
 
-    /// Returns the units of `quota` that may be granted now.
+    /// Returns the number of spare units of `quota` that are reserved for no broker and may be granted.
     pub fn free_units(&self, quota: &str) -> u32 {
         let spare = self.shared.as_ref().map_or(0, SharedQuotas::spare_units);
         u64::from(spare).saturating_sub(self.reserved_units(quota)) as u32
@@ -80,7 +81,7 @@
     /// Checks whether `entry` may be applied, without applying it.
     ///
     /// # Errors
-    /// Why [`QuotaLedger::apply`] would reject the entry.
+    /// The reason why [`QuotaLedger::apply`] would reject the entry.
     pub fn check(&self, entry: &QuotaEntry) -> Result<(), QuotaError> {
         match entry {
             QuotaEntry::Configure(shared) => self.check_configure(shared),
@@ -134,8 +135,9 @@
         self.brokers.get(broker).ok_or_else(|| QuotaError::UnknownBroker(broker.to_string()))
     }
 
-    /// Checks that all shares together stay within the spare units. Each share counts at the larger of its reserved and its
-    /// new size, so no share can grow into units of another share's shrink before that shrink is released.
+    /// Checks that all shares together stay within the spare units. Each share counts at its reserved or its new size,
+    /// whichever is larger, so units that one share gave up by shrinking cannot be granted to another before they are
+    /// released.
     fn check_shares(&self, shares: &[QuotaShare]) -> Result<(), QuotaError> {
         let shared = self.shared.as_ref().ok_or(QuotaError::NotConfigured)?;
         let mut changes = false;
@@ -169,7 +171,7 @@
     /// Checks and applies an entry of the consensus log.
     ///
     /// # Errors
-    /// Those of [`QuotaLedger::check`]; the ledger is then unchanged.
+    /// The same errors as [`QuotaLedger::check`]. After an error, the ledger is unchanged.
     pub fn apply(&mut self, entry: &QuotaEntry) -> Result<(), QuotaError> {
         self.check(entry)?;
         self.generation += 1;
--- a/crates/dunepond-quota/src/lib.rs
+++ b/crates/dunepond-quota/src/lib.rs
@@ -2,12 +2,13 @@
 //! spend on retries and hedged requests, or admit within a tenant's quota. The crate is pure: it uses no clock, socket
 //! or randomness.
 //!
-//! A quota has [`TOTAL_UNITS`]. Each broker that may exist owns a floor of it without any lease; the rest is spare and
-//! leased. A [`QuotaLedger`], replicated through the consensus log, records who holds how many of the spare units. A
+//! Each quota is divided into [`TOTAL_UNITS`] units. Each broker, up to the configured maximum number of brokers, owns
+//! a fixed part of these units, its floor, without any lease; the remaining units are spare and are leased. A
+//! [`QuotaLedger`], replicated through the consensus log, records how many of the spare units each broker holds. A
 //! share that shrinks stays reserved at its old size until its broker has certainly stopped using that size
-//! ([`reusable_from`]); only then may another share grow. The sum therefore stays within the total at every moment, over
-//! any window by which a quota is counted, whatever is lost, partitioned, stopped or restarted. The proof is in
-//! `docs/notes/quota.md`.
+//! ([`reusable_from`]); only then may another share grow. What all brokers together use therefore stays within the
+//! total at every moment and over any window over which a quota is counted, even if messages are lost, the network is
+//! partitioned, or brokers stop or restart. The proof is in `docs/notes/quota.md`.
 #![warn(missing_docs)]
 
 mod demand;
--- a/crates/dunepond-quota/src/local_quota.rs
+++ b/crates/dunepond-quota/src/local_quota.rs
@@ -14,8 +14,8 @@
     /// Units of each quota that every broker owns without a lease, according to the replicated configuration.
     #[serde(rename = "floor")]
     pub floor_units: u32,
-    /// Whether the broker has been added, or another broker may still be added. If false, the broker may use nothing, not
-    /// even its floor.
+    /// Whether the broker has been added to the ledger, or the maximum number of brokers is not reached yet. If false,
+    /// the broker may use nothing, not even its floor.
     #[serde(rename = "counted")]
     pub admitted: bool,
     /// Ledger generation of the last entry that shrank one of the broker's shares; 0 if none did.
@@ -31,22 +31,24 @@
 pub struct LocalQuota {
     /// Units of each quota that the broker owns without a lease, according to its own configuration file.
     pub floor_units: u32,
-    /// Time at which this run of the broker started, in seconds on its monotonic clock.
+    /// Time at which the broker's process started, in seconds on its monotonic clock.
     pub started_at: f64,
-    /// Time in seconds after the start during which nothing may be used: the use by the previous run is unknown and still
-    /// counts in the window of a quota.
+    /// Number of seconds after the start during which the broker may use nothing: what its previous process used is
+    /// unknown and still counts in the window of a quota.
     pub window_seconds: f64,
 }
 
 impl LocalQuota {
-    /// Returns the local limits of a run that starts at `started_at`, in seconds on the broker's monotonic clock.
+    /// Returns the local limits of a broker process that starts at `started_at`, in seconds on the broker's monotonic
+    /// clock.
     pub fn new(shared: &SharedQuotas, started_at: f64) -> Self {
         let window_seconds = shared.window_millis as f64 / 1e3;
         Self { floor_units: shared.floor_units, started_at, window_seconds }
     }
 
-    /// Returns the units of `quota` that the broker may use at `now`, in seconds on its monotonic clock. `allocation` is the
-    /// last one received in this run; `lease_valid` states whether its lease covers `now`.
+    /// Returns the units of `quota` that the broker may use at `now`, in seconds on its monotonic clock. `allocation`
+    /// is the last allocation that the broker received since its start; `lease_valid` states whether the lease that
+    /// came with it is valid at `now`.
     pub fn available_units(
         &self,
         allocation: Option<&Allocation>,
--- a/crates/dunepond-quota/src/planner.rs
+++ b/crates/dunepond-quota/src/planner.rs
@@ -21,9 +21,10 @@
 pub struct PlannerConfig {
     /// The rule by which spare units are split.
     pub rule: SplitRule,
-    /// Multiple of the reported demand that the planner plans for, since demand may grow until the next plan.
+    /// Factor by which the planner multiplies the reported demand, since demand may grow before the next plan.
     pub headroom_ratio: f64,
-    /// Smallest shortage or surplus that the planner acts on, as a fraction of an even share of the spare units.
+    /// Smallest shortage or surplus of a broker's share that makes the planner change shares, as a fraction of an even
+    /// share of the spare units.
     pub min_step_ratio: f64,
     /// Time in seconds without a report after which a broker counts as having no demand. A leader that has led for less than
     /// this time does not yet know which brokers exist, and plans nothing.
@@ -54,8 +55,8 @@
     pub age_seconds: f64,
 }
 
-/// Splits `spare` units between brokers by `rule`. `demands` lists each broker's demand in units, including what `floor`
-/// covers. Returns each broker's units beyond the floor, in the same order.
+/// Splits `spare` units between brokers by `rule`. `demands` lists each broker's demand in units, including the part
+/// that its floor of `floor` units covers. Returns each broker's units beyond the floor, in the order of `demands`.
 pub fn target_units(rule: SplitRule, spare: u32, floor: u32, demands: &[u32]) -> Vec<u32> {
     let count = demands.len() as u32;
     if count == 0 {
@@ -89,8 +90,8 @@
     targets
 }
 
-/// Returns the entry that the leader should propose next, if any. `own` holds the shared quotas according to the leader's own
-/// configuration file; `leading_seconds` is how long it has led and received reports.
+/// Returns the entry that the leader should propose next, if any. `own` is the configuration of shared quotas from the
+/// leader's own file; `leading_seconds` is the time in seconds for which the leader has led and received reports.
 pub fn next_entry(
     ledger: &QuotaLedger,
     own: &SharedQuotas,
@@ -103,7 +104,8 @@
     }
     let Some(shared) = &ledger.shared else { return Some(QuotaEntry::Configure(own.clone())) };
     let planner = Planner { ledger, shared, own, reports, leading_seconds, config };
-    // While configuration files differ, only the floors apply: no unit may be leased that one of the files does not reserve.
+    // While configuration files differ, all leases are withdrawn and only the floors remain: a unit that is spare
+    // according to one file may belong to a broker's floor according to another.
     if planner.files_differ() {
         return planner.reclaim_all().or_else(|| planner.reconfigure());
     }
@@ -119,7 +121,7 @@
     config: &'a PlannerConfig,
 }
 
-/// A broker with a current report, as considered in the plan for one quota.
+/// A broker with a current report, whose share of one quota is being planned.
 struct Candidate<'a> {
     broker: &'a String,
     shares: &'a BrokerShares,
@@ -193,13 +195,15 @@
         (received.age_seconds < self.config.silent_after_seconds).then_some(&received.report)
     }
 
-    /// Plans the changes to shares of one quota. Shares shrink at once, but grow only by units that are free now.
+    /// Plans the changes to shares of one quota. A share may shrink by any number of units, but grows only by units
+    /// that are not reserved for another broker.
     fn plan_quota(&self, quota: &str) -> Vec<QuotaShare> {
         let share =
             |broker: &String, units| QuotaShare { broker: broker.clone(), quota: quota.to_string(), units };
         let (present, silent): (Vec<_>, Vec<_>) =
             self.ledger.brokers.iter().partition(|(broker, _)| self.current_report(broker).is_some());
-        // A broker without a current report may be unable to act at all; losing its share then costs it nothing.
+        // The share of a broker without a current report is withdrawn: the broker may be unable to send requests, and
+        // then loses nothing.
         let silent_holders = silent.iter().filter(|(_, shares)| shares.granted_units(quota) > 0);
         let mut changes: Vec<QuotaShare> = silent_holders.map(|(broker, _)| share(broker, 0)).collect();
         let candidates = self.candidates(quota, &present);
@@ -208,7 +212,8 @@
             return changes;
         }
         for Candidate { broker, shares, target, .. } in &candidates {
-            // Another shrink while an earlier one awaits its release would restart the wait.
+            // While the units of an earlier shrink await their release, another shrink of the same broker would restart
+            // that wait.
             if shares.granted_units(quota) > target + min_step && !shares.awaits_release() {
                 changes.push(share(broker, *target));
             }
@@ -234,14 +239,15 @@
             .collect()
     }
 
-    /// Returns the number of units below which a shortage or surplus is ignored.
+    /// Returns the number of units up to which a shortage or surplus of a broker's share is ignored.
     fn min_step(&self) -> u32 {
         let even = self.shared.spare_units() / self.shared.max_brokers;
         (f64::from(even) * self.config.min_step_ratio) as u32
     }
 
-    /// Whether the broker's reported demand exceeds what it holds and its target allows more. A broker whose
-    /// share covers its demand, but not the headroom planned on top of it, is not short.
+    /// Whether the broker needs a larger share: its reported demand exceeds its floor and granted units, and its target
+    /// exceeds the granted units by more than `min_step`. A broker whose units cover its demand, but not the headroom
+    /// planned on top of that demand, needs none.
     fn is_short(&self, candidate: &Candidate, quota: &str, min_step: u32) -> bool {
         let granted = candidate.shares.granted_units(quota);
         candidate.demand > self.shared.floor_units + granted && candidate.target > granted + min_step
--- a/crates/dunepond-quota/src/reuse.rs
+++ b/crates/dunepond-quota/src/reuse.rs
@@ -1,30 +1,33 @@
-//! Computes when units of a share that shrank may be leased to another broker, by the leader's clock.
+//! Computes from what time, on the leader's clock, the units that a broker lost when its share shrank may be leased to
+//! another broker.
 
-/// Upper bounds on how long a broker may go on using a share that shrank, in seconds on the leader's clock, including
-/// clock drift.
+/// Upper bounds on how long a broker may go on using the old size of a share that shrank, in seconds on the leader's
+/// clock, including clock drift.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReuseDelays {
     /// Longest duration of a lease.
     pub lease_seconds: f64,
-    /// Longest time for which an action may be in flight after the broker permitted it.
+    /// Longest time for which an action that uses the quota may still be in progress after the broker permitted it.
     pub action_seconds: f64,
-    /// Longest window over which a quota is counted; earlier use still counts until it has left the window.
+    /// Longest window over which a quota is counted: use before the shrink counts until it has left the window.
     pub window_seconds: f64,
 }
 
-/// One run of a broker, between two of its restarts, to which this leader granted a lease. Times are in seconds on the
-/// leader's clock.
+/// One process of a broker, which ends when the broker restarts, to which this leader granted a lease. Times are in
+/// seconds on the leader's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BrokerRun {
-    /// Time at which the run's last lease has certainly expired.
+    /// Time at which the last lease of this broker process has certainly expired.
     pub lease_over_at: f64,
-    /// Time at which the run first reported that it acts on the smaller share; `None` if it has not done so.
+    /// Time at which this broker process first reported that it uses only the smaller share; `None` if it has not
+    /// reported so.
     pub acknowledged_at: Option<f64>,
 }
 
-/// Returns the time from which a share that shrank is certainly used at its new size only. `shrink_seen_at` is when this
-/// leader saw the shrink committed; `leading_since` is when the leader's term began, `None` if it is not known. Times are in
-/// seconds on the leader's clock.
+/// Returns the time from which a share that shrank is certainly used at its new size only. `shrink_seen_at` is when
+/// this leader saw the shrink committed; `leading_since` is when the leader's term began, or `None` if that is not
+/// known; `runs` are the processes of the broker to which this leader granted leases. Times are in seconds on the
+/// leader's clock.
 pub fn reusable_from(
     shrink_seen_at: f64,
     leading_since: Option<f64>,
--- a/crates/dunepond-quota/src/shared_quotas.rs
+++ b/crates/dunepond-quota/src/shared_quotas.rs
@@ -30,7 +30,8 @@
 }
 
 impl SharedQuotas {
-    /// Creates the configuration; `floor_ratio` of each quota is split evenly into the floors of `max_brokers` brokers.
+    /// Creates the configuration. The fraction `floor_ratio` of each quota is split evenly into the floors of
+    /// `max_brokers` brokers.
     ///
     /// # Errors
     /// The ratio is not in (0, 1], or [`SharedQuotas::check`] fails.
@@ -49,10 +50,10 @@
         Ok(shared)
     }
 
-    /// Checks that all values are in range and no quota is named twice.
+    /// Checks that all values are in range, that no quota is named twice, and that the floors do not exceed the total.
     ///
     /// # Errors
-    /// The first value that is invalid.
+    /// An error for the first value found to be invalid.
     pub fn check(&self) -> Result<(), QuotaError> {
         if !(1..=MAX_BROKER_COUNT).contains(&self.max_brokers) {
             return Err(QuotaError::BrokerCount { given: self.max_brokers, max: MAX_BROKER_COUNT });
@@ -63,7 +64,7 @@
         if let Some(name) = self.first_duplicate() {
             return Err(QuotaError::DuplicateQuota(name.clone()));
         }
-        // The product is computed in 64 bits, since that of two 32-bit values may not fit in 32.
+        // The product of two 32-bit values may not fit in 32 bits, so it is computed in 64 bits.
         if u64::from(self.floor_units) * u64::from(self.max_brokers) > u64::from(TOTAL_UNITS) {
             return Err(QuotaError::FloorsExceedTotal {
                 floor_units: self.floor_units,
--- a/crates/dunepond-quota/tests/ledger.rs
+++ b/crates/dunepond-quota/tests/ledger.rs
@@ -25,7 +25,8 @@
     }
 }
 
-/// A ledger with three brokers and a floor of a tenth each; all 700,000 spare units are leased to the first broker.
+/// A ledger with three brokers, each with a floor of a tenth of the total; all 700,000 spare units are leased to the
+/// first broker.
 fn leased_ledger() -> QuotaLedger {
     let mut ledger = QuotaLedger::default();
     ledger.apply(&QuotaEntry::Configure(shared_quotas(3, 0.3))).unwrap();
@@ -125,7 +126,8 @@
         QuotaError::LeaderOnly(broker),
     ];
     for error in all {
-        // The match does not compile while a variant is missing. A variant added here must be added to the list above too.
+        // This match stops compiling when a variant is added to the enum. The new variant must then be added here and
+        // to `all`.
         match &error {
             QuotaError::FloorRatio(_)
             | QuotaError::BrokerCount { .. }
@@ -150,7 +152,8 @@
     }
 }
 
-/// Reference model that lists every size that each broker may still use; a release drops all but the last one.
+/// Reference model of the ledger. For each broker and quota, it lists all sizes of the share since the last release,
+/// newest last: the broker may still use any of them.
 #[derive(Default)]
 struct ReferenceLedger(BTreeMap<(usize, &'static str), Vec<u32>>);
 
@@ -165,7 +168,7 @@
 enum Step {
     /// Sets a broker's share of a quota to a number of units. If the flag is true, the quota is `cold`, otherwise `further`.
     SetShare(usize, bool, u32),
-    /// Releases the generation that is this many before the broker's last shrink; only 0 may be accepted.
+    /// Releases a broker's units at the generation of its last shrink minus this number; the ledger may accept only 0.
     Release(usize, u64),
 }
 
--- a/crates/dunepond-quota/tests/model.rs
+++ b/crates/dunepond-quota/tests/model.rs
@@ -1,8 +1,9 @@
-//! Model checking of all interleavings of leases, shrinking and growing shares and their release, over a consensus log that
-//! is assumed to be correct. The ledger, the units that a broker may use and the release time are computed by the crate. Time
-//! is discrete: brokers' clocks show it, and the leader's clock runs twice as fast, the worst case. Requests and replies are
-//! delayed, duplicated or lost; brokers crash, and pause for any time, since no step is forced; leaders change. Each state
-//! records what was really used over the last window.
+//! Model checking of all orders in which leases are granted and shares shrink, grow and are released. The consensus log
+//! is assumed to be correct. The crate's own code computes the ledger, the units that a broker may use and the release
+//! times. Time is discrete: it is the time that the brokers' clocks show, and the leader's clock runs twice as fast,
+//! which is the worst case. Requests and replies are delayed, duplicated or lost; brokers crash; leaders change.
+//! Brokers may also pause for any time, since the model never forces a step. Each state records the amounts that
+//! brokers actually used over the last window.
 
 use std::collections::BTreeMap;
 
@@ -10,9 +11,9 @@
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-/// Duration of a lease on a broker's clock.
+/// Duration of a lease, in time steps of a broker's clock.
 const LEASE: u8 = 2;
-/// Window over which use is counted, on a broker's clock.
+/// Length of the window over which use is counted, in time steps of a broker's clock.
 const WINDOW: u8 = 2;
 const BROKERS: usize = 2;
 /// The floor of each broker, in tenths of the total.
@@ -29,12 +30,14 @@
     grow_before_release: bool,
     /// If set (a deliberate bug): a lease starts when the reply arrives, instead of when the request was sent.
     lease_from_receipt: bool,
-    /// If set (a deliberate bug): a run (one lifetime of a broker's process) uses its share right after its start, while the
-    /// previous run's use still counts in the window.
+    /// If set (a deliberate bug): a broker uses its share right after a restart, while what it used before the restart
+    /// still counts in the window.
     no_wait_after_start: bool,
-    /// If set (a deliberate bug): a broker acts on a lease that it checked before a pause, without checking the clock again.
+    /// If set (a deliberate bug): after a pause, a broker relies on a lease that it checked before the pause, without
+    /// checking the clock again.
     no_clock_check: bool,
-    /// If set (a deliberate bug): a new leader assumes at once that it knows of all leases.
+    /// If set (a deliberate bug): a new leader assumes at once that it knows all valid leases, although an earlier
+    /// leader may have granted some.
     early_release: bool,
     /// If set (a deliberate bug): the release does not wait until use from before the shrink has left the window.
     no_window: bool,
@@ -67,24 +70,24 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Broker {
-    /// Number of the broker's current run (lifetime of its process); 0 before the first crash.
+    /// Number of the broker's current process; 0 before the first crash, and one more after each crash.
     run: u8,
     started_at: u8,
-    /// End of the broker's last lease; 0 without a lease in its current run.
+    /// End of the broker's last lease; 0 if the broker has received no lease since its last start.
     lease_until: u8,
-    /// The last allocation that the broker received in its current run.
+    /// The last allocation that the broker received since its last start.
     allocation: Option<AllocationReply>,
-    /// Amounts used by the broker's current run at each moment of the last window, oldest first, in tenths of the quota's
-    /// total.
+    /// Amounts that the broker used since its last start, one for each time step of the last window, oldest first, in
+    /// tenths of the quota's total.
     used: [u8; WINDOW as usize],
-    /// Amounts used by all the broker's runs at each moment of the last window, oldest first, in tenths of the quota's
-    /// total.
+    /// Amounts that the broker used, both before and after any restart, one for each time step of the last window,
+    /// oldest first, in tenths of the quota's total.
     used_by_all: [u8; WINDOW as usize],
-    /// The lease request in flight, which a later one replaces: the number of the run that sent it, the time when it was
-    /// sent, and the acknowledged shrink generation.
+    /// The lease request in flight, if any; a later request replaces it. Consists of the number of the broker process
+    /// that sent the request, the time when it was sent, and the shrink generation that it acknowledges.
     request: Option<(u8, u8, u8)>,
-    /// The reply in flight, which a later one replaces: the number of the run that sent the request, the time when the
-    /// request was sent, and the allocation.
+    /// The reply in flight, if any; a later reply replaces it. Consists of the number of the broker process that sent
+    /// the request, the time when the request was sent, and the allocation.
     reply: Option<(u8, u8, AllocationReply)>,
     /// Amount that the ledger grants the broker beyond its floor, in tenths of the quota's total.
     granted: u8,
@@ -92,14 +95,14 @@
     reserved: u8,
     /// Generation of the broker's last shrink in the ledger.
     shrunk_generation: u8,
-    /// When the leader saw the last shrink, on its clock.
+    /// When the leader saw the last shrink of the broker's share, on the leader's clock.
     shrink_seen_at: u8,
-    /// The leader's record of each run, on its clock: the end of the last lease, the acknowledged shrink generation, and
-    /// when it was first acknowledged.
+    /// What the leader knows about each process of the broker: the end of its last lease, the shrink generation that it
+    /// acknowledged, and when it first acknowledged that generation. Times are on the leader's clock.
     leases: [Option<(u8, u8, u8)>; 2],
 }
 
-/// The allocation that a reply carries; the model has one quota.
+/// The allocation in a leader's reply, for the model's only quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct AllocationReply {
     generation: u8,
@@ -113,7 +116,7 @@
     now: u8,
     generation: u8,
     brokers: [Broker; BROKERS],
-    /// When the leader's term began, on its clock; `None` for the first leader.
+    /// When the current leader's term began, on that leader's clock; `None` for the first leader.
     term_began: Option<u8>,
     crashes: u8,
     elections: u8,
@@ -136,7 +139,7 @@
     Crash(usize),
     /// Another leader is elected.
     Elect,
-    /// A broker's whole share is reclaimed.
+    /// A broker's share is reduced to nothing beyond its floor.
     Shrink(usize),
     /// All free units are granted to one broker.
     Grow(usize),
@@ -205,7 +208,7 @@
         Some(())
     }
 
-    /// Amount that may be granted now, in tenths of the quota's total.
+    /// Amount that is reserved for no broker and may be granted now, in tenths of the quota's total.
     fn free(&self) -> u8 {
         SPARE.saturating_sub(self.brokers.iter().map(|broker| broker.reserved).sum())
     }
@@ -215,7 +218,7 @@
         let b = &self.brokers[broker];
         let mut own = LocalQuota::new(&shared_quotas(), f64::from(b.started_at));
         if rules.no_wait_after_start || b.run == 0 {
-            // The first run need not wait, since no run precedes it.
+            // A broker that never crashed need not wait, since no earlier process used anything.
             own.window_seconds = 0.0;
         }
         let lease_valid =
@@ -321,7 +324,8 @@
                         used[WINDOW as usize - 1] = 0;
                     }
                 }
-                // A message that is as old as a lease has no effect, so it is dropped to keep the state space small.
+                // A lease lasts `LEASE` from the sending of the request, so a message that is at least as old can no
+                // longer give a valid lease. It is dropped to keep the state space small.
                 let (now, keep_old) = (state.now, self.lease_from_receipt);
                 for broker in &mut state.brokers {
                     broker.request = broker.request.filter(|(_, sent, _)| keep_old || now < sent + LEASE);
@@ -378,8 +382,8 @@
             }
             Step::Elect => {
                 state.elections += 1;
-                // The new leader has seen all committed entries, none of them earlier than the previous leader did, so the
-                // times of shrinks stay; it knows of no leases.
+                // The new leader has seen all committed entries, and none of them earlier than the previous leader did,
+                // so `shrink_seen_at` is kept. It does not know of leases that earlier leaders granted.
                 state.term_began = Some(state.leader_clock());
                 state.brokers.iter_mut().for_each(|broker| broker.leases = [None; 2]);
             }
@@ -480,8 +484,8 @@
     assert_detected(rules, 16);
 }
 
-/// Covers failures that lie deeper than a search in CI can go. Each case lists steps after which the weakened rule lets the
-/// sum exceed the total; with the true rules, one of these steps is impossible.
+/// Covers violations that take more steps than a search in CI can visit. Each case lists steps after which brokers use
+/// more than the total if the rule is weakened. If no rule is weakened, the step `impossible` cannot be taken.
 #[rstest]
 #[case::grows_before_release(
     Rules { grow_before_release: true, ..NO_FAILURES },
@@ -523,7 +527,7 @@
     assert_eq!(run_path(&Rules { max_elections: 1, ..NO_FAILURES }), Err(impossible));
 }
 
-/// Steps in which a broker uses its lease after its share shrank, until the lease ends.
+/// Steps in which broker 0 uses the old size of its share after the share shrank, while its lease is still valid.
 const LATE_USE: [Step; 13] = [
     Request(0),
     Reply(0),
--- a/crates/dunepond-quota/tests/plan.rs
+++ b/crates/dunepond-quota/tests/plan.rs
@@ -144,7 +144,7 @@
     demand.record_sample(0.9, 0.0, 0.25);
     assert!((0.3..0.5).contains(&(f64::from(demand.units()) / 1e6)));
     // Rejected demand counts only up to the available share. Without this limit, a request that is retried and rejected
-    // again would count many times.
+    // repeatedly would count once for each rejection.
     let mut overloaded = Demand::default();
     overloaded.record_sample(0.25, 40.0, 0.25);
     assert_eq!(overloaded.units(), 500_000);
--- a/crates/dunepond-quota/tests/service.rs
+++ b/crates/dunepond-quota/tests/service.rs
@@ -17,7 +17,7 @@
 const ROUND_TRIP_SECONDS: f64 = 0.02;
 /// Factor by which durations on the leader's clock are extended to allow for clock drift.
 const DRIFT_FACTOR: f64 = 1.02;
-/// Longest time for which an action is in flight.
+/// Longest time for which an action may still be in progress after the broker permitted it.
 const ACTION_SECONDS: f64 = 0.6;
 const QUOTA: &str = "cold";
 const FLOOR_RATIO: f64 = 0.25;
@@ -51,7 +51,8 @@
     brokers: Vec<Broker>,
     reports: BTreeMap<String, ReceivedReport>,
     reported_at: BTreeMap<String, f64>,
-    /// By broker: the end of its last lease, the shrink generation that it acknowledged, and when it did.
+    /// By broker: the end of its last lease, the shrink generation that it acknowledged, and when it acknowledged that
+    /// generation.
     runs: BTreeMap<String, (f64, u64, f64)>,
     /// By broker: the generation of its last shrink, and when the leader saw it.
     shrink_seen: BTreeMap<String, (u64, f64)>,
@@ -204,7 +205,8 @@
     }
 }
 
-/// Offers four brokers 0.9 of the total, of which `hot` goes to one broker, and after each `seconds` to another one.
+/// Simulates three phases of `seconds` each, in which four brokers together are offered work at a rate of 0.9 of the
+/// quota. In each phase, a different broker is offered the rate `hot`, and the other three share the rest evenly.
 fn run_skewed(rule: Option<SplitRule>, hot: f64, seconds: f64) -> SimulatedFleet {
     let mut fleet = SimulatedFleet::new(4, rule);
     for hot_broker in [0, 2, 1] {
@@ -245,7 +247,7 @@
 fn slow_start_seconds(rule: Option<SplitRule>, hot: f64) -> f64 {
     let mut fleet = SimulatedFleet::new(4, rule);
     let rest = (1.0 - hot) / 3.0;
-    // The shares have adapted to the traffic before the node starts.
+    // Lets the shares adapt to the traffic before the node starts.
     (0..400).for_each(|_| fleet.step(&[hot, rest, rest, rest]));
     let (mut completed, started_at) = (0.0, fleet.now);
     while completed < 10.0 && fleet.now < started_at + 300.0 {
