--- a/crates/dunepond-recovery/src/learned_state.rs
+++ b/crates/dunepond-recovery/src/learned_state.rs
@@ -6,9 +6,10 @@
 
 use crate::{DecodeError, Timestamp, decode, encode, is_duration};
 
-/// Time in which a snapshot loses half of its weight: nodes fail and recover within minutes.
+/// Seconds after which the weight of a snapshot has halved. The time is short because nodes fail and recover within
+/// minutes.
 const HALF_LIFE_SECONDS: f64 = 30.0;
-/// A snapshot whose weight is below this is not used at all.
+/// Smallest weight (0 to 1) with which a snapshot is used. Below it, nothing is restored from the snapshot.
 const MIN_WEIGHT_RATIO: f64 = 1.0 / 8.0;
 
 /// A node as the endpoint list describes it.
@@ -53,9 +54,11 @@
 pub struct Confidence {
     /// Seconds since the snapshot was captured; `None` if they cannot be told from the clocks.
     pub elapsed_seconds: Option<f64>,
-    /// Share (0 to 1) of the snapshot's nodes that the endpoint list still names with the same process and address.
+    /// Fraction (0 to 1) of the snapshot's nodes that are unchanged: the endpoint list still names them with the same
+    /// address, and their process was not restarted.
     pub unchanged_ratio: f64,
-    /// Share (0 to 1) of the snapshot's samples that is restored, taking the newest; at 0, nothing is restored.
+    /// Fraction (0 to 1) of the snapshot's samples that is restored, of which the newest are taken; at 0, nothing is
+    /// restored.
     pub weight: f64,
 }
 
@@ -70,7 +73,8 @@
         /// has recovered, may be sent at once.
         ejected: bool,
     },
-    /// The weight of the snapshot is 0: it is too old or of unknown age, or too many of its nodes have changed.
+    /// The weight of the snapshot is 0, since the snapshot is too old, its age is unknown, or too many of its nodes
+    /// have changed.
     Expired,
     /// The node's process was restarted after the snapshot was captured.
     Restarted,
@@ -85,21 +89,21 @@
 pub struct TrustedState {
     /// How far the snapshot as a whole is trusted.
     pub confidence: Confidence,
-    /// The statistics for the router, with ages relative to the time of the restore.
+    /// The learned state for the router, with ages relative to the time of the restore.
     pub learned: LearnedState,
     /// Name of each stored node and the decision about it.
     pub nodes: Vec<(String, TrustDecision)>,
 }
 
-/// Returns the newest elements of `all`, which is ordered oldest first. `weight` is the share (0 to 1) of the elements to
-/// return; their number is rounded up.
+/// Returns the newest elements of `all`, which is ordered oldest first. `weight` is the fraction (0 to 1) of the
+/// elements to return; their number is rounded up.
 fn newest<T>(all: &[T], weight: f64) -> &[T] {
     let count = (weight * all.len() as f64).ceil() as usize;
     &all[all.len() - count.min(all.len())..]
 }
 
 impl LearnedSnapshot {
-    /// Captures what was learned, as of `at`. Nodes that are not in `listed` are left out.
+    /// Captures what was learned, as of `at`. Nodes that are not in the endpoint list `listed` are left out.
     pub fn capture(
         at: Timestamp,
         query_classes: &[String],
@@ -131,8 +135,8 @@
         encode(self)
     }
 
-    /// Decodes the payload of a snapshot file. Rejects times that are negative or not finite, and samples of query classes
-    /// that the snapshot does not name.
+    /// Decodes the payload of a snapshot file. Rejects a payload in which a time or ratio is negative or not finite, or
+    /// a sample has a query class that the snapshot does not name.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let snapshot: Self = decode(bytes)?;
         if snapshot.is_valid() {
@@ -188,8 +192,8 @@
         self.nodes.len()
     }
 
-    /// Returns the node's present id if the endpoint list still names the same process at the same address, otherwise the
-    /// decision not to restore the node.
+    /// Returns the present id of the node that `stored` describes, if the endpoint list `listed` still names it with
+    /// the same process and address. Otherwise returns the reason why the node is not restored.
     fn find_unchanged(stored: &StoredNode, listed: &[NodeIdentity]) -> Result<NodeId, TrustDecision> {
         let Some(identity) = listed.iter().find(|identity| identity.name == stored.name) else {
             return Err(TrustDecision::Unlisted);
@@ -251,8 +255,9 @@
         TrustedState { confidence, learned, nodes }
     }
 
-    /// Returns the node's newest samples, with ages increased by `elapsed` seconds. `weight` is the share (0 to 1) of the
-    /// samples to take; of these, samples of query classes that no longer exist are left out.
+    /// Returns the newest samples of `stored`, with ages increased by `elapsed` seconds. `weight` is the fraction (0 to
+    /// 1) of the samples to take. Of the samples taken, those of query classes that are not in `query_classes` are left
+    /// out.
     fn aged_samples(
         &self,
         stored: &StoredNode,
--- a/crates/dunepond-recovery/src/lib.rs
+++ b/crates/dunepond-recovery/src/lib.rs
@@ -1,9 +1,9 @@
 //! What a broker stores before a restart, and how much of it is trusted afterwards.
 //!
-//! Without stored state, a broker that restarts during an outage would have to learn again which nodes fail, and would
-//! spend its retry budget a second time. Learned state ([`learned_state`]) may be outdated, so it loses weight with time
-//! and with changes of the endpoint list. Spent budgets ([`spent_budgets`]) lose no weight: they are charged in full until
-//! they have left every budget window.
+//! Without stored state, a broker that restarts during an outage would have to learn again which nodes fail, and could
+//! spend its full retry budget a second time. Learned state ([`learned_state`]) may be outdated, so it loses weight
+//! with time and with changes of the endpoint list. Spent budgets ([`spent_budgets`]) do not become outdated: what a
+//! broker spent is charged in full after a restart, until it has left every budget window.
 //!
 //! The crate does no input or output: it takes bytes and times, and returns types of the routing crate. The encoding is
 //! postcard, which depends on the order of fields and variants: neither may change without a new [`FORMAT_VERSION`].
@@ -18,14 +18,16 @@
 /// Format version of the snapshots and journal records of this crate.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// If the later of two timestamps has a Unix time up to this many seconds before the earlier one's, the time between them
-/// counts as 0; if it is further back, the time between them is unknown.
+/// Largest difference, in seconds, by which the Unix time of a later timestamp may lie before that of an earlier
+/// timestamp: the time between the two then counts as 0. If the difference is larger, the time between them is unknown.
 const MAX_UNIX_SETBACK_SECONDS: f64 = 1.0;
-/// If the later of two timestamps of one boot has an uptime up to this many seconds below the earlier one's, the time
-/// between them counts as 0; if it is further below, the time is unknown. The clock is never set back, only rounded.
+/// Largest difference, in seconds, by which the uptime of a later timestamp may lie below that of an earlier timestamp
+/// of the same boot: the time between the two then counts as 0. If the difference is larger, the time between them is
+/// unknown. The limit only has to allow for rounding, since the uptime clock is never set back.
 const MAX_UPTIME_SETBACK_SECONDS: f64 = 0.1;
 
-/// A point in time by two clocks: Unix time, which may be set, and uptime, which restarts with each boot.
+/// A point in time by two clocks: Unix time, which may be set forward or back, and uptime, which restarts at 0 with
+/// each boot.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Timestamp {
     /// Unix time in seconds.
@@ -41,8 +43,9 @@
         is_duration(self.unix) && is_duration(self.uptime)
     }
 
-    /// Returns the seconds since an earlier timestamp; `None` if the clock used was set back too far. Within one boot the
-    /// uptime clock is used, so changes of Unix time have no effect; otherwise Unix time is used.
+    /// Returns the seconds since an earlier timestamp; `None` if the clock in use was set back too far since then. If
+    /// both timestamps are of the same boot, the uptime clock is used, so changes of Unix time have no effect;
+    /// otherwise Unix time is used.
     pub fn seconds_since(&self, earlier: &Timestamp) -> Option<f64> {
         let same_boot = !self.boot.is_empty() && self.boot == earlier.boot;
         let (elapsed, max_setback) = if same_boot {
@@ -54,7 +57,7 @@
     }
 }
 
-/// The payload of an undamaged file cannot be decoded.
+/// Error for a payload that cannot be decoded, although the file is undamaged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("cannot be decoded: {0}")]
 pub struct DecodeError(String);
--- a/crates/dunepond-recovery/src/spent_budgets.rs
+++ b/crates/dunepond-recovery/src/spent_budgets.rs
@@ -1,9 +1,9 @@
 //! What a broker spent of its retry budget and of slow-start capacity before a restart.
 //!
 //! A broker appends one record to the budget journal when it starts, and one with everything spent when it shuts down
-//! gracefully. After a crash the second record is missing; one written periodically would lack the spending just before
-//! the crash. The next broker therefore counts everything that could have been spent as spent, until it has left every
-//! budget window.
+//! gracefully. After a crash, the second record is missing. Writing records periodically would not help, since the last
+//! one would lack the spending just before the crash. After a crash, the restarted broker therefore assumes that
+//! everything that could have been spent was spent, until such spending would have left every budget window.
 
 use dunepond_routing::{AdmissionRecord, NodeId, SlowStartRecord, SpentBudgets};
 use serde::{Deserialize, Serialize};
@@ -27,7 +27,8 @@
         retries: Vec<f64>,
         /// Age and size of each batch of admitted requests.
         admissions: Vec<AdmissionRecord>,
-        /// For each node in slow start: its name, its start in Unix seconds, and the ages of the requests sent to it.
+        /// For each node in slow start: its name, the time in Unix seconds at which its process started, and the ages
+        /// of the requests sent to it.
         slow_start_sends: Vec<(String, f64, Vec<f64>)>,
     },
 }
@@ -89,8 +90,8 @@
     }
 }
 
-/// Returns what a starting broker counts as already spent, according to the `records` of its predecessors. `complete` is
-/// whether every record could be read; if not, the last one may be missing, and the spending is unknown.
+/// Returns what a starting broker counts as already spent, according to the `records` of its predecessors. `complete`
+/// states whether every record could be read; if not, the last record may be missing, so the spending is unknown.
 pub fn outstanding_charges(
     records: &[BudgetRecord],
     complete: bool,
@@ -101,8 +102,8 @@
         return OutstandingCharges::Unknown;
     }
     let (at, retries, admissions, slow_start_sends) = match records.last() {
-        // No broker has used this directory before. One that ran without a directory did not keep its budget across
-        // restarts either.
+        // No broker has used this directory before, so nothing is charged. A broker that ran without a directory did
+        // not keep its spent budgets across restarts either.
         None => return OutstandingCharges::Known(SpentBudgets::default()),
         Some(BudgetRecord::BrokerStarted { .. }) => return OutstandingCharges::Unknown,
         Some(BudgetRecord::BrokerStopped { at, retries, admissions, slow_start_sends }) => {
@@ -112,7 +113,8 @@
     let Some(elapsed) = now.seconds_since(at) else { return OutstandingCharges::Unknown };
     let aged = |ages: &[f64]| ages.iter().map(|age| age + elapsed).collect::<Vec<_>>();
     let slow_start_sends = slow_start_sends.iter().filter_map(|(name, started_at, ages)| {
-        // A node that was restarted since then is another process, whose slow-start capacity is unspent.
+        // A node that was restarted after the record was written is another process, whose slow-start capacity is
+        // unspent.
         let is_same_process =
             |identity: &&NodeIdentity| identity.name == *name && identity.started_at <= *started_at;
         let node = listed.iter().find(is_same_process)?.node;
--- a/crates/dunepond-recovery/tests/golden.rs
+++ b/crates/dunepond-recovery/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Golden files of the stored formats: files of earlier builds decode to the same values, and these encode to the same bytes.
+//! Golden files of the stored formats: files that earlier builds wrote decode to the expected values, and these values
+//! encode to the same bytes.
 
 use std::path::Path;
 
--- a/crates/dunepond-recovery/tests/restart.rs
+++ b/crates/dunepond-recovery/tests/restart.rs
@@ -96,7 +96,7 @@
     let restored = snapshot().restore(&at(STOPPED_AT), &query_classes(), &listed);
     assert_eq!(restored.nodes[0], ("s-0".to_string(), decision));
     assert!(!restored.learned.nodes.iter().any(|learned| learned.node == 0));
-    // The other nodes are trusted less, since part of the list has changed.
+    // Fewer samples of the other nodes are restored, since the confidence falls as more of the listed nodes change.
     assert_eq!(restored.confidence.unchanged_ratio, 7.0 / 8.0);
     assert_eq!(restored.nodes[1].1, TrustDecision::Trusted { sample_count: 7, ejected: false });
 }
@@ -144,7 +144,7 @@
         outstanding_charges(&records, true, &at(STOPPED_AT + 1.0), &list(8)),
         OutstandingCharges::Known(expected)
     );
-    // A node that was restarted since then has its full slow-start capacity again.
+    // A node that was restarted after the broker stopped has its full slow-start capacity again.
     let mut listed = list(8);
     listed[2].started_at = 700.0;
     let OutstandingCharges::Known(charges) =
@@ -168,7 +168,8 @@
     );
 }
 
-/// The clock is set hours ahead or back between stop and start, while uptime shows that one second has passed.
+/// The Unix clock is set hours ahead or back between the broker's stop and its restart, while the uptime shows that one
+/// second has passed.
 #[rstest]
 #[case::ahead(7200.0)]
 #[case::back(-7200.0)]
@@ -203,7 +204,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against payloads that have a valid checksum and invalid content: they cause no panic and no invalid time.
+    /// Guards against payloads that have a valid checksum but invalid content: decoding them must not panic, and must
+    /// not yield an invalid time.
     #[test]
     fn arbitrary_bytes_are_rejected_or_decoded(bytes in prop::collection::vec(any::<u8>(), 0..200), position in 0..100usize, bits: u8) {
         let mut corrupted = snapshot().encode();
--- a/crates/dunepond-shard-map/benches/million.rs
+++ b/crates/dunepond-shard-map/benches/million.rs
@@ -1,5 +1,6 @@
-//! What verification costs, up to a million segments with three replicas each. Memory is counted by an allocator that adds up
-//! the sizes requested, without what the system's allocator rounds up.
+//! Time and memory that verification takes for maps of up to a million segments with three replicas each. Memory is
+//! measured by an allocator that adds up the requested sizes; what the system allocator adds by rounding up is not
+//! counted.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::hint::black_box;
@@ -13,7 +14,7 @@
 static HELD: AtomicUsize = AtomicUsize::new(0);
 static PEAK: AtomicUsize = AtomicUsize::new(0);
 
-// Safety: all goes to the system's allocator unchanged; only sizes are counted.
+// Safety: all calls are passed on to the system allocator unchanged; only the sizes are counted.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         let held = HELD.fetch_add(layout.size(), Relaxed) + layout.size();
@@ -61,7 +62,8 @@
     ShardMap { epoch: 1, hash: KEY_HASH.to_string(), segments, digest: String::new() }.with_digest()
 }
 
-/// `k` segments spread over the map, each with the next owner and one other replica.
+/// Returns a delta that changes `k` segments spread over the map. Each of them gets the next node as its owner and one
+/// replica on another node than before.
 fn change(from: &VerifiedMap, k: usize) -> MapDelta {
     let every = from.len() / k;
     let old = (0..k).map(|i| from.segment((i * every) as u64).unwrap());
@@ -80,7 +82,8 @@
     bytes as f64 / f64::from(1 << 20)
 }
 
-/// What `make` leaves allocated, and its peak, in bytes above what was allocated before.
+/// Returns the result of `make`, the bytes that `make` leaves allocated, and the peak of the allocated bytes while it
+/// runs, both above what was allocated before.
 fn counted<T>(make: impl FnOnce() -> T) -> (T, usize, usize) {
     let before = HELD.load(Relaxed);
     PEAK.store(before, Relaxed);
@@ -131,7 +134,8 @@
             bench.iter_batched(|| whole.clone(), all, BatchSize::PerIteration);
         });
         let mut shuffled = whole.clone();
-        // Any stride without a factor of ten visits all, far from the order of the keys.
+        // The stride 617 has no factor in common with the segment count, a power of ten, so each segment is visited
+        // once. The order is far from that of the keys.
         let order = |i: usize| (i * 617) % whole.segments.len();
         shuffled.segments = (0..whole.segments.len()).map(|i| whole.segments[order(i)].clone()).collect();
         group.bench_with_input(BenchmarkId::new("check_own, unsorted", count), &shuffled, |bench, whole| {
--- a/crates/dunepond-shard-map/src/coverage.rs
+++ b/crates/dunepond-shard-map/src/coverage.rs
@@ -5,14 +5,14 @@
 use crate::fault::{MapFault, SegmentRef};
 use crate::{KEY_SPACE_END, KeyRange, VerifiedMap};
 
-/// The keys that one part of a query states to have answered.
+/// The keys that a node reports as answered for one part of a query (the share of the query for one segment).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AnsweredPart {
     /// Id of the segment that the part belongs to.
     pub segment: u64,
-    /// Answered keys: those of the segment, or some of them.
+    /// Answered keys: all keys of the segment, or some of them.
     pub keys: KeyRange,
-    /// Epoch of the map that the node used.
+    /// Epoch of the map that the node used for the answer.
     pub epoch: u64,
 }
 
@@ -22,10 +22,10 @@
     }
 }
 
-/// Verifies that `parts` cover the keys of `queried` exactly once and no others, all under the epoch of `map`. Queried ranges
-/// may touch or overlap; they count as one set of keys. Returns the first fault found: an empty queried range, then a fault of
-/// a single part in the order of `parts`, then keys that two parts cover, then missing or excess keys, each in the order of the
-/// keys.
+/// Verifies that `parts` cover the keys of `queried` exactly once and no other keys, and that all parts have the epoch
+/// of `map`. Queried ranges may touch or overlap; they count as one set of keys. Returns the first fault found: an
+/// empty queried range, then a fault of a single part in the order of `parts`, then keys that two parts cover, then
+/// missing or excess keys, each in the order of the keys.
 pub fn verify_coverage(
     map: &VerifiedMap,
     queried: &[KeyRange],
@@ -45,7 +45,8 @@
     check_cover(&union(queried), parts)
 }
 
-/// Checks that `parts` cover `queried` exactly, in one pass along both lists, which are ordered and without overlaps.
+/// Checks in one pass that `parts` cover exactly the keys of `queried`. Both lists must be ordered by key and have no
+/// overlaps.
 fn check_cover(queried: &[KeyRange], parts: Vec<SegmentRef>) -> Result<(), MapFault> {
     let mut remaining = parts.into_iter().peekable();
     let mut before = None;
@@ -78,7 +79,8 @@
     }
 }
 
-/// Checks a single part: it must have the map's epoch, and keys that its segment has.
+/// Checks a single part: it must have the map's epoch and at least one key, and all its keys must be keys of its
+/// segment.
 fn check_part(map: &VerifiedMap, answered: &AnsweredPart) -> Result<(), MapFault> {
     let part = SegmentRef::from(answered);
     if answered.epoch != map.epoch() {
--- a/crates/dunepond-shard-map/src/delta.rs
+++ b/crates/dunepond-shard-map/src/delta.rs
@@ -12,7 +12,8 @@
 use crate::verify::verify_by;
 use crate::{KeyRange, MapTransition, Segment, ShardMap, VerifiedMap, verify_transition};
 
-/// The difference between a new map and the map that it replaces. The serialized names are those of the first release.
+/// The difference between a new map and the map that it replaces. The `rename` attributes keep the serialized names of
+/// the first release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MapDelta {
     /// Epoch of the new map.
@@ -30,7 +31,7 @@
     pub digest: String,
 }
 
-/// The new map made by a delta in which no fault was found, and how it differs from the old one.
+/// The new map that results from a delta without faults, and how the new map differs from the old one.
 struct AppliedDelta {
     map: VerifiedMap,
     diff: SegmentDiff,
@@ -46,8 +47,9 @@
 }
 
 impl MapDelta {
-    /// Computes the delta from a verified map to `to`, whose faults, if any, are found when the delta is verified. Reads all
-    /// segments of both maps, which is not needed for a delta that is built from known changes.
+    /// Computes the delta from the verified map `from` to `to`, which is not verified: its faults, if any, are found
+    /// when the delta is verified. Reads all segments of both maps. If the changed segments are known, it is cheaper to
+    /// build the delta from them and call [`MapDelta::with_digests`].
     pub fn between(from: &VerifiedMap, to: &ShardMap) -> Self {
         let mut count_by_id = HashMap::with_capacity(to.segments.len());
         to.segments.iter().for_each(|segment| *count_by_id.entry(segment.id).or_insert(0) += 1);
@@ -61,7 +63,8 @@
         Self { epoch: to.epoch, base_digest, removed, upserted, digest: to.digest.clone() }
     }
 
-    /// Returns the delta with both digests set, relative to `from`. Removed ids that `from` does not have are ignored.
+    /// Returns the delta with its two digests set: that of `from`, and that of the map that results from applying the
+    /// delta to `from`. Removed ids that `from` does not have are ignored.
     pub fn with_digests(mut self, from: &VerifiedMap) -> Self {
         let (mut sum, mut buffer, mut count) = (from.sum, Vec::new(), from.len());
         for old in self.replaced(from) {
@@ -91,10 +94,10 @@
     }
 }
 
-/// Verifies the map that results from applying `delta` to `from`, and the transition to it. The result is the same as that of
-/// [`crate::verify`] and [`verify_transition`] on the full maps, with the nodes and constraints of `from`. Verification is
-/// cheap only if there is no fault: otherwise the full map is built and verified, so that each fault is reported with the
-/// neighbours that the segment has in the full map.
+/// Verifies the map that results from applying `delta` to `from`, and the transition to it. The result is the same as
+/// that of [`crate::verify`] and [`verify_transition`] on the full maps, against the nodes and constraints that `from`
+/// was verified against. Verification is cheap only if there is no fault: otherwise the full map is built and verified,
+/// so that each fault names the neighbours that the faulty segment has in the full map.
 pub fn verify_delta(from: &VerifiedMap, delta: &MapDelta) -> Result<MapTransition, Vec<MapFault>> {
     let unknown = delta.removed.iter().filter(|id| from.segment(**id).is_none());
     let mut faults: Vec<_> = unknown.map(|id| MapFault::UnknownSegment { id: *id }).collect();
@@ -166,7 +169,8 @@
 fn has_valid_replicas(from: &VerifiedMap, upserted: &[&Segment]) -> bool {
     let mut faults = Vec::new();
     for segment in upserted {
-        // Neighbours are not needed here, since faults are reported by the verification of the full map.
+        // Neighbours are left out, since the faults found here are discarded. The verification of the full map reports
+        // them again.
         let alone =
             || Box::new(SegmentContext { segment: SegmentRef::from(*segment), before: None, after: None });
         from.rules.check(segment, alone, &mut faults);
@@ -174,7 +178,8 @@
     faults.is_empty()
 }
 
-/// Drops recorded fills of segments that changed or were removed; they count only for unchanged segments.
+/// Removes from `filled_since` the replicas of the `old` segments that changed or were removed, since a recorded fill
+/// counts only while its segment is unchanged.
 fn drop_outdated_fills(to: &mut VerifiedMap, old: &[&Segment]) {
     if to.filled_since.is_empty() {
         return;
--- a/crates/dunepond-shard-map/src/digest.rs
+++ b/crates/dunepond-shard-map/src/digest.rs
@@ -16,7 +16,8 @@
 /// Name of the hash function that maps keys to the key space; the only one supported.
 pub const KEY_HASH: &str = "xxh3-64";
 
-/// Prefix of all hashed forms, for domain separation from other hashed data. Changing it changes every stored digest.
+/// Prefix of all data that is hashed for a digest, for domain separation from other hashed data. Changing it changes
+/// every stored digest.
 const DIGEST_DOMAIN: &[u8] = b"dunepond-map 1";
 
 /// Returns the position of a key in the hashed key space.
@@ -56,7 +57,7 @@
         sum
     }
 
-    /// Returns the digest of a map with this sum over its segments, in hexadecimal.
+    /// Returns the digest, in hexadecimal, of a map whose segment hashes add up to this sum.
     pub fn digest(&self, epoch: u64, hash: &str, segment_count: usize) -> String {
         let mut form = Vec::from(DIGEST_DOMAIN);
         form.extend(epoch.to_le_bytes());
@@ -72,7 +73,8 @@
     buffer.extend(text.as_bytes());
 }
 
-/// Returns the bits of a share, with negative zero as zero. The map may not be verified yet, so any share can occur.
+/// Returns the bits of a share for hashing. Negative zero is hashed as zero, since the two are equal. The map may not
+/// be verified yet, so any value can occur.
 fn share_bits(share: f64) -> u64 {
     if share == 0.0 { 0 } else { share.to_bits() }
 }
--- a/crates/dunepond-shard-map/src/fault.rs
+++ b/crates/dunepond-shard-map/src/fault.rs
@@ -61,12 +61,13 @@
     value.as_ref().map_or(absent.to_string(), |value| value.to_string())
 }
 
-/// A fault of a map, a transition or a query's coverage. The order of variants and fields is part of the stored form.
+/// A fault of a map, a transition or a query's coverage. The stored form depends on the order of variants and fields,
+/// so this order must not change.
 #[derive(Clone, Debug, PartialEq, Error, EnumCount, Serialize, Deserialize)]
 #[allow(missing_docs, reason = "the message of each variant says what its fields are")]
 pub enum MapFault {
     // Faults of the map as a whole.
-    /// The map has no segment with keys.
+    /// No segment of the map has any keys.
     #[error("no segment has any keys: the whole key space, from key 0 to the end, is not covered")]
     NoSegments,
     /// The map names an unknown hash function.
@@ -222,14 +223,14 @@
         #[serde(rename = "from")]
         in_force: String,
     },
-    /// None of the nodes that have the data of the keys under the old map, the one in force, is a filled replica of the keys
-    /// under the new map.
+    /// Keys would lose all complete copies of their data: of the nodes that have the data under the old map, which is
+    /// in force, none is a filled replica of these keys in the new map.
     #[error(
         "the keys {keys} lose their last filled replica: no filled replica of the old {old} is a filled replica of the new {new}"
     )]
     #[serde(rename = "LastHolderLost")]
     LastReplicaLost { keys: KeyRange, old: SegmentRef, new: SegmentRef },
-    /// No single node has all keys that a replica of the new map needs, so it cannot be filled.
+    /// A replica of the new map cannot be filled, because no single node has all keys that the replica needs.
     #[error(
         "no single filled replica of the map in force has all keys that `{replica}` needs for {new}, from {first} to {last}"
     )]
@@ -242,7 +243,7 @@
     },
 
     // Faults of the answered parts of a query.
-    /// A part was answered under a map other than the query's.
+    /// A part was answered under a map of another epoch than that of the query's map.
     #[error("the part of {part} was answered under epoch {epoch}, but the query uses epoch {expected}")]
     OtherEpoch {
         #[serde(rename = "at")]
--- a/crates/dunepond-shard-map/src/model.rs
+++ b/crates/dunepond-shard-map/src/model.rs
@@ -5,7 +5,7 @@
 
 use crate::KeyRange;
 
-/// A replica of a segment on a node, which stores the segment or is to be filled with it.
+/// A replica of a segment: a node that stores the segment's data or is to be filled with it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Replica {
     /// Name of the replica's node in discovery's endpoint list.
@@ -35,7 +35,7 @@
 /// An unverified shard map, as it is stored and exchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardMap {
-    /// Epoch of the map, which increases with each map.
+    /// Epoch of the map; each new map has a higher epoch than the map that it replaces.
     pub epoch: u64,
     /// Name of the hash function that maps keys to the key space; only [`KEY_HASH`](crate::KEY_HASH) is supported.
     pub hash: String,
@@ -45,7 +45,7 @@
     pub digest: String,
 }
 
-/// What a map is verified against for one node.
+/// A node, with the properties that a map is verified against.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Node {
     /// Name of the node in discovery's endpoint list.
@@ -54,7 +54,7 @@
     pub zone: String,
     /// Name of the partner that runs the node.
     pub partner: String,
-    /// Whether the node is shutting down and may hold no replicas in a new map.
+    /// Whether the node is shutting down; it may then have no replicas in a new map.
     pub draining: bool,
 }
 
@@ -77,6 +77,7 @@
     /// Name of the node to fill.
     #[serde(rename = "holder")]
     pub replica: String,
-    /// Names of the nodes that have complete data for all missing keys under the old map; any of them may be the source.
+    /// Names of the nodes that, under the old map, have complete data for all keys that the replica lacks; any of them
+    /// may be the source of the fill.
     pub sources: Vec<String>,
 }
--- a/crates/dunepond-shard-map/src/segment_rules.rs
+++ b/crates/dunepond-shard-map/src/segment_rules.rs
@@ -6,13 +6,14 @@
 use crate::fault::{MapFault, SegmentContext, SegmentRef};
 use crate::{MapConstraints, Node, Replica, Segment};
 
-/// Largest accepted difference between 1 and the sum of a segment's shares. It admits thirds written with seven digits.
+/// Largest accepted difference between 1 and the sum of a segment's shares. It is large enough for thirds that are
+/// written with seven digits, as in 0.3333333.
 const SHARE_SUM_TOLERANCE: f64 = 1e-6;
 
 /// The nodes and constraints that segments are checked against.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SegmentRules {
-    /// Nodes by name; empty if no list was given, which disables the checks against nodes.
+    /// Nodes by name. If empty, no list of nodes was given, and the checks against nodes are skipped.
     nodes: HashMap<String, Node>,
     min_replicas: usize,
     min_zones: usize,
@@ -33,7 +34,8 @@
     has_invalid_share: bool,
 }
 
-/// Returns a segment and its neighbours, for a fault. `segments` must be ordered by key.
+/// Returns references to the segment at `index` and its neighbours, to be reported with a fault. `segments` must be
+/// ordered by key.
 pub(crate) fn context(segments: &[Arc<Segment>], index: usize) -> Box<SegmentContext> {
     let reference = |index: usize| segments.get(index).map(|segment| SegmentRef::from(&**segment));
     let before = index.checked_sub(1).and_then(reference);
@@ -120,7 +122,7 @@
             {
                 summary.zones.push(&node.zone);
             }
-            // NaN is not contained in the range either.
+            // NaN is not in the range either, so it is reported as a fault too.
             if (0.0..=1.0).contains(&replica.share) {
                 summary.share_sum += replica.share;
             } else {
--- a/crates/dunepond-shard-map/src/transition.rs
+++ b/crates/dunepond-shard-map/src/transition.rs
@@ -8,14 +8,14 @@
 use crate::fault::{MapFault, SegmentRef};
 use crate::{KeyRange, RequiredFill, Segment, VerifiedMap};
 
-/// Which of two maps a broker acts on during a transition.
+/// Which of the two maps of a transition a broker follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TransitionPhase {
-    /// The broker acts on the old map.
+    /// The broker follows the old map.
     Old,
     /// The broker does only what both maps allow.
     Joint,
-    /// The broker acts on the new map.
+    /// The broker follows the new map.
     New,
 }
 
@@ -37,8 +37,9 @@
     pub unchanged: usize,
 }
 
-/// Verifies the transition between two maps, or returns all its faults. Segments are compared by their keys, not by their ids:
-/// if an id has other keys than before, these keys were migrated.
+/// Verifies the transition between two maps, or returns all its faults. Each new segment is compared with the old
+/// segments that have the same keys, not with the old segment of the same id: if an id has other keys than before,
+/// these keys were migrated.
 pub fn verify_transition(from: &VerifiedMap, to: &VerifiedMap) -> Result<MapTransition, Vec<MapFault>> {
     // One pass along both maps, which are ordered by first key; identical segments have the same first key.
     let mut old_segments = from.by_key.values().peekable();
@@ -83,7 +84,7 @@
         }
         collect_required_fills(from, &old, new, unchanged, &mut required_fills, &mut faults);
     }
-    // A merge removes more segments than it adds, a split adds more.
+    // A merge removes more segments than it adds, and a split adds more than it removes. The larger number counts.
     let changed_segments = (from.len() - diff.unchanged).max(to.len() - diff.unchanged);
     if faults.is_empty() {
         Ok(MapTransition { from: from.clone(), to, required_fills, changed_segments })
@@ -92,8 +93,8 @@
     }
 }
 
-/// Checks that each old segment has a filled replica that is also a filled replica of `new`: otherwise no node would have the
-/// data for its keys after the transition.
+/// Checks that each old segment has a filled replica that is also a filled replica of `new`: otherwise no node would
+/// have the data of the old segment's keys after the transition.
 fn check_replicas_kept(
     from: &VerifiedMap,
     old_segments: &[&Segment],
@@ -137,8 +138,8 @@
     }
 }
 
-/// Returns the nodes other than `replica` that have complete data for each of the segments, sorted by name. A fill copies all
-/// keys from one source.
+/// Returns the nodes other than `replica` that have complete data for each of the segments, sorted by name. A fill
+/// copies all keys from one source, so a node that lacks one of the segments cannot be the source.
 fn fill_sources(from: &VerifiedMap, segments: &[&Segment], replica: &str) -> Vec<String> {
     let Some((first, rest)) = segments.split_first() else { return Vec::new() };
     let has_all =
@@ -155,7 +156,8 @@
         &self.from
     }
 
-    /// Returns the new map. Fills that are recorded in the old map count in it too if their segment is identical in both.
+    /// Returns the new map. A replica that is recorded as filled in the old map counts as filled in the new map too, if
+    /// its segment is identical in both maps.
     pub fn to(&self) -> &VerifiedMap {
         &self.to
     }
@@ -166,8 +168,8 @@
         &self.required_fills
     }
 
-    /// Returns the number of changed segments: the larger of the numbers of old segments that are removed or replaced and of new
-    /// segments that are added or replaced.
+    /// Returns the number of changed segments: either the old segments that are removed or replaced are counted, or the
+    /// new segments that are added or replaced, whichever are more.
     pub fn changed_segments(&self) -> usize {
         self.changed_segments
     }
@@ -184,9 +186,9 @@
         }
     }
 
-    /// Returns the only node that may be sent non-idempotent work for a segment; `None` if there is none. In the joint phase an id
-    /// may have different keys in the two maps; a node is then returned only if both maps name it as the owner of all keys that
-    /// the id has in either map.
+    /// Returns the only node that may be sent non-idempotent work for a segment; `None` if there is none. In the joint
+    /// phase, the segment's id may have different keys in the two maps; a node is then returned only if both maps name
+    /// it as the owner of all keys that the id has in either map.
     pub fn owner_of_segment(&self, segment: u64, phase: TransitionPhase) -> Option<&str> {
         let (old, new) = (self.from.segment(segment), self.to.segment(segment));
         match phase {
--- a/crates/dunepond-shard-map/src/verified.rs
+++ b/crates/dunepond-shard-map/src/verified.rs
@@ -1,4 +1,5 @@
-//! A verified map, stored in persistent trees, so that a map made by a delta shares all unchanged segments.
+//! A verified map. Its segments are stored in persistent trees, so that a map that results from a delta shares all
+//! unchanged segments with the map before it.
 
 use std::fmt;
 use std::sync::{Arc, OnceLock};
@@ -46,12 +47,14 @@
         Self { epoch, digest, sum, by_key, by_id, unfilled, filled_since, rules, whole }
     }
 
-    /// Returns a copy of this map under another epoch, to be changed by a delta. Its digest is still that of this map.
+    /// Returns a copy of this map with another epoch, to which a delta is then applied. The copy's digest is still the
+    /// one of this map, until the caller sets a new one.
     pub(crate) fn with_epoch(&self, epoch: u64) -> Self {
         Self { epoch, whole: Arc::default(), ..self.clone() }
     }
 
-    /// Returns the map in its exchanged form, with segments ordered by key. It is built by the first call.
+    /// Returns the map in its exchanged form, with segments ordered by key. The first call builds this form, and later
+    /// calls return the same one.
     pub fn map(&self) -> &ShardMap {
         self.whole.get_or_init(|| ShardMap {
             epoch: self.epoch,
@@ -113,8 +116,8 @@
         first.into_iter().chain(inside.filter(begins_inside))
     }
 
-    /// Whether a node has complete data for `segment`, which must be a segment of this map: because the map states the replica as
-    /// filled, or because it has been filled since.
+    /// Whether a node has complete data for `segment`, which must be a segment of this map: either the map states that
+    /// the node's replica is filled, or the replica is recorded as filled since the map was made.
     pub fn is_filled(&self, segment: &Segment, node: &str) -> bool {
         let stated = segment.replicas.iter().any(|replica| replica.filled && replica.node == node);
         stated
--- a/crates/dunepond-shard-map/src/verify.rs
+++ b/crates/dunepond-shard-map/src/verify.rs
@@ -8,8 +8,8 @@
 use crate::segment_rules::{SegmentRules, context};
 use crate::{KEY_SPACE_END, KeyRange, MapConstraints, Node, Segment, ShardMap, VerifiedMap};
 
-/// Verifies `map`, or returns all its faults. With an empty list of `nodes`, it is not checked
-/// whether the replicas' nodes exist, are in enough zones, have the named partners and are not draining (shutting down).
+/// Verifies `map`, or returns all its faults. If `nodes` is empty, these checks are skipped: that the nodes of the
+/// replicas exist, are in enough zones, have the stated partners and are not draining (shutting down).
 pub fn verify(
     map: &ShardMap,
     nodes: &[Node],
@@ -52,11 +52,12 @@
     }
 }
 
-/// Checks in one pass that the segments, which are ordered by key, cover each key exactly once. An overlap is reported between a
-/// segment and the earlier segment that extends furthest. This way each key that is covered more than once is in a reported
-/// overlap, each overlapping segment is named, and there are never more overlaps reported than segments.
+/// Checks in one pass that the segments, which are ordered by key, cover each key exactly once. An overlap is reported
+/// between a segment and the earlier segment whose keys extend furthest. This way each key that is covered more than
+/// once is in a reported overlap, each overlapping segment is named, and there are never more overlaps reported than
+/// segments.
 fn check_cover(segments: &[Arc<Segment>], faults: &mut Vec<MapFault>) {
-    // The segment so far whose keys extend furthest.
+    // Of the segments checked so far, the one whose keys extend furthest.
     let mut furthest: Option<SegmentRef> = None;
     for (index, segment) in segments.iter().enumerate() {
         let here = SegmentRef::from(&**segment);
--- a/crates/dunepond-shard-map/tests/common/mod.rs
+++ b/crates/dunepond-shard-map/tests/common/mod.rs
@@ -54,10 +54,10 @@
     map(1, (0..4).map(|i| segment(i.into(), i * 8, i * 8 + 8, &nodes[i as usize])).collect())
 }
 
-/// The verified map; panics if it has a fault.
+/// Verifies a map; panics if the map has a fault.
 pub fn verified(map: &ShardMap) -> VerifiedMap {
     verify(map, &nodes(), &CONSTRAINTS).unwrap_or_else(|faults| panic!("{faults:?}"))
 }
 
-/// The segments of a map, as test cases change them.
+/// The segments of a map, which test cases mutate.
 pub type Segments = Vec<Segment>;
--- a/crates/dunepond-shard-map/tests/faults.rs
+++ b/crates/dunepond-shard-map/tests/faults.rs
@@ -9,7 +9,7 @@
 use dunepond_shard_map::*;
 use strum::EnumCount;
 
-/// One fault of each variant; the test below checks that none is missing.
+/// One fault of each variant; `every_fault_names_its_location_and_has_help` checks that no variant is missing.
 fn one_of_each() -> Vec<MapFault> {
     let (keys, name) = (keys(1, 2), || "x7".to_string());
     let (one, two) = (SegmentRef { id: 41, keys }, SegmentRef { id: 42, keys });
--- a/crates/dunepond-shard-map/tests/golden.rs
+++ b/crates/dunepond-shard-map/tests/golden.rs
@@ -115,7 +115,7 @@
     assert_encodings("pieces", &[AnsweredPart { segment: 300, keys: keys(3, 32), epoch: 9 }]);
 }
 
-/// One fault of each variant; the test below checks that none is missing.
+/// One fault of each variant; `faults_keep_their_encoding` checks that no variant is missing.
 fn faults() -> Vec<MapFault> {
     let (keys, text) = (keys(1, 2), |text: &str| text.to_string());
     let (one, two) = (SegmentRef { id: 41, keys }, SegmentRef { id: 300, keys: KeyRange::ALL });
--- a/crates/dunepond-shard-map/tests/maps.rs
+++ b/crates/dunepond-shard-map/tests/maps.rs
@@ -12,7 +12,7 @@
     SegmentRef { id, keys: keys(from, to) }
 }
 
-/// Segment `i` of the four segments, with its neighbours.
+/// References to segment `i` of `four_segments()` and to its neighbours.
 fn context(i: u32) -> Box<SegmentContext> {
     let segment_ref = |i: u32| at(i.into(), i * 8, i * 8 + 8);
     Box::new(SegmentContext {
@@ -186,7 +186,7 @@
         MapFault::TooFewZones { zones: 1, min: 2, context: context(1) },
     ];
     assert_eq!(verified_map.reverified(&list, &CONSTRAINTS).unwrap_err(), expected);
-    // A delta is verified against the node list of its base.
+    // A delta is verified against the node list that its base map was verified against.
     list[2].zone = "z2".into();
     let map = four_segments();
     let later = map.segments[1..].iter().cloned().chain([segment(0, 0, 8, &[1, 2])]).collect();
--- a/crates/dunepond-shard-map/tests/properties.rs
+++ b/crates/dunepond-shard-map/tests/properties.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::sample::{Index, subsequence};
 
-/// Nodes of a segment's replicas, in sets that satisfy the constraints.
+/// Sets of nodes for the replicas of a segment. Each set satisfies `CONSTRAINTS`.
 const REPLICA_SETS: [&[u32]; 8] =
     [&[0, 1], &[1, 2], &[2, 0], &[1, 3, 2], &[0, 1, 2], &[4, 5, 0], &[3, 4, 5, 1], &[5, 3]];
 
@@ -64,7 +64,8 @@
         10 => one.replicas[other.index(n)].partner = format!("p{}", slot % 3),
         11 => drop(one.replicas.remove(other.index(n))),
         12 => one.keys.to = Some(one.keys.from),
-        // Mutations that keep a valid map valid: a split, two segments that swap ids, other replicas.
+        // Mutations that usually keep a valid map valid: a split, two segments that swap ids, other replicas, a merge,
+        // a moved boundary, another epoch.
         13 if one.keys.to.is_some_and(|to| to > one.keys.from.saturating_add(2)) => {
             let mut half = one.clone();
             let middle = one.keys.from + (one.keys.to.unwrap() - one.keys.from) / 2;
@@ -107,14 +108,15 @@
     map.with_digest()
 }
 
-/// Returns each key at which a count may change, with the keys before and after it.
+/// Returns the keys at which the naive model is evaluated: each key at which a range begins or ends, the keys before
+/// and after it, and the first and last key of the key space.
 fn probes<'a>(ranges: impl IntoIterator<Item = &'a KeyRange>) -> BTreeSet<u64> {
     let ends = ranges.into_iter().flat_map(|keys| [keys.from, keys.to.unwrap_or(0)]);
     let ends = ends.flat_map(|key| [key.wrapping_sub(1), key, key.wrapping_add(1)]);
     ends.chain([0, u64::MAX]).collect()
 }
 
-/// Returns the probes of all segments of these maps.
+/// Returns the [`probes`] of the key ranges of all segments of `maps`.
 fn map_probes(maps: &[&ShardMap]) -> BTreeSet<u64> {
     probes(maps.iter().flat_map(|map| &map.segments).map(|segment| &segment.keys))
 }
@@ -308,7 +310,8 @@
                     let owners = [TransitionPhase::Old, TransitionPhase::Joint, TransitionPhase::New].map(|phase| transition.owner_of_key(*key, phase));
                     prop_assert_eq!(owners, [Some(old), joint, Some(new)]);
                 }
-                // Two brokers that are at most one phase apart never see two owners of a key, whichever segments they ask for.
+                // Two brokers that are at most one phase apart never see two owners of a key, whichever segment ids
+                // they look up.
                 for (one, other) in [(TransitionPhase::Old, TransitionPhase::Joint), (TransitionPhase::Joint, TransitionPhase::New), (TransitionPhase::Joint, TransitionPhase::Joint)] {
                     for key in &probes {
                         let owners = |phase| {
--- a/crates/dunepond-shard-map/tests/transitions.rs
+++ b/crates/dunepond-shard-map/tests/transitions.rs
@@ -14,7 +14,8 @@
     }
 }
 
-/// Verifies the transition from the four segments to the mutated ones, and that a delta has the same result.
+/// Verifies the transition from `four_segments()` to the map that `mutate` makes of it, and asserts that verifying the
+/// delta between the two maps gives the same result.
 fn transition(mutate: fn(&mut Segments)) -> Result<MapTransition, Vec<MapFault>> {
     let mut to = four_segments();
     to.epoch = 2;
@@ -94,7 +95,7 @@
         ),
         (Some("n0"), Some("n0"))
     );
-    // The keys keep their owners, but the ids do not.
+    // The keys keep their owners, but the segment ids get other keys and so other owners.
     let swapped = transition(|s| (s[0].id, s[1].id) = (1, 0)).unwrap();
     assert_eq!(swapped.owner_of_key(0, TransitionPhase::Joint), Some("n0"));
     assert_eq!(
@@ -139,7 +140,7 @@
 
 #[test]
 fn replica_needs_one_source_for_all_missing_keys() {
-    // n5 needs keys that n0 and n1 have, and keys that n2 and n3 have.
+    // n5 needs keys that only n0 and n1 have, and keys that only n2 and n3 have, so no single node can be its source.
     let mut from = four_segments();
     from.segments[1] = segment(1, 8, 16, &[2, 3]);
     let mut to = from.clone();
@@ -197,8 +198,8 @@
     assert!(matches!(&verify_delta(&from, &altered).unwrap_err()[..], [MapFault::DigestMismatch { .. }]));
 }
 
-/// Guards against a check that compares only where the replaced keys and the new segments' keys begin and end as a whole.
-/// Such a check would accept each of these deltas.
+/// Guards against a check that compares only the first and the last key of all replaced segments with those of all new
+/// segments. Such a check would accept each of these deltas.
 #[rstest]
 #[case::empty_range(vec![segment(9, 8, 8, &[0, 1])], |faults: &[MapFault]| matches!(faults, [MapFault::EmptyRange { .. }]))]
 #[case::empty_range_beside_another(vec![segment(0, 0, 8, &[1, 0]), segment(9, 8, 8, &[0, 1])],
--- a/crates/dunepond-storage/src/files.rs
+++ b/crates/dunepond-storage/src/files.rs
@@ -22,7 +22,7 @@
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Makes all creations, renames and removals of files durable.
+    /// Makes all earlier creations, renames and removals of files durable.
     fn sync_names(&self) -> io::Result<()>;
     /// Lists the names of all files.
     fn list(&self) -> io::Result<Vec<String>>;
@@ -32,7 +32,7 @@
 pub trait WritableFile: Send {
     /// Writes all bytes at the end of the file.
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Truncates the file to `length` bytes; the next write goes there.
+    /// Truncates the file to `length` bytes; the next write appends to them.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
     /// Makes everything written to the file durable.
     fn sync(&mut self) -> io::Result<()>;
@@ -41,8 +41,8 @@
 /// A [`FileStore`] on a directory of the file system.
 pub struct DiskStore {
     path: PathBuf,
-    /// The open lock file, whose lock keeps other processes from opening the directory for exclusive use; `None` if opened
-    /// read-only. The kernel releases the lock however the process ends.
+    /// The open lock file, whose lock keeps other processes from opening the directory for exclusive use. The kernel
+    /// releases the lock when the process ends, even if it crashes. `None` if the directory was opened read-only.
     _lock: Option<File>,
 }
 
--- a/crates/dunepond-storage/src/format.rs
+++ b/crates/dunepond-storage/src/format.rs
@@ -1,5 +1,6 @@
-//! The byte format of stored files: a header with magic, kind, version, number and length, followed by the payload. Header
-//! and payload each have a CRC-32 checksum. Integers are little-endian.
+//! The byte format of stored files: a header with magic, kind, version, number and length, followed by the payload of a
+//! snapshot or by the records of a journal. The header, the payload and each record have their own CRC-32 checksum.
+//! Integers are little-endian.
 
 use std::io;
 
@@ -8,7 +9,7 @@
 
 const MAGIC: [u8; 8] = *b"dunepond";
 
-// Offsets of the header's fields in bytes. The checksum covers all bytes before it.
+// Offsets of the header's fields in bytes. The checksum covers all header bytes before the checksum itself.
 const KIND_AT: usize = 8;
 const VERSION_AT: usize = 12;
 const NUMBER_AT: usize = 16;
@@ -20,7 +21,7 @@
 /// Four bytes in the header that tell snapshots from journals.
 pub type FileKind = [u8; 4];
 
-/// Why a file, or everything after a position in it, cannot be used.
+/// Why a file, or its content from some position on, cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FileFault {
     /// The magic or the kind in the header is not the expected one.
@@ -64,7 +65,7 @@
     bytes
 }
 
-/// Returns the `N` bytes at an offset; `None` if `bytes` ends before them.
+/// Returns the `N` bytes at an offset; `None` if `bytes` ends before the last of them.
 pub fn bytes_at<const N: usize>(bytes: &[u8], offset: usize) -> Option<[u8; N]> {
     bytes.get(offset..offset.checked_add(N)?)?.try_into().ok()
 }
--- a/crates/dunepond-storage/src/journal.rs
+++ b/crates/dunepond-storage/src/journal.rs
@@ -9,10 +9,11 @@
 
 const KIND: FileKind = *b"JRNL";
 const SUFFIX: &str = ".journal";
-/// Suffix of the file to which a journal is rewritten, before it replaces the old file.
+/// Suffix of the temporary file to which a journal is rewritten, and which is then renamed over the old journal file.
 const UNFINISHED_SUFFIX: &str = ".journal-aside";
 
-// A record's header: length of the payload (u32) at offset 0, number (u64), checksum (u32). Offsets and length in bytes.
+// Layout of a record's header: payload length (u32) at offset 0, record number (u64) at `NUMBER_AT`, checksum (u32) at
+// `CHECKSUM_AT`. Offsets and lengths are in bytes.
 const NUMBER_AT: usize = 4;
 const CHECKSUM_AT: usize = 12;
 const RECORD_HEADER_BYTES: usize = 16;
@@ -26,7 +27,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// What a journal held when it was opened.
+/// The content that a journal had when it was opened or read.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveredJournal {
     /// All records before the first invalid one.
@@ -40,7 +41,8 @@
     files: Arc<dyn FileStore>,
     name: String,
     version: u32,
-    /// `None` after a failed write or sync, until the journal is rewritten, since the end of the file is then unknown.
+    /// The open journal file. `None` after a failed write or sync, since it is then unknown where the valid content of
+    /// the file ends, until the journal is rewritten to a new file.
     file: Option<Box<dyn WritableFile>>,
     next_number: u64,
     length_bytes: u64,
@@ -70,7 +72,8 @@
     out
 }
 
-/// Computes a record's checksum. It covers length and number too, so that a run of zero bytes is not a valid record.
+/// Computes a record's checksum. The checksum covers the length and the number too, so that a run of zero bytes is not
+/// a valid record.
 fn checksum(number: u64, payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&(payload.len() as u32).to_le_bytes());
@@ -137,9 +140,9 @@
         scan(files, name, version).recovered
     }
 
-    /// Opens the journal `name`, or creates it, and returns it with what it held. A file of an earlier format version is
-    /// rewritten in format `version`. Fails if the file has a newer format version, is no journal or cannot be read; the
-    /// file is then left unchanged.
+    /// Opens the journal `name`, or creates it, and returns it with the records that were found in it. A file of an
+    /// earlier format version is rewritten in format `version`. Fails if the file has a newer format version, is not a
+    /// journal or cannot be read; the file is then left unchanged.
     pub fn open(files: Arc<dyn FileStore>, name: &str, version: u32) -> io::Result<(Self, RecoveredJournal)> {
         let Scan { recovered, valid_bytes, header } = scan(&*files, name, version);
         if let Some(
@@ -161,7 +164,8 @@
             }
             journal.file = Some(file);
         } else {
-            // The file does not exist, has no valid header, or has an earlier format version, whose records are kept.
+            // The file does not exist, has no valid header, or has an earlier format version. Records of an earlier
+            // version are kept.
             let payloads: Vec<_> = recovered.records.iter().map(|record| record.bytes.clone()).collect();
             journal.rewrite(&payloads)?;
         }
@@ -173,8 +177,9 @@
         self.length_bytes
     }
 
-    /// Appends a record and returns its number. The record survives a crash of the process from then on, and a power loss
-    /// once it is synced. After an error, all further calls fail until [`Journal::rewrite`] succeeds.
+    /// Appends a record and returns its number. An appended record survives a crash of the process, but survives a
+    /// power loss only once [`Journal::sync`] has succeeded. After an error, all further calls fail until
+    /// [`Journal::rewrite`] succeeds.
     pub fn append(&mut self, bytes: &[u8]) -> io::Result<u64> {
         let mut file = self.file.take().ok_or_else(earlier_call_failed)?;
         let record = encode_record(self.next_number, bytes);
@@ -187,7 +192,7 @@
 
     /// Makes all appended records durable. After an error, all further calls fail until [`Journal::rewrite`] succeeds.
     pub fn sync(&mut self) -> io::Result<()> {
-        // The file is put back only after success: after a failed sync, the kernel may have dropped written pages.
+        // `self.file` is set again only after success: after a failed sync, the kernel may have dropped written pages.
         let mut file = self.file.take().ok_or_else(earlier_call_failed)?;
         file.sync()?;
         self.file = Some(file);
--- a/crates/dunepond-storage/src/snapshots.rs
+++ b/crates/dunepond-storage/src/snapshots.rs
@@ -24,7 +24,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// The snapshots that a directory holds under one name.
+/// The result of loading the snapshots that a directory has under one name.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadedSnapshots {
     /// The newest valid snapshot; `None` if there is none.
@@ -38,12 +38,13 @@
     files: Arc<dyn FileStore>,
     name: String,
     version: u32,
-    /// Number of the next snapshot, above all numbers in the directory; `None` before the first write.
+    /// Number of the next snapshot, above the numbers of all stored snapshots of this name; `None` before the first
+    /// write.
     next_number: Option<u64>,
 }
 
 impl SnapshotStore {
-    /// Creates a store for snapshots of this name, which are written in this format version.
+    /// Creates a store for the snapshots called `name`, which are written in format version `version`.
     pub fn new(files: Arc<dyn FileStore>, name: &str, version: u32) -> Self {
         Self { files, name: name.to_string(), version, next_number: None }
     }
@@ -102,15 +103,16 @@
         file.sync()?;
         drop(file);
         self.files.rename(&unfinished, &format!("{}-{number:020}{SUFFIX}", self.name))?;
-        // From here on, the number may be in use even if the sync fails.
+        // After the rename, a snapshot file with this number may exist even if the sync below fails.
         self.next_number = Some(number.saturating_add(1));
         self.files.sync_names()?;
         self.prune();
         Ok(number)
     }
 
-    /// Removes all valid snapshots except the last two, and truncated or corrupted ones that are older than those two. Files
-    /// of a newer version, of unknown format or unreadable ones stay, and so does what cannot be removed.
+    /// Removes all valid snapshots except the last two, and truncated or corrupted ones that are older than those two.
+    /// Files of a newer version, of unknown format or that cannot be read are kept. A file that cannot be removed is
+    /// left as it is.
     fn prune(&self) {
         let Ok(found) = self.list() else { return };
         let mut valid_count = 0;
--- a/crates/dunepond-storage/tests/crashes.rs
+++ b/crates/dunepond-storage/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! Tests that crash the process or the machine at each call to the store, or make a call fail: afterwards the old or the new
-//! state is read, and synced data is kept.
+//! Tests that crash the process or the machine at each call to the store, or make a call fail. Afterwards, either the
+//! old or the new state must be read, and no synced data may be lost.
 
 mod support;
 
@@ -71,7 +71,7 @@
         let mut attempted = appended.clone();
         attempted.push(payload(appended.len() as u8 + 1));
         assert!(attempted.starts_with(&found), "crash at call {at}, seed {seed}");
-        // Truncated records stay lost, and records appended after the recovery are read.
+        // Records that the recovery removed do not reappear, and records appended after the recovery are read.
         journal.append(&payload(99)).unwrap();
         let continued = Journal::read(&store, "ledger", VERSION);
         assert_eq!((continued.fault, continued.records.len()), (None, found.len() + 1));
@@ -92,7 +92,7 @@
         let written = write_three(&store);
         assert!(written.iter().filter(|ok| !**ok).count() <= 1);
         store.set_plan(FaultPlan::Serve);
-        // A write that failed after its rename is found nevertheless.
+        // The third snapshot may be found even if its write failed, since the write may have failed after the rename.
         let last = 1 + written.iter().rposition(|ok| *ok).unwrap() as u8;
         let expected = [Some(payload(last)), Some(payload(3))];
         assert!(expected.contains(&newest_snapshot(&store)), "failure at call {at}");
--- a/crates/dunepond-storage/tests/damage.rs
+++ b/crates/dunepond-storage/tests/damage.rs
@@ -1,5 +1,5 @@
-//! Tests of damaged files, files of other format versions and files of other programs: they are ignored, reported as faults
-//! or read correctly.
+//! Tests of damaged files, files of other format versions and files of other programs: such files are ignored, reported
+//! as faults or read correctly.
 
 mod support;
 
@@ -76,7 +76,7 @@
     assert_eq!(found.newest.unwrap().bytes, payload(5));
     assert!(found.faults.iter().any(|(_, fault)| *fault == FileFault::NewerVersion(VERSION + 1)));
     assert!(before.iter().all(|(bytes, name)| store.contents(name) == *bytes));
-    // The newer version's snapshot and the last two of this version are left.
+    // Three snapshots are left: the one of the newer version, and the last two of this version.
     assert_eq!(store.names().iter().filter(|name| name.ends_with(".snapshot")).count(), 3);
 }
 
--- a/crates/dunepond-storage/tests/golden.rs
+++ b/crates/dunepond-storage/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Golden files of the stored formats: files of earlier builds are read correctly, and the same values give the same bytes.
+//! Golden files of the stored formats: files that earlier builds wrote are read correctly, and this build writes the
+//! same bytes for the same values.
 
 use std::io;
 use std::os::unix::fs::PermissionsExt;
@@ -144,8 +145,8 @@
     }
 }
 
-/// Guards against changed names of temporary files: one that an earlier build left after a crash is overwritten only if
-/// this build uses the same name.
+/// Guards against changed names of temporary files: a temporary file that an earlier build left behind in a crash is
+/// overwritten only if this build uses the same name.
 #[test]
 fn temporary_files_keep_their_names() {
     let files = Arc::new(CreationRecorder::default());
--- a/crates/dunepond-storage/tests/support/mod.rs
+++ b/crates/dunepond-storage/tests/support/mod.rs
@@ -20,8 +20,8 @@
     (0..100).map(|i| i ^ n).collect()
 }
 
-/// Opens a journal, appends eight records, syncs after each second one and rewrites the journal once, until a call fails.
-/// Returns the payloads that were appended, and how many of them were synced.
+/// Opens a journal and appends eight records. Syncs after every second record, rewrites the journal before the fifth,
+/// and stops at the first call that fails. Returns the payloads that were appended, and how many of them were synced.
 pub fn write_journal(store: &MemoryStore) -> (Vec<Vec<u8>>, usize) {
     let (mut appended, mut synced) = (Vec::new(), 0);
     let mut run = || -> std::io::Result<()> {
