--- a/crates/dunepond-quota/src/error.rs
+++ b/crates/dunepond-quota/src/error.rs
@@ -111,7 +111,7 @@
     NotAwaited {
         /// Name of the broker whose units would be released.
         broker: String,
-        /// Ledger generation, as stated in the entry, of the shrink after which units would be released.
+        /// Ledger generation of the shrink, as stated in the entry.
         generation: u64,
     },
     /// A broker other than the leader proposed a release.
--- a/crates/dunepond-quota/src/ledger.rs
+++ b/crates/dunepond-quota/src/ledger.rs
@@ -19,7 +19,7 @@
     pub reserved: u32,
 }
 
-/// One added broker's shares of all quotas.
+/// The shares of all quotas that one broker in the ledger holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BrokerShares {
     /// Units beyond the floor, by quota name.
--- a/crates/dunepond-quota/src/planner.rs
+++ b/crates/dunepond-quota/src/planner.rs
@@ -23,8 +23,8 @@
     pub rule: SplitRule,
     /// Factor by which the planner multiplies the reported demand, since demand may grow before the next plan.
     pub headroom_ratio: f64,
-    /// Smallest shortage or surplus of a broker's share that makes the planner change shares, as a fraction of an even
-    /// share of the spare units.
+    /// Shortage or surplus of a broker's share up to which the planner leaves shares as they are, as a fraction of an
+    /// even share of the spare units.
     pub min_step_ratio: f64,
     /// Time in seconds without a report after which a broker counts as having no demand. A leader that has led for less than
     /// this time does not yet know which brokers exist, and plans nothing.
@@ -125,7 +125,7 @@
 struct Candidate<'a> {
     broker: &'a String,
     shares: &'a BrokerShares,
-    /// Reported demand in units, including what the floor covers.
+    /// Reported demand in units, including the part that the broker's floor covers.
     demand: u32,
     /// Planned units beyond the floor.
     target: u32,
@@ -202,8 +202,8 @@
             |broker: &String, units| QuotaShare { broker: broker.clone(), quota: quota.to_string(), units };
         let (present, silent): (Vec<_>, Vec<_>) =
             self.ledger.brokers.iter().partition(|(broker, _)| self.current_report(broker).is_some());
-        // The share of a broker without a current report is withdrawn: the broker may be unable to send requests, and
-        // then loses nothing.
+        // The share of a broker without a current report is withdrawn: the broker may be unable to send requests, in
+        // which case it loses nothing.
         let silent_holders = silent.iter().filter(|(_, shares)| shares.granted_units(quota) > 0);
         let mut changes: Vec<QuotaShare> = silent_holders.map(|(broker, _)| share(broker, 0)).collect();
         let candidates = self.candidates(quota, &present);
--- a/crates/dunepond-quota/src/reuse.rs
+++ b/crates/dunepond-quota/src/reuse.rs
@@ -13,8 +13,8 @@
     pub window_seconds: f64,
 }
 
-/// One process of a broker, which ends when the broker restarts, to which this leader granted a lease. Times are in
-/// seconds on the leader's clock.
+/// A process of a broker to which this leader granted a lease; each restart of the broker starts another process. Times
+/// are in seconds on the leader's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BrokerRun {
     /// Time at which the last lease of this broker process has certainly expired.
--- a/crates/dunepond-quota/src/shared_quotas.rs
+++ b/crates/dunepond-quota/src/shared_quotas.rs
@@ -13,7 +13,8 @@
 /// Largest allowed value of [`SharedQuotas::window_millis`], in milliseconds.
 pub const MAX_WINDOW_MILLIS: u64 = 3_600_000;
 
-/// The quotas that a fleet shares. The configuration files of all brokers must state the same ones.
+/// The quotas that a fleet shares. The configuration files of all brokers must state the same quotas, number of
+/// brokers, floor and window.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SharedQuotas {
     /// Names of the quotas, without duplicates.
--- a/crates/dunepond-quota/tests/model.rs
+++ b/crates/dunepond-quota/tests/model.rs
@@ -161,7 +161,7 @@
     }
 }
 
-/// The entry that sets a broker's share.
+/// The entry that sets a broker's share, in tenths of the quota's total beyond the floor.
 fn entry(broker: usize, tenths: u8) -> QuotaEntry {
     let units = u32::from(tenths) * TENTH;
     QuotaEntry::SetShares {
@@ -253,7 +253,8 @@
         reusable_from(f64::from(b.shrink_seen_at), term_began, runs, Self::delays(rules))
     }
 
-    /// Amount used by all runs of all brokers over the last window, in tenths of the quota's total.
+    /// Amount that all brokers used over the last window, including use before a restart, in tenths of the quota's
+    /// total.
     fn used(&self) -> u8 {
         self.brokers.iter().flat_map(|broker| broker.used_by_all).sum()
     }
--- a/crates/dunepond-quota/tests/service.rs
+++ b/crates/dunepond-quota/tests/service.rs
@@ -54,10 +54,10 @@
     /// By broker: the end of its last lease, the shrink generation that it acknowledged, and when it acknowledged that
     /// generation.
     runs: BTreeMap<String, (f64, u64, f64)>,
-    /// By broker: the generation of its last shrink, and when the leader saw it.
+    /// By broker: the generation of its last shrink, and when the leader saw that shrink.
     shrink_seen: BTreeMap<String, (u64, f64)>,
     next_plan_at: f64,
-    /// Number of entries that set shares.
+    /// Number of applied entries that set shares.
     set_count: usize,
     offered: f64,
     served: f64,
@@ -242,8 +242,9 @@
     assert!(fleet.set_count <= before + 2, "{} more entries set shares in 200 s", fleet.set_count - before);
 }
 
-/// Returns the seconds until a node in slow start has completed enough work to leave it, if the brokers send as much as
-/// their shares of its capacity allow. The brokers are offered its whole capacity, of which `hot` goes to one broker.
+/// Returns the seconds until a node in slow start has completed enough work to end the slow start, if the brokers send
+/// as much as their shares of its capacity allow. The brokers are offered its whole capacity, of which `hot` goes to
+/// one broker.
 fn slow_start_seconds(rule: Option<SplitRule>, hot: f64) -> f64 {
     let mut fleet = SimulatedFleet::new(4, rule);
     let rest = (1.0 - hot) / 3.0;
--- a/crates/dunepond-recovery/src/learned_state.rs
+++ b/crates/dunepond-recovery/src/learned_state.rs
@@ -32,7 +32,7 @@
     address: String,
     started_at: f64,
     ejected: bool,
-    /// The node's samples, oldest first. Their class is an index into [`LearnedSnapshot::query_classes`].
+    /// The node's samples, oldest first. The class of a sample is an index into [`LearnedSnapshot::query_classes`].
     samples: Vec<LearnedSample>,
 }
 
@@ -52,7 +52,7 @@
 /// How far a snapshot is trusted at a given time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Confidence {
-    /// Seconds since the snapshot was captured; `None` if they cannot be told from the clocks.
+    /// Seconds since the snapshot was captured; `None` if they are unknown, because a clock was set back.
     pub elapsed_seconds: Option<f64>,
     /// Fraction (0 to 1) of the snapshot's nodes that are unchanged: the endpoint list still names them with the same
     /// address, and their process was not restarted.
@@ -84,7 +84,7 @@
     Unlisted,
 }
 
-/// What is restored to the router from a snapshot, and the decisions behind it.
+/// What is restored to the router from a snapshot, with the decision about each node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrustedState {
     /// How far the snapshot as a whole is trusted.
--- a/crates/dunepond-recovery/src/spent_budgets.rs
+++ b/crates/dunepond-recovery/src/spent_budgets.rs
@@ -43,7 +43,8 @@
 }
 
 impl BudgetRecord {
-    /// Creates the record of a graceful shutdown. Nodes that are not in `listed` are left out.
+    /// Creates the record of a graceful shutdown. Requests to nodes that are not in the endpoint list `listed` are left
+    /// out.
     pub fn stopped(at: Timestamp, listed: &[NodeIdentity], spent: &SpentBudgets) -> Self {
         let identity_of = |node: NodeId| listed.iter().find(|identity| identity.node == node);
         let slow_start_sends = spent.slow_start_sends.iter().filter_map(|record| {
--- a/crates/dunepond-recovery/tests/restart.rs
+++ b/crates/dunepond-recovery/tests/restart.rs
@@ -73,7 +73,7 @@
         assert_eq!((decision, &restored.learned), (&TrustDecision::Expired, &LearnedState::default()));
     } else {
         assert_eq!(*decision, TrustDecision::Trusted { sample_count, ejected: true });
-        // The newest samples are restored, with their ages increased by the time since the stop.
+        // The newest samples are restored, with their ages increased by the time since the snapshot was captured.
         let first = &restored.learned.nodes[0].samples[0];
         assert!((first.ended_ago - (sample_count as f64 + elapsed.max(0.0))).abs() < 1e-9, "{first:?}");
     }
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Confidence never rises with age or with the number of changed nodes.
+    /// The weight of a snapshot never rises with its age, nor with the number of its nodes that are no longer listed.
     #[test]
     fn confidence_only_decreases(elapsed in 0.0..300.0f64, further in 0.0..60.0f64, removed in 0..8usize) {
         let listed = list(8 - removed);
--- a/crates/dunepond-shard-map/src/coverage.rs
+++ b/crates/dunepond-shard-map/src/coverage.rs
@@ -25,7 +25,7 @@
 /// Verifies that `parts` cover the keys of `queried` exactly once and no other keys, and that all parts have the epoch
 /// of `map`. Queried ranges may touch or overlap; they count as one set of keys. Returns the first fault found: an
 /// empty queried range, then a fault of a single part in the order of `parts`, then keys that two parts cover, then
-/// missing or excess keys, each in the order of the keys.
+/// missing or excess keys. Faults of the last two kinds are found in the order of the keys.
 pub fn verify_coverage(
     map: &VerifiedMap,
     queried: &[KeyRange],
--- a/crates/dunepond-shard-map/src/digest.rs
+++ b/crates/dunepond-shard-map/src/digest.rs
@@ -108,7 +108,8 @@
 }
 
 impl ShardMap {
-    /// Computes the digest of the map's content. It does not depend on the order of segments or on the field `digest`.
+    /// Computes the digest of the map's content. The digest does not depend on the order of segments or on the field
+    /// `digest`.
     pub fn compute_digest(&self) -> String {
         DigestSum::of(&self.segments).digest(self.epoch, &self.hash, self.segments.len())
     }
--- a/crates/dunepond-shard-map/src/fault.rs
+++ b/crates/dunepond-shard-map/src/fault.rs
@@ -36,9 +36,9 @@
     /// The segment that has the fault.
     #[serde(rename = "at")]
     pub segment: SegmentRef,
-    /// The segment before it; `None` at the start of the key space.
+    /// The segment before `segment`; `None` at the start of the key space.
     pub before: Option<SegmentRef>,
-    /// The segment after it; `None` at the end of the key space.
+    /// The segment after `segment`; `None` at the end of the key space.
     pub after: Option<SegmentRef>,
 }
 
--- a/crates/dunepond-shard-map/src/lib.rs
+++ b/crates/dunepond-shard-map/src/lib.rs
@@ -2,8 +2,8 @@
 //! has at most one owner at any time, and the answered parts of a query cover its keys exactly once under one map. The crate
 //! does no input or output.
 //!
-//! Each broker verifies a map itself before acting on it: a gap, an overlap or two owners of a key would lose or repeat work,
-//! and no later layer could detect that.
+//! Each broker verifies a map itself before using it: a gap, an overlap or two owners of a key would lose or repeat
+//! work, and no later layer could detect that.
 //!
 //! [`verify`] turns a [`ShardMap`] into a [`VerifiedMap`] or returns all faults; [`verify_transition`] turns two verified maps
 //! into a [`MapTransition`]; [`verify_delta`] does both for a change of few segments; [`verify_coverage`] checks the answered
--- a/crates/dunepond-shard-map/src/segment_rules.rs
+++ b/crates/dunepond-shard-map/src/segment_rules.rs
@@ -24,9 +24,9 @@
 /// Totals over the replicas of one segment.
 #[derive(Default)]
 struct ReplicaSummary<'a> {
-    /// Nodes of all replicas.
+    /// Names of the nodes of all replicas.
     names: Vec<&'a str>,
-    /// Nodes of the filled replicas.
+    /// Names of the nodes of the filled replicas.
     filled: Vec<&'a str>,
     /// Zones of the filled replicas.
     zones: Vec<&'a str>,
@@ -68,7 +68,8 @@
         faults
     }
 
-    /// Checks one segment. `context` returns the segment and its neighbours, for the faults.
+    /// Checks one segment and adds its faults to `faults`. `context` returns the segment and its neighbours, to be
+    /// reported with a fault.
     pub fn check(
         &self,
         segment: &Segment,
@@ -83,7 +84,7 @@
         for pair in summary.names.windows(2).filter(|pair| pair[0] == pair[1]) {
             faults.push(MapFault::DuplicateReplica { node: pair[0].to_string(), context: context() });
         }
-        // A replica that is listed twice counts once.
+        // A filled replica that is listed twice counts once.
         sort_unique(&mut summary.filled);
         let filled = summary.filled.len();
         if filled < self.min_replicas {
--- a/crates/dunepond-shard-map/src/verified.rs
+++ b/crates/dunepond-shard-map/src/verified.rs
@@ -10,8 +10,8 @@
 use crate::segment_rules::SegmentRules;
 use crate::{KEY_SPACE_END, KeyRange, MapConstraints, MapFault, Node, Segment, ShardMap};
 
-/// A map in which no fault was found by [`crate::verify`] or, as the result of a delta, by [`crate::verify_delta`]. It cannot be
-/// made in any other way. Cheap to clone.
+/// A map in which no fault was found by [`crate::verify`] or, as the result of a delta, by [`crate::verify_delta`]. An
+/// unverified map cannot be turned into a verified one in any other way. Cheap to clone.
 #[derive(Clone)]
 pub struct VerifiedMap {
     pub(crate) epoch: u64,
@@ -124,9 +124,9 @@
             || (!self.filled_since.is_empty() && self.filled_since.contains(&(segment.id, node.to_string())))
     }
 
-    /// Returns the map with a record of replicas (segment id, node) that have been filled since the map was made. The next
-    /// transition counts them as filled; the map's content and digest do not change. Pairs that are not unfilled replicas of the
-    /// map are ignored.
+    /// Returns a copy of the map that records the replicas `filled`, given by segment id and node, as filled since the
+    /// map was made. The next transition counts these replicas as filled; the map's content and digest do not change.
+    /// Pairs that are not unfilled replicas of the map are ignored.
     pub fn with_filled<'a>(&self, filled: impl IntoIterator<Item = (u64, &'a str)>) -> Self {
         let mut map = self.clone();
         for (id, node) in filled {
--- a/crates/dunepond-shard-map/tests/common/mod.rs
+++ b/crates/dunepond-shard-map/tests/common/mod.rs
@@ -27,12 +27,12 @@
     (0..6).map(node).collect()
 }
 
-/// A filled replica on the node with this number.
+/// A filled replica on the node with the number `node`.
 pub fn replica(node: u32, share: f64) -> Replica {
     Replica { node: format!("n{node}"), partner: format!("p{}", node % 2), filled: true, share }
 }
 
-/// A segment with a filled replica on each node, with equal shares and the first node as owner.
+/// A segment with a filled replica on each of `nodes`, with equal shares and the first node as owner.
 pub fn segment(id: u64, from: u32, to: u32, nodes: &[u32]) -> Segment {
     let share = 1.0 / nodes.len() as f64;
     Segment {
--- a/crates/dunepond-shard-map/tests/transitions.rs
+++ b/crates/dunepond-shard-map/tests/transitions.rs
@@ -77,7 +77,7 @@
     let split = split.unwrap();
     assert_eq!(split.owner_of_segment(0, TransitionPhase::Old), Some("n0"));
     assert_eq!(split.owner_of_segment(0, TransitionPhase::New), Some("n0"));
-    // Some of the old keys of segment 0 get another owner.
+    // Some of the old keys of segment 0 get another owner, so the segment has no owner in the joint phase.
     assert_eq!(split.owner_of_segment(0, TransitionPhase::Joint), None);
     assert_eq!(split.owner_of_segment(9, TransitionPhase::Joint), None);
     assert_eq!(split.owner_of_segment(9, TransitionPhase::Old), None);
@@ -110,7 +110,7 @@
 #[test]
 fn keys_keep_a_filled_replica() {
     let at = |id, from, to| SegmentRef { id, keys: keys(from, to) };
-    // All keys of a segment are lost.
+    // All replicas of segment 0 move to other nodes, so no filled replica keeps its keys.
     let faults = transition(|s| s[0] = segment(0, 0, 8, &[4, 5])).unwrap_err();
     assert_eq!(faults, [MapFault::LastReplicaLost { keys: keys(0, 8), old: at(0, 0, 8), new: at(0, 0, 8) }]);
     // Other segments change without a loss; only the segment that loses its replicas is reported.
@@ -251,7 +251,7 @@
     let filled = verified_map.with_filled([(0, "n2"), (0, "n4"), (77, "n2")]);
     let next = verify_transition(&filled, &two).unwrap();
     assert_eq!(next.required_fills(), []);
-    // The fill still counts in a further transition, to a map that states the replica as filled.
+    // The recorded fill still counts in a further transition, to a map that states the replica as filled.
     let mut three = one.clone();
     three.epoch = 3;
     three.segments[0].replicas[2].filled = true;
--- a/crates/dunepond-storage/src/format.rs
+++ b/crates/dunepond-storage/src/format.rs
@@ -41,7 +41,7 @@
     Unreadable(io::ErrorKind),
 }
 
-/// The variable fields of a file's header.
+/// The fields of a file's header, apart from the magic, the kind and the checksum.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Header {
     /// Format version in which the file was written.
--- a/crates/dunepond-storage/src/journal.rs
+++ b/crates/dunepond-storage/src/journal.rs
@@ -53,7 +53,7 @@
     recovered: RecoveredJournal,
     /// Length of the valid content in bytes, including the header.
     valid_bytes: usize,
-    /// `None` if the file does not exist or its header is invalid.
+    /// Header of the file; `None` if the file does not exist or its header is invalid.
     header: Option<Header>,
 }
 
