--- a/crates/dunepond-recovery/tests/restart.rs
+++ b/crates/dunepond-recovery/tests/restart.rs
@@ -73,7 +73,7 @@
         assert_eq!((decision, &restored.learned), (&TrustDecision::Expired, &LearnedState::default()));
     } else {
         assert_eq!(*decision, TrustDecision::Trusted { sample_count, ejected: true });
-        // The newest samples are restored, with their ages increased by the time since the stop.
+        // The newest samples are restored, with their ages increased by the time since the snapshot was captured.
         let first = &restored.learned.nodes[0].samples[0];
         assert!((first.ended_ago - (sample_count as f64 + elapsed.max(0.0))).abs() < 1e-9, "{first:?}");
     }
@@ -96,7 +96,7 @@
     let restored = snapshot().restore(&at(STOPPED_AT), &query_classes(), &listed);
     assert_eq!(restored.nodes[0], ("s-0".to_string(), decision));
     assert!(!restored.learned.nodes.iter().any(|learned| learned.node == 0));
-    // The other nodes are trusted less, since part of the list has changed.
+    // Fewer samples of the other nodes are restored, since the confidence falls as more of the listed nodes change.
     assert_eq!(restored.confidence.unchanged_ratio, 7.0 / 8.0);
     assert_eq!(restored.nodes[1].1, TrustDecision::Trusted { sample_count: 7, ejected: false });
 }
@@ -144,7 +144,7 @@
         outstanding_charges(&records, true, &at(STOPPED_AT + 1.0), &list(8)),
         OutstandingCharges::Known(expected)
     );
-    // A node that was restarted since then has its full slow-start capacity again.
+    // A node that was restarted after the broker stopped has its full slow-start capacity again.
     let mut listed = list(8);
     listed[2].started_at = 700.0;
     let OutstandingCharges::Known(charges) =
@@ -168,7 +168,8 @@
     );
 }
 
-/// The clock is set hours ahead or back between stop and start, while uptime shows that one second has passed.
+/// The Unix clock is set hours ahead or back between the broker's stop and its restart, while the uptime shows that one
+/// second has passed.
 #[rstest]
 #[case::ahead(7200.0)]
 #[case::back(-7200.0)]
@@ -203,7 +204,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against payloads that have a valid checksum and invalid content: they cause no panic and no invalid time.
+    /// Guards against payloads that have a valid checksum but invalid content: decoding them must not panic, and must
+    /// not yield an invalid time.
     #[test]
     fn arbitrary_bytes_are_rejected_or_decoded(bytes in prop::collection::vec(any::<u8>(), 0..200), position in 0..100usize, bits: u8) {
         let mut corrupted = snapshot().encode();
@@ -219,7 +221,7 @@
         }
     }
 
-    /// Confidence never rises with age or with the number of changed nodes.
+    /// The weight of a snapshot never rises with its age, nor with the number of its nodes that are no longer listed.
     #[test]
     fn confidence_only_decreases(elapsed in 0.0..300.0f64, further in 0.0..60.0f64, removed in 0..8usize) {
         let listed = list(8 - removed);
