--- a/crates/dunepond-rebalance/src/action.rs
+++ b/crates/dunepond-rebalance/src/action.rs
@@ -7,7 +7,7 @@
 
 use crate::Operation;
 
-/// The smallest change of a shard map that one version can make.
+/// An elementary change of a shard map. One configuration version carries out one or several actions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
     /// Replaces a segment by several segments that cover its keys.
@@ -36,7 +36,8 @@
         /// Name of the partner that runs the node.
         partner: String,
     },
-    /// Replaces a replica by a filled one, which takes over its reads, and its ownership if it is the owner.
+    /// Replaces a replica by a filled replica on another node. The new replica takes over the old one's share of reads
+    /// and, if the old replica is the owner, the ownership of the segment.
     Switch {
         /// Id of the segment.
         segment: u64,
@@ -63,7 +64,8 @@
     },
 }
 
-/// How a step affects requests while its version is in the joint phase.
+/// How a step affects requests during the joint phase of its configuration version, in which brokers do only what both
+/// the old and the new map allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum StepKind {
     /// Replicas are filled. No owner changes, so a long joint phase is harmless.
@@ -71,12 +73,13 @@
     /// No owner of any key changes and no replica is filled.
     #[serde(rename = "Quiet")]
     MetadataOnly,
-    /// Owners change. During the joint phase, non-idempotent parts for the affected segments are rejected. Such a step
-    /// fills nothing, because the joint phase would last as long as the fills.
+    /// Owners change. During the joint phase, non-idempotent parts for the affected segments are rejected. A step of
+    /// this kind fills no replicas, because the joint phase, and with it the rejections, would last as long as the
+    /// fills.
     Fence,
 }
 
-/// An action and the operation that it belongs to. Serialized as a pair.
+/// An action and the operation that it belongs to. Serialized as a pair of the operation's index and the action.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(usize, Action)", into = "(usize, Action)")]
 pub struct PlannedAction {
@@ -86,7 +89,7 @@
     pub action: Action,
 }
 
-/// Actions that one version carries out together.
+/// Actions that one configuration version carries out together.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ActionBatch {
     /// Kind of all actions in the batch.
@@ -99,31 +102,34 @@
 /// A step of a plan, and the batches that undo it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// Actions of the step, carried out by one version.
+    /// Actions of the step, carried out together by one configuration version.
     #[serde(rename = "wave")]
     pub forward: ActionBatch,
-    /// Batches that undo the step, in order, each carried out by its own version.
+    /// Batches that undo the step, in the order in which they run. Each is carried out by its own configuration
+    /// version.
     #[serde(rename = "back")]
     pub rollback: Vec<ActionBatch>,
 }
 
-/// How many segments of the shard map a version changes.
+/// How many segments of the shard map a configuration version changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChangedSegments {
-    /// Number of removed or of added segments, whichever is larger. A changed segment counts as removed and added.
+    /// Number of removed or of added segments, whichever is larger. A segment that keeps its id but changes its owner
+    /// or replicas counts as removed and added.
     pub changed: usize,
     /// Number of segments in the map before or after the change, whichever is larger.
     pub total: usize,
 }
 
 impl ChangedSegments {
-    /// Whether the changed share of all segments is above `max_ratio`.
+    /// Whether the ratio of changed segments to all segments is above `max_ratio`.
     pub(crate) fn exceeds(self, max_ratio: f64) -> bool {
         self.changed as f64 > max_ratio * self.total as f64
     }
 }
 
-/// Numbers of segments that a change removes from and adds to the map. A changed segment counts as both.
+/// Numbers of segments that a change of the shard map removes and adds. A segment that keeps its id but changes its
+/// owner or replicas counts as removed and added.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SegmentDelta {
     pub removed: usize,
@@ -168,7 +174,7 @@
 }
 
 impl fmt::Display for StepKind {
-    /// Writes the serialized name, which is also part of the `reason` of stored versions.
+    /// Writes the serialized name, which is also part of the `reason` text in stored configuration versions.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Fill => "Fill",
--- a/crates/dunepond-rebalance/src/capacity.rs
+++ b/crates/dunepond-rebalance/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Capacities of nodes, replica groups and partners, and shortages of them.
+//! Capacities of nodes, replica groups and partners, and descriptions of capacities that a step would exceed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -33,7 +33,7 @@
 pub enum CapacityUnit {
     /// Bytes of data.
     Bytes,
-    /// Replicas of segments.
+    /// Number of replicas of segments.
     Segments,
 }
 
@@ -55,7 +55,7 @@
     pub unit: CapacityUnit,
     /// Maximum amount that the plan allows.
     pub capacity: u64,
-    /// Amount in use before the step.
+    /// Amount of the capacity in use before the step.
     pub used: u64,
     /// Amount that the step would add.
     pub added: u64,
--- a/crates/dunepond-rebalance/src/error.rs
+++ b/crates/dunepond-rebalance/src/error.rs
@@ -57,7 +57,7 @@
         operation: usize,
         /// Id of the segment.
         segment: u64,
-        /// Name of the node.
+        /// Name of the node that is both source and destination, or that already owns the segment.
         node: String,
     },
     /// A node's replica group is not listed in the plan.
@@ -128,7 +128,7 @@
         operation: usize,
         /// Id of the segment.
         segment: u64,
-        /// Name of the node.
+        /// Name of the node without a replica.
         node: String,
     },
     /// The node that would get a new replica already has one of this segment.
@@ -138,7 +138,7 @@
         operation: usize,
         /// Id of the segment.
         segment: u64,
-        /// Name of the node.
+        /// Name of the node that already has a replica.
         node: String,
     },
     /// The operation needs filled replicas, and one of the segment's replicas is not filled yet.
@@ -148,7 +148,7 @@
         operation: usize,
         /// Id of the segment.
         segment: u64,
-        /// Name of the node.
+        /// Name of the node whose replica is not filled.
         node: String,
     },
     /// Neither the map nor the plan names the node's partner.
@@ -156,18 +156,18 @@
     UnknownPartner {
         /// Index of the operation in the plan, from 0.
         operation: usize,
-        /// Name of the node.
+        /// Name of the node whose partner is unknown.
         node: String,
     },
-    /// The destination is draining or removed in the active version.
+    /// The node that would get the replica or the ownership is draining or removed in the active configuration version.
     #[error("operation {operation}: node `{node}` is draining or removed in the active version")]
     NodeLeaving {
         /// Index of the operation in the plan, from 0.
         operation: usize,
-        /// Name of the node.
+        /// Name of the draining or removed node.
         node: String,
     },
-    /// One version would change a larger share of the segments than allowed.
+    /// One configuration version would change more of the map's segments than the maximum ratio allows.
     #[error(
         "step {step}, operation {operation}: {changed} of {total} segments would change, the maximum ratio is {max_ratio}"
     )]
@@ -178,12 +178,13 @@
         operation: usize,
         /// Number of segments that would change.
         changed: usize,
-        /// Number of segments in the map.
+        /// Number of segments in the map before or after the change, whichever is larger.
         total: usize,
         /// Maximum ratio of changed segments to all segments.
         max_ratio: f64,
     },
-    /// A capacity would be exceeded in every possible order.
+    /// The step would exceed a capacity. When the steps of a plan are ordered, this means that no order is possible;
+    /// the error is then that of the attempt that got furthest.
     #[error("step {step}, operation {operation}: {shortage}")]
     CapacityExceeded {
         /// Index of the step, from 0.
@@ -193,7 +194,9 @@
         /// The capacity that would be exceeded, and by how much.
         shortage: Box<CapacityShortage>,
     },
-    /// The search for an order visited the maximum number of layouts without finding one; a valid order may exist.
+    /// The search for an order of the plan's actions stopped without a result, because it has visited the maximum
+    /// number of layouts (states of the changed segments). A valid order may exist. The error names where the attempt
+    /// that got furthest failed.
     #[error(
         "no order found after {visited} layouts; the attempt that got furthest failed at step {step}, operation {operation}: {shortage}"
     )]
@@ -247,7 +250,8 @@
         /// Id of the plan.
         id: String,
     },
-    /// A configuration version is proposed and neither active nor withdrawn yet.
+    /// A plan cannot be accepted or a step cannot start, because a configuration version is proposed and neither active
+    /// nor withdrawn yet.
     #[error("version {open} is proposed and neither active nor withdrawn yet")]
     VersionOpen {
         /// Number of the proposed version.
@@ -264,7 +268,8 @@
         /// Number of the plan's current turn; a turn is one started attempt at a step.
         current: u64,
     },
-    /// The plan is paused: no step can start, and a further pause that changes nothing is refused.
+    /// The plan is paused. No step can start, and a further pause is rejected unless an operator's pause replaces one
+    /// for overload.
     #[error("plan `{id}` is paused: {reason}")]
     Paused {
         /// Id of the plan.
@@ -284,15 +289,16 @@
         /// Id of the plan.
         id: String,
     },
-    /// The version number of a step is not the next one; version numbers are consecutive.
+    /// The entry that starts a step names a version number that is not the next one; version numbers are consecutive.
     #[error("the step's version has number {given}, expected {expected}")]
     WrongNumber {
         /// Version number that the entry names.
         given: u64,
-        /// Next version number.
+        /// The version number that has to be used next.
         expected: u64,
     },
-    /// A started step's version has to be proposed before any other version.
+    /// Another version was proposed although a step has started: the step's version has to be proposed before any other
+    /// version.
     #[error(
         "turn {turn} of plan `{id}` has started as version {number}, which must be proposed before any other version"
     )]
--- a/crates/dunepond-rebalance/src/layout/changes.rs
+++ b/crates/dunepond-rebalance/src/layout/changes.rs
@@ -120,7 +120,7 @@
         let mut new = Segment::clone(self.segment(operation, segment)?);
         let (to_position, from_position) = (position(operation, &new, to)?, position(operation, &new, from)?);
         let mut replica = new.replicas.remove(to_position);
-        // Removing the new replica moves the replicas after it forward by one.
+        // Removing the new replica reduces the index of each replica after it by one.
         let from_position = from_position - usize::from(to_position < from_position);
         replica.filled = true;
         replica.share += new.replicas[from_position].share;
--- a/crates/dunepond-rebalance/src/layout/mod.rs
+++ b/crates/dunepond-rebalance/src/layout/mod.rs
@@ -1,4 +1,5 @@
-//! Layout: the segments that a plan changes, with their owners and replicas after some of its actions.
+//! Layout: the segments that a plan changes, with the owners and replicas that they have after some of the plan's
+//! actions.
 
 mod changes;
 
@@ -14,7 +15,7 @@
     removed: Vec<Arc<Segment>>,
     /// Ids of the segments that the action added.
     added: Vec<u64>,
-    /// Pending flag of the segment before the action, if the action set it.
+    /// Pending flag that the segment had before the action; `None` if the action sets no flag.
     previous_pending: Option<PendingFlag>,
 }
 
@@ -30,18 +31,19 @@
     }
 }
 
-/// Whether a segment has a replica that was filled and still waits for its switch.
+/// Whether a segment has a replica that a fill has added and that no switch has put into use yet.
 #[derive(Clone, Copy)]
 struct PendingFlag {
     segment: u64,
     is_pending: bool,
 }
 
-/// Result of an action before it is applied.
+/// Effect of an action on the layout, computed but not yet applied.
 struct Change {
     /// Segments that replace those that the action names.
     added: Vec<Segment>,
-    /// Whether the segment now waits for the switch to a filled replica, if the action sets this.
+    /// Whether the segment waits for the switch to a filled replica after the action; `None` if the action does not
+    /// change this.
     pending: Option<PendingFlag>,
 }
 
@@ -62,8 +64,8 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Layout {
     segments: BTreeMap<u64, Arc<Segment>>,
-    /// Ids of segments with a replica that the plan has filled, but that has neither replaced an old replica by a
-    /// switch nor been removed yet.
+    /// Ids of the segments with a replica that a fill has added and that was neither put into use by a switch nor
+    /// removed yet.
     pending: BTreeSet<u64>,
 }
 
@@ -107,8 +109,9 @@
         self.get(segment).is_some_and(|segment| segment.owner == node)
     }
 
-    /// The action that undoes `action`, computed before it is applied. A switch back also needs a fill first, which is
-    /// not included. `None` for [`Action::RemoveReplica`], or if a segment that the inverse needs is missing.
+    /// The action that undoes `action`. Has to be called before `action` is applied. A switch can be undone only after
+    /// its old replica was filled again; that fill is not included. `None` for [`Action::RemoveReplica`], or if a
+    /// segment that the inverse needs is missing.
     pub fn inverse(&self, action: &Action) -> Option<Action> {
         Some(match action {
             Action::Split { segment, into, .. } => Action::Merge { segments: into.clone(), into: *segment },
@@ -146,8 +149,8 @@
         Ok(self.replace(action, change))
     }
 
-    /// Checks that no segment of the action waits for the switch to a filled replica; until then only that switch and
-    /// the replica's removal are possible.
+    /// Checks that no segment of the action waits for the switch to a filled replica. While a segment waits, only that
+    /// switch and the removal of the replica are possible.
     fn check_not_pending(&self, operation: usize, action: &Action) -> Result<(), RebalanceError> {
         if matches!(action, Action::Switch { .. } | Action::RemoveReplica { .. }) {
             return Ok(());
@@ -165,7 +168,7 @@
         self.get(segment).ok_or(RebalanceError::UnknownSegment { operation, segment })
     }
 
-    /// Replaces the segments that the action names by those of the change.
+    /// Replaces the segments that the action names by those that the change adds.
     fn replace(&mut self, action: &Action, change: Change) -> AppliedChange {
         let removed = action.segments().iter().filter_map(|id| self.segments.remove(id)).collect();
         let previous_pending = change.pending.map(|flag| self.set_pending(flag));
--- a/crates/dunepond-rebalance/src/load.rs
+++ b/crates/dunepond-rebalance/src/load.rs
@@ -1,5 +1,5 @@
-//! Bytes and segments that each node holds. Bytes are counted by key ranges that no operation of the plan splits, so
-//! that the sums are the same whichever segments are split and merged.
+//! Loads of nodes in bytes and in segments. Bytes are counted per key range that no operation of the plan splits, so
+//! that a node's bytes do not depend on which segments were split or merged before.
 
 use std::collections::BTreeMap;
 
@@ -14,14 +14,16 @@
 pub(crate) struct RangeBytes(BTreeMap<u64, u64>);
 
 impl RangeBytes {
-    /// Ranges of the segments that the plan changes. The bytes of a segment are divided by the width of the ranges.
+    /// Computes the ranges of the segments that the plan changes. The bytes of a segment are distributed over its
+    /// ranges in proportion to their widths.
     pub fn new<'a>(plan: &Plan, changed: impl Iterator<Item = &'a Segment>) -> Self {
         let split_keys = all_split_keys(plan);
         let mut bytes = BTreeMap::new();
         for segment in changed {
             let keys = segment.keys;
             let (total, width) = (segment_bytes(plan, segment.id), keys.end() - u128::from(keys.from));
-            // Differences of the bytes before each edge, so that rounding does not change the sum.
+            // A range has the difference of the bytes before its two edges, so that rounding does not change the
+            // segment's sum.
             let bytes_before = |edge: u128| scaled(total, edge - u128::from(keys.from), width);
             for range in range_edges(keys, &split_keys).windows(2) {
                 bytes.insert(range[0] as u64, bytes_before(range[1]) - bytes_before(range[0]));
@@ -50,7 +52,8 @@
     keys
 }
 
-/// First key of the range, the split keys inside it, and its end (exclusive).
+/// Edges of the ranges into which `split_keys` divide `keys`: the first key, the split keys inside, and the end
+/// (exclusive).
 fn range_edges(keys: KeyRange, split_keys: &[u64]) -> Vec<u128> {
     let first = split_keys.partition_point(|key| *key <= keys.from);
     let mut edges = vec![u128::from(keys.from)];
@@ -70,12 +73,13 @@
     (u128::from(total) * part / whole) as u64
 }
 
-/// Bytes of a segment of the active map, as the plan states them.
+/// Bytes of a segment of the active map: the size that the plan gives for the segment, otherwise the plan's default
+/// size.
 fn segment_bytes(plan: &Plan, segment: u64) -> u64 {
     plan.sizes.segment_bytes.get(&segment).copied().unwrap_or(plan.sizes.default_bytes)
 }
 
-/// Data that a node, replica group or partner holds.
+/// Amount of data that a node, replica group or partner stores.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Load {
     pub bytes: u64,
@@ -98,7 +102,7 @@
 }
 
 impl Capacity {
-    /// Maximum amount in this unit, if it is bounded.
+    /// Maximum amount in this unit; `None` if it is unbounded.
     fn limit(&self, unit: CapacityUnit) -> Option<u64> {
         match unit {
             CapacityUnit::Bytes => self.bytes,
@@ -136,7 +140,7 @@
 pub(crate) struct NodeLoads(BTreeMap<String, Load>);
 
 impl NodeLoads {
-    /// Loads from the segments that no operation changes.
+    /// Loads of the nodes from the segments that no operation of the plan changes.
     pub fn of_unchanged(plan: &Plan, map: &VerifiedMap, is_changed: impl Fn(u64) -> bool) -> Self {
         let mut loads = Self::default();
         for segment in map.segments().filter(|segment| !is_changed(segment.id)) {
@@ -157,14 +161,14 @@
         self.0.entry(node.to_string()).or_default().add(load);
     }
 
-    /// Replaces the load before the change by the load after it.
+    /// Replaces the load that the node had from the changed segments before the action by the load after it.
     pub fn apply(&mut self, change: &LoadChange) {
         let load = self.0.entry(change.node.clone()).or_default();
         load.bytes = load.bytes.saturating_sub(change.before.bytes).saturating_add(change.after.bytes);
         load.segments = (load.segments + change.after.segments).saturating_sub(change.before.segments);
     }
 
-    /// Sum of both, node by node.
+    /// Sum of these loads and `other`, node by node.
     pub fn plus(mut self, other: &Self) -> Self {
         for (node, load) in &other.0 {
             self.add(node, *load);
@@ -172,14 +176,14 @@
         self
     }
 
-    /// Whether none of these nodes, their replica groups and their partners has a capacity.
+    /// Whether the plan sets no capacity for any of these nodes, their replica groups and their partners.
     pub fn is_unbounded(&self, limits: &CapacityLimits) -> bool {
         let mut scopes = self.0.keys().flat_map(|node| limits.scopes(node));
         scopes.all(|scope| limits.capacity(&scope) == Capacity::default())
     }
 
-    /// The first capacity that these loads together with `added` exceed. Nodes are checked before replica groups, and
-    /// these before partners, each by name. `freed_by` is empty; the caller sets it.
+    /// The first capacity that these loads together with `added` exceed. Nodes are checked first, then replica groups,
+    /// then partners, each in the order of their names. In the result `freed_by` is empty; the caller sets it.
     pub fn shortage(&self, added: &Self, limits: &CapacityLimits) -> Option<CapacityShortage> {
         let mut scopes: Vec<CapacityScope> = added.0.keys().flat_map(|node| limits.scopes(node)).collect();
         scopes.sort_unstable();
@@ -187,7 +191,8 @@
         scopes.into_iter().find_map(|scope| self.shortage_of(scope, added, limits))
     }
 
-    /// Shortage of the capacity of one scope. Only a unit in which `added` is not 0 can be short.
+    /// Shortage of the scope's capacity; `None` if the capacity suffices. Only units in which `added` is not 0 are
+    /// checked, so a load that already exceeds its capacity is not reported unless it grows.
     fn shortage_of(
         &self,
         scope: CapacityScope,
--- a/crates/dunepond-rebalance/src/ordering/batching.rs
+++ b/crates/dunepond-rebalance/src/ordering/batching.rs
@@ -11,7 +11,7 @@
 #[derive(Default)]
 struct Draft {
     applied: Vec<AppliedAction>,
-    /// Load that the actions add.
+    /// Load that the actions of the draft add to nodes.
     added: NodeLoads,
     segment_delta: SegmentDelta,
     /// Ids of the segments that the actions replace, change or add.
@@ -19,8 +19,8 @@
 }
 
 impl PlanSimulation<'_> {
-    /// A batch of the next action of operation `first` and of further actions of the same kind, within the capacities
-    /// and limits, after which the rest of the plan can still be carried out.
+    /// Chooses the next action of operation `first` and further actions of the same kind. The batch stays within the
+    /// capacities and limits, and the rest of the plan can still be carried out after it.
     pub fn choose_batch(&mut self, first: usize, step: usize) -> ActionBatch {
         let first_action = self.next_action(first).expect("operation `first` is unfinished");
         let kind = self.layout.kind(&first_action);
@@ -34,8 +34,8 @@
         ActionBatch { kind, actions }
     }
 
-    /// Operations whose next actions can run in one step with that of `first`, which comes first in the result. Only
-    /// `first` if the plan could not be finished after the larger batch.
+    /// Operations whose next actions can run in one step with that of `first`, which comes first in the result. Returns
+    /// only `first` if the rest of the plan could not be carried out after the larger batch.
     fn compatible_operations(&mut self, first: usize, kind: StepKind, step: usize) -> Vec<usize> {
         let segment_count = self.segment_count;
         let mut draft = Draft::default();
@@ -58,14 +58,14 @@
         if self.can_finish_after(draft.applied, step) { operations } else { vec![first] }
     }
 
-    /// Whether the action can be added to the draft: it is of this kind, keeps the limits and changes no segment of the
-    /// draft. Capacities are not checked here.
+    /// Whether the action can be added to the draft: it is of this kind, stays within the limits and changes no segment
+    /// that the draft changes or adds. Capacities are checked by [`PlanSimulation::apply`].
     fn is_compatible(&self, draft: &Draft, action: &Action, kind: StepKind, segment_count: usize) -> bool {
         let changed = draft.segment_delta.plus(action.segment_delta()).changed_segments(segment_count);
         draft.applied.len() < self.limits.max_actions.max(1)
             && !changed.exceeds(self.limits.max_changed_ratio)
             && self.layout.kind(action) == kind
-            // A step changes each segment at most once, and no segment that the step itself adds.
+            // A step changes each segment at most once, and never a segment that it adds itself.
             && action.segments().iter().all(|id| !draft.touched.contains(id))
     }
 
@@ -101,7 +101,8 @@
         Ok(())
     }
 
-    /// Applies a batch and returns the step with its rollback. A batch that fails may be left partly applied.
+    /// Applies a batch and returns the step with its rollback. If an action of the batch fails, the actions before it
+    /// stay applied.
     pub fn execute(&mut self, batch: ActionBatch, step: usize) -> Result<Step, RebalanceError> {
         let changed = batch.changed_segments(self.segment_count);
         let (max_ratio, operation) = (self.limits.max_changed_ratio, batch.actions[0].operation);
@@ -121,8 +122,8 @@
         Ok(Step { forward: batch, rollback })
     }
 
-    /// Batches that undo a batch which is not applied yet. A node that a switch replaces is filled again before the
-    /// switch back, because it misses later writes.
+    /// Batches that undo `batch`. Has to be called before `batch` is applied. A replica that a switch removes is filled
+    /// again before the switch back, because it misses the writes after the switch.
     fn rollback(&self, batch: &ActionBatch) -> Vec<ActionBatch> {
         let (mut fills, mut inverses) = (Vec::new(), Vec::new());
         for PlannedAction { operation, action } in &batch.actions {
--- a/crates/dunepond-rebalance/src/ordering/mod.rs
+++ b/crates/dunepond-rebalance/src/ordering/mod.rs
@@ -17,7 +17,7 @@
     /// Maximum number of actions in one step, and so of replicas that a step fills at once; 0 counts as 1.
     #[serde(rename = "at_once")]
     pub max_actions: usize,
-    /// Maximum ratio of changed segments to all segments in one version, from 0 to 1.
+    /// Maximum ratio of the segments that one configuration version changes to all segments of the map, from 0 to 1.
     #[serde(rename = "most_changed")]
     pub max_changed_ratio: f64,
 }
@@ -26,7 +26,8 @@
 /// removed. The same arguments always give the same steps.
 ///
 /// # Errors
-/// No order was found. The error is that of the attempt that got furthest, with its step and operation.
+/// The plan is invalid, or no order was found. In the second case the error is that of the attempt that got furthest,
+/// with its step and operation.
 pub fn order_steps(
     plan: &Plan,
     map: &VerifiedMap,
@@ -48,11 +49,12 @@
     Ok(steps)
 }
 
-/// Checks that `steps` carry out the whole plan, and that each step keeps the capacities and limits. Voters call this
-/// for steps that another broker ordered; it needs no search.
+/// Checks that `steps` carry out the whole plan, and that each step stays within the capacities and limits. Voters call
+/// this for steps that another broker ordered; it needs no search.
 ///
 /// # Errors
-/// The first step that is not valid.
+/// The plan is invalid, a step is invalid (the first such step is reported), or the steps end before all operations of
+/// the plan are done.
 pub fn verify_steps(
     plan: &Plan,
     steps: &[Step],
--- a/crates/dunepond-rebalance/src/ordering/search.rs
+++ b/crates/dunepond-rebalance/src/ordering/search.rs
@@ -17,7 +17,7 @@
     dead_ends: HashSet<LayoutKey>,
     /// Number of layouts that the current search visited.
     visited: usize,
-    /// The attempt of the current search that got furthest.
+    /// The failed attempt of the current search that got furthest.
     furthest: Option<FailedAttempt>,
 }
 
@@ -34,17 +34,20 @@
     error: RebalanceError,
 }
 
-/// How far an attempt got. The error of the greatest one is reported, as it explains best why no order was found.
+/// How far an attempt at an order got. The error of the attempt with the greatest progress is reported, as it explains
+/// best why no order was found.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct AttemptProgress {
     done_actions: usize,
-    /// Whether a capacity was short. Other errors mostly mean that an action has to wait for another operation.
+    /// Whether the attempt failed because it would exceed a capacity. Such errors rank above others, which mostly mean
+    /// that an action has to wait for another operation.
     is_capacity: bool,
 }
 
 impl PlanSimulation<'_> {
-    /// Finds an order for all remaining actions: an operation's index for each action. Otherwise returns the error of
-    /// the attempt that got furthest. Each action counts as one step here, the first as `step`.
+    /// Finds an order of all remaining actions. The result contains, for each action, the index of its operation. If
+    /// there is no order, returns the error of the attempt that got furthest. In this error each action counts as one
+    /// step; `step` is the index of the first one.
     pub fn find_order(&mut self, step: usize) -> Result<Vec<usize>, RebalanceError> {
         self.search.furthest = None;
         let mut order = Vec::new();
@@ -70,7 +73,7 @@
     }
 
     /// Starts a search with a new count of visited layouts, and returns whether all remaining actions can be carried
-    /// out. The operations are appended to `order`.
+    /// out. If they can, the indexes of their operations are appended to `order`.
     pub fn start_search(&mut self, step: usize, order: &mut Vec<usize>) -> bool {
         self.search.visited = 0;
         self.search_from(step, order)
@@ -125,8 +128,9 @@
         candidates
     }
 
-    /// Whether the action that was just applied cannot block another action: it is a switch, for which other actions on
-    /// the segment have to wait anyway, or it uses no bounded capacity and no other operation names its segments.
+    /// Whether the action that was just applied cannot block another action. This holds for a switch, because other
+    /// actions on its segment have to wait for it anyway. It also holds for an action that uses no bounded capacity and
+    /// whose segments are named by no other operation.
     fn is_independent(&self, applied: &AppliedAction) -> bool {
         let operation = applied.operation;
         let is_switch = self.actions[operation].len() == 2 && self.done[operation] == 2;
@@ -170,7 +174,8 @@
     }
 }
 
-/// Whether both errors are short capacities and the shortage of the first is smaller. Units are not compared.
+/// Whether both errors are capacity shortages and the amount missing in `error` is smaller. The amounts are compared as
+/// plain numbers, even if one is in bytes and the other in segments.
 fn has_smaller_shortage(error: &RebalanceError, other: &RebalanceError) -> bool {
     match (error, other) {
         (
--- a/crates/dunepond-rebalance/src/ordering/simulation.rs
+++ b/crates/dunepond-rebalance/src/ordering/simulation.rs
@@ -1,4 +1,4 @@
-//! Simulates the plan: its segments and the loads of nodes after some of its actions.
+//! Simulates a plan: the segments that it changes, and the loads of nodes, after some of its actions.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -16,7 +16,7 @@
     pub plan: &'a Plan,
     map: &'a VerifiedMap,
     pub limits: StepLimits,
-    /// Actions of each operation, in the order in which they are done.
+    /// Actions of each operation, by the operation's index and in the order in which they are carried out.
     pub actions: Vec<Vec<Action>>,
     /// Number of actions of each operation that are done.
     pub done: Vec<u8>,
@@ -129,7 +129,8 @@
             return Err(RebalanceError::TooManyChanges { step, operation, changed, total, max_ratio });
         }
         let map = self.map;
-        // Ids of the active map stay in use even after their segments were replaced; only a rollback brings them back.
+        // Segment ids of the active map stay reserved after their segments were replaced; only a rollback may create
+        // segments with these ids again.
         let change = self.layout.apply(operation, &action, |id| map.contains_segment(id))?;
         let loads = self.load_changes(&change);
         let added = increases(&loads);
@@ -145,7 +146,7 @@
         Ok(AppliedAction { change, operation, loads, previous_segment_count, added })
     }
 
-    /// The first capacity that `added` exceeds together with the load that the same step adds otherwise.
+    /// The first capacity that would be exceeded by `added` and the load that earlier actions of the same step add.
     fn shortage(&self, added: &NodeLoads, added_in_step: &NodeLoads) -> Option<CapacityShortage> {
         if self.ignore_capacities {
             return None;
@@ -153,7 +154,8 @@
         self.loads.shortage(&added_in_step.clone().plus(added), &self.capacities)
     }
 
-    /// Loads of nodes from the segments that the change removes (before) and adds (after).
+    /// For each affected node, its load from the segments that the change removes (`before`) and from those that it
+    /// adds (`after`).
     fn load_changes(&self, change: &AppliedChange) -> Vec<LoadChange> {
         let mut changes = Vec::new();
         for segment in change.removed() {
@@ -165,7 +167,7 @@
         changes
     }
 
-    /// Adds the segment to one side, before or after, of the changes of all nodes that have a replica.
+    /// Adds the segment's load to one side (`before` or `after`) of the load change of each node that has a replica.
     fn add_loads(
         &self,
         changes: &mut Vec<LoadChange>,
@@ -188,7 +190,7 @@
         applied.loads.iter().for_each(|change| self.loads.apply(change));
     }
 
-    /// Undoes the action that was applied last; its loads must be committed.
+    /// Undoes the action that was applied last. Its loads must have been committed by [`PlanSimulation::commit_loads`].
     pub fn revert(&mut self, applied: AppliedAction) {
         applied.loads.iter().for_each(|change| self.loads.apply(&change.inverse()));
         self.layout.revert(applied.change);
@@ -236,7 +238,8 @@
     uses.into_iter().filter(|(_, count)| *count > 1).map(|(id, _)| id).collect()
 }
 
-/// Actions of each operation. Fails if a destination is excluded or the partner of a move's destination is unknown.
+/// Actions of each operation. Fails if a destination is draining or removed (`is_excluded`), or if the partner of a
+/// move's destination is unknown.
 fn actions_of(
     plan: &Plan,
     capacities: &CapacityLimits,
--- a/crates/dunepond-rebalance/src/overload.rs
+++ b/crates/dunepond-rebalance/src/overload.rs
@@ -22,7 +22,8 @@
     /// Latest report of each broker, by the broker's name.
     reports: BTreeMap<String, OverloadReport>,
     is_overloaded: bool,
-    /// Time since which the ratio has met the threshold for leaving the current state.
+    /// Time since which the ratio of overloaded brokers has met the threshold for a change of `is_overloaded`; `None`
+    /// while it does not meet the threshold.
     threshold_met_since: Option<f64>,
 }
 
@@ -48,7 +49,7 @@
     }
 
     /// Drops reports older than `max_age` seconds, and returns whether plans have to pause. Has to be called regularly,
-    /// as a change of state is only noticed here.
+    /// as no other method detects that plans have to pause or may resume.
     pub fn update(&mut self, now: f64, max_age: f64) -> bool {
         self.reports.retain(|_, report| now - report.received_at <= max_age);
         let ratio = self.overloaded_ratio();
--- a/crates/dunepond-rebalance/src/overload/tests/mod.rs
+++ b/crates/dunepond-rebalance/src/overload/tests/mod.rs
@@ -26,7 +26,8 @@
 #[test]
 fn result_changes_only_after_the_minimum_time() {
     assert_eq!(changes(|now| (10.0..20.0).contains(&now)), [(11.0, true), (25.0, false)]);
-    // Overload in the first half of each second lasts too short to pause plans, and too long to resume them.
+    // If brokers report overload in the first half of each second only, running plans do not pause, and paused plans do
+    // not resume.
     assert_eq!(changes(|now| now.fract() < 0.5), []);
     assert_eq!(changes(|now| now < 5.0 || now.fract() < 0.5), [(1.0, true)]);
 }
--- a/crates/dunepond-rebalance/src/plan.rs
+++ b/crates/dunepond-rebalance/src/plan.rs
@@ -7,10 +7,10 @@
 
 use crate::{MAX_OPERATION_COUNT, RebalanceError};
 
-/// Bytes of a segment if the plan gives no size; the same default as for fills in the operator's file.
+/// Size of a segment in bytes if the plan gives none. Fills have the same default in the operator's file.
 const DEFAULT_SEGMENT_BYTES: u64 = 64 << 20;
 
-/// A change that the operator asks for. Ids of new segments must never have been used before.
+/// A change of the shard map that the operator asks for. Ids of new segments must never have been used before.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Operation {
@@ -31,7 +31,7 @@
         /// Id of the new segment.
         into: u64,
     },
-    /// Moves a replica to another node, and with it the ownership if the replica is the owner.
+    /// Moves a replica to another node. If the old node owns the segment, the new node becomes the owner.
     Move {
         /// Id of the segment.
         segment: u64,
@@ -64,7 +64,7 @@
     Withdraw,
 }
 
-/// Maximum amount of data that a node, replica group or partner may hold. An amount that is not given is not bounded.
+/// Maximum amount of data that a node, replica group or partner may hold. An amount that is missing is unbounded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Capacity {
@@ -83,7 +83,8 @@
     /// Name of the partner that runs the node. Required for a node without a replica in the active map.
     #[serde(default)]
     pub partner: Option<String>,
-    /// Name of the node's replica group, which the plan then has to list; needed if the group has a capacity.
+    /// Name of the node's replica group. Needed only if the group has a capacity; the plan then has to list the group
+    /// in [`Plan::replica_groups`].
     #[serde(default, rename = "cell")]
     pub replica_group: Option<String>,
     /// Capacity of the node alone; those of its replica group and its partner apply as well.
@@ -91,8 +92,8 @@
     pub capacity: Capacity,
 }
 
-/// Sizes of segments. A split divides the size in proportion to the widths of the key ranges, as hashed keys are spread
-/// evenly.
+/// Sizes of segments. A split divides the size in proportion to the widths of the new key ranges, because hashed keys
+/// are spread evenly.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SegmentSizes {
@@ -118,7 +119,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Id of the plan; never used again, however the plan ends.
+    /// Id of the plan. Another plan must not use it again, however this plan ends.
     pub id: String,
     /// Name of the operator who proposes the plan.
     #[serde(rename = "who")]
@@ -129,8 +130,8 @@
     /// State that the operator wants the plan to be in.
     #[serde(default, rename = "word")]
     pub desired_state: DesiredState,
-    /// Whether operations are carried out in the order of the file. If not, any order that keeps the capacities may be
-    /// used.
+    /// Whether operations are carried out in the order of the file. If not, any order that stays within the capacities
+    /// may be used.
     #[serde(default)]
     pub ordered: bool,
     /// Operations to carry out, from 1 to [`MAX_OPERATION_COUNT`].
@@ -164,10 +165,10 @@
         Ok(plan)
     }
 
-    /// Checks everything that does not depend on a map.
+    /// Checks the plan as far as this is possible without a shard map.
     ///
     /// # Errors
-    /// The first fault found in the document.
+    /// The first fault found in the plan.
     pub fn validate(&self) -> Result<(), RebalanceError> {
         if self.id.is_empty() {
             return Err(RebalanceError::MissingId);
@@ -199,8 +200,8 @@
 }
 
 impl Operation {
-    /// Checks the operation without regard to other operations. `index`: of the operation in the plan, from 0; used in
-    /// errors.
+    /// Checks the operation without regard to other operations. `index`: index of the operation in the plan, from 0,
+    /// for use in errors.
     fn validate(&self, index: usize) -> Result<(), RebalanceError> {
         match self {
             Self::Split { segment, split_keys, into } => {
--- a/crates/dunepond-rebalance/src/progress/apply.rs
+++ b/crates/dunepond-rebalance/src/progress/apply.rs
@@ -1,4 +1,4 @@
-//! Applies committed entries and outcomes of versions to the progress.
+//! Applies committed log entries and the outcomes of configuration versions to [`PlanProgress`].
 
 use super::{
     CommittedEntry, EndedPlan, PauseReason, PlanOutcome, PlanProgress, RebalanceContext, RunningPlan,
@@ -52,7 +52,8 @@
         }
         running.withdrawal = Some(withdrawal);
         running.failed_attempts = 0;
-        // A step that is not proposed releases its version number; if the version is proposed later, it is refused.
+        // A step whose version is not proposed yet releases the version number. If the version is proposed later, it is
+        // rejected.
         let is_unproposed = |step: &mut StartedStep| context.open_version != Some(step.number);
         if let Some(step) = running.started.take_if(is_unproposed) {
             self.abandoned.push(step);
@@ -111,8 +112,7 @@
     /// Counts a failed attempt at the step whose version was withdrawn, and pauses the plan after [`MAX_STEP_ATTEMPTS`]
     /// of them.
     fn on_step_withdrawn(&mut self, reason: &str) {
-        // Not a failure of the step if fills were held back by a pause, or if the plan's withdrawal withdrew the
-        // version.
+        // The step has not failed if a pause delayed its fills, or if the version was withdrawn because the plan was.
         let is_withdrawn_with_plan = self.withdrawal.is_some() && self.rollback.is_none();
         if self.pause.is_some() || is_withdrawn_with_plan {
             return;
--- a/crates/dunepond-rebalance/src/progress/check.rs
+++ b/crates/dunepond-rebalance/src/progress/check.rs
@@ -1,4 +1,4 @@
-//! Checks entries against the current progress.
+//! Checks log entries about plans against the current progress.
 
 use super::{CommittedEntry, PauseReason, PlanProgress, RebalanceContext, ResumeTrigger};
 use crate::{Plan, RebalanceError, Step, StepLimits, verify_steps};
@@ -48,7 +48,8 @@
         }
         let limits = StepLimits { max_actions, max_changed_ratio: context.max_changed_ratio };
         let map = context.active_map.ok_or(RebalanceError::NoMap)?;
-        // The proposer has checked for excluded nodes. A switch to one would not give a valid version.
+        // The proposer has checked that no destination is draining or removed, so this is not checked again. A switch
+        // to such a node would not give a valid version.
         verify_steps(plan, steps, map, limits, |_| false)
     }
 
@@ -87,8 +88,8 @@
         Ok(())
     }
 
-    /// Only an operator's pause can replace another pause, and only one for overload, so that it lasts beyond the
-    /// overload.
+    /// A paused plan can be paused again only by an operator, and only if it is paused for overload. The operator's
+    /// pause then replaces the pause for overload and lasts beyond the overload.
     fn check_paused(&self, plan: &str, reason: &PauseReason) -> Result<(), RebalanceError> {
         match (&self.running(plan)?.pause, reason) {
             (None, _) | (Some(PauseReason::Overload { .. }), PauseReason::Operator { .. }) => Ok(()),
@@ -98,7 +99,7 @@
         }
     }
 
-    /// An operator can end every pause, the end of an overload only a pause for overload.
+    /// An operator can end any pause. The end of an overload can end only a pause for overload.
     fn check_resumed(&self, plan: &str, trigger: &ResumeTrigger) -> Result<(), RebalanceError> {
         match (&self.running(plan)?.pause, trigger) {
             (Some(PauseReason::Overload { .. }), _) | (Some(_), ResumeTrigger::Operator(_)) => Ok(()),
--- a/crates/dunepond-rebalance/src/progress/entry.rs
+++ b/crates/dunepond-rebalance/src/progress/entry.rs
@@ -33,8 +33,8 @@
         #[serde(rename = "who")]
         name: String,
     },
-    /// A step's version was withdrawn [`MAX_STEP_ATTEMPTS`](crate::MAX_STEP_ATTEMPTS) times, or could not be made or
-    /// was rejected.
+    /// The configuration version of a step was withdrawn [`MAX_STEP_ATTEMPTS`](crate::MAX_STEP_ATTEMPTS) times, could
+    /// not be created, or was rejected.
     #[serde(rename = "Failed")]
     StepFailed {
         /// The last error, as text.
@@ -53,21 +53,22 @@
         plan: Box<Plan>,
         /// Steps of the plan, in the order in which they run.
         steps: Vec<Step>,
-        /// Maximum number of actions in one step, which the steps keep.
+        /// Maximum number of actions in one step, against which voters verify `steps`.
         #[serde(rename = "at_once")]
         max_actions: usize,
     },
-    /// The plan's current step is assigned this version number and map digest. No other version may be proposed before
-    /// it.
+    /// The plan's current step is started: its configuration version gets this number and map digest. No other version
+    /// may be proposed before this one.
     #[serde(rename = "Begun")]
     StepStarted {
         /// Id of the plan.
         plan: String,
-        /// Turn of the plan when the entry was proposed; a late entry has an earlier turn than the plan.
+        /// Turn of the plan (one started attempt at a step) when the entry was proposed. The entry is rejected as late
+        /// if the plan is at another turn when it is committed.
         turn: u64,
-        /// Number of the version.
+        /// Number of the step's configuration version.
         number: u64,
-        /// Digest of the version's map.
+        /// Digest of the shard map after the step.
         digest: String,
     },
     /// The plan is paused: no further step starts.
--- a/crates/dunepond-rebalance/src/progress/mod.rs
+++ b/crates/dunepond-rebalance/src/progress/mod.rs
@@ -1,13 +1,14 @@
-//! Progress of a plan, which is the same at all voters. It is updated by committed entries and by outcomes of versions,
-//! and yields the leader's next action.
+//! Progress of a plan, which is the same at all voters. Committed log entries and the outcomes of configuration
+//! versions update it, and the leader derives its next action from it.
 //!
-//! A step is *started* when an entry with the number of its version and the digest of its map is committed. The version
-//! is then proposed. During its joint phase replicas are filled, or, where owners change, non-idempotent parts are
+//! A step is *started* when an entry with the number of the step's configuration version and the digest of the
+//! version's map is committed. The version is then proposed. During the joint phase of the version (brokers do only
+//! what both the old and the new map allow), replicas are filled or, where owners change, non-idempotent parts are
 //! rejected. The entry that activates the version also marks the step as *done*.
 //!
-//! A withdrawn plan is undone. If the current step is started but not proposed, its number is released; if its version
-//! is proposed, the version is withdrawn; steps that are done are undone by further versions. Each turn has one
-//! version, and the turn number increases once for each version, whoever leads.
+//! A withdrawn plan is undone. If the version of the current step has a number but is not proposed, the number is
+//! released; if the version is proposed, it is withdrawn. Further versions undo the steps that are done. A *turn* is
+//! one started attempt at a step and has one version. Turns are numbered per plan, whoever leads.
 
 mod apply;
 mod check;
@@ -34,24 +35,24 @@
     /// Plans that have ended, oldest first; at most [`MAX_ENDED_PLANS`](crate::MAX_ENDED_PLANS).
     pub ended: VecDeque<EndedPlan>,
     /// Steps that were abandoned after they were started and before their versions were proposed. A proposal of such a
-    /// version may still arrive and is refused.
+    /// version may still arrive and is rejected.
     #[serde(rename = "given_up")]
     abandoned: Vec<StartedStep>,
 }
 
-/// The part of the replicated state outside the plan against which entries are checked and applied.
+/// Replicated state outside [`PlanProgress`] that is needed to check and apply entries about plans.
 pub struct RebalanceContext<'a> {
-    /// Number of the version that is proposed and neither active nor withdrawn, if there is one.
+    /// Number of the configuration version that is proposed and neither active nor withdrawn, if there is one.
     pub open_version: Option<u64>,
     /// Highest version number used so far.
     pub highest_version: u64,
     /// The active map; `None` before the first version with a map.
     pub active_map: Option<&'a VerifiedMap>,
-    /// Maximum ratio of changed segments to all segments in one version, from 0 to 1.
+    /// Maximum ratio of the segments that one configuration version changes to all segments of the map, from 0 to 1.
     pub max_changed_ratio: f64,
 }
 
-/// How a version ended.
+/// How a configuration version ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionEnd<'a> {
     /// The version became active.
@@ -72,12 +73,12 @@
         self.running.as_ref()?.started.as_ref()
     }
 
-    /// Checks whether a version may be proposed while the plan runs. `new_map`: digest of the version's map, if the map
-    /// differs from the active one.
+    /// Checks whether the configuration version with this number may be proposed, given the running plan and the
+    /// abandoned steps. `new_map`: digest of the version's map, if the map differs from the active one.
     ///
     /// # Errors
     /// A started step has to be proposed first, the version belongs to an abandoned step, or the version changes the
-    /// map, which only the running plan may do.
+    /// map, which only the steps of a running plan may do.
     pub fn check_version(&self, number: u64, new_map: Option<&str>) -> Result<(), RebalanceError> {
         let is_version_of = |step: &StartedStep| step.number == number && Some(&step.digest[..]) == new_map;
         if self.started().is_some_and(is_version_of) {
@@ -97,8 +98,8 @@
         }
     }
 
-    /// State of the running plan or of an ended plan as text, for log lines and replies between brokers; `None` for
-    /// other ids.
+    /// State of the running plan or of an ended plan as text, for log lines and replies between brokers; `None` if no
+    /// running or recorded plan has this id.
     pub fn status(&self, id: &str) -> Option<String> {
         if let Some(running) = self.running.as_ref().filter(|running| running.plan.id == id) {
             return Some(running.status());
--- a/crates/dunepond-rebalance/src/progress/next_action.rs
+++ b/crates/dunepond-rebalance/src/progress/next_action.rs
@@ -10,7 +10,7 @@
 /// Why the leader has nothing to do for a plan now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanWait {
-    /// No plan is running, the wait between two steps has not passed, or the plan has no step left to start.
+    /// No plan is running, the waiting time between two steps has not passed, or the plan has no step left to start.
     NoStepDue,
     /// The plan is paused until an operator resumes it or the overload ends.
     Paused(PauseReason),
@@ -23,20 +23,20 @@
 /// What the leader has to do next for a plan.
 #[derive(Debug)]
 pub enum LeaderAction {
-    /// Nothing, for this reason.
+    /// Do nothing, for this reason.
     Wait(PlanWait),
-    /// Proposes this entry for the consensus log.
+    /// Propose this entry for the consensus log.
     Append(CommittedEntry),
-    /// Proposes the version of the started step.
+    /// Propose the configuration version of the started step.
     Propose {
-        /// Number of the version.
+        /// Number of the started step's configuration version.
         number: u64,
         /// Transition from the active map to the version's map.
         transition: Box<MapTransition>,
     },
-    /// Withdraws the version of the started step.
+    /// Withdraw the configuration version of the started step.
     Withdraw {
-        /// Number of the version.
+        /// Number of the started step's configuration version.
         number: u64,
         /// Why the version is withdrawn, as text.
         reason: String,
@@ -44,7 +44,8 @@
 }
 
 impl PlanProgress {
-    /// The leader's next action. `is_settled`: whether the wait between two steps has passed.
+    /// The leader's next action. `is_settled`: whether the waiting time between two steps has passed, so that the next
+    /// step may start.
     pub fn next_action(&self, context: &RebalanceContext<'_>, is_settled: bool) -> LeaderAction {
         let Some(running) = &self.running else { return LeaderAction::Wait(PlanWait::NoStepDue) };
         match &running.started {
@@ -53,8 +54,9 @@
         }
     }
 
-    /// The action that pauses the plan until an operator resumes it, because its step is not possible on the active map
-    /// or its version was rejected. No action if the plan is already paused.
+    /// The action that pauses the plan until an operator resumes it, because the plan's current step is not possible on
+    /// the active map or the step's version was rejected. [`LeaderAction::Wait`] if the plan is already paused or no
+    /// plan is running.
     pub fn pause_after_failure(&self, error: &dyn Display) -> LeaderAction {
         match &self.running {
             Some(running) => running.pause_after_failure(error),
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Map transition of the current batch.
+    /// Transition from the active map to the map after the current batch.
     fn current_transition(&self, context: &RebalanceContext<'_>) -> Result<MapTransition, RebalanceError> {
         match (self.current_batch(), context.active_map) {
             (Some(batch), Some(map)) => batch.transition(map, self.steps_done),
--- a/crates/dunepond-rebalance/src/progress/running.rs
+++ b/crates/dunepond-rebalance/src/progress/running.rs
@@ -8,12 +8,12 @@
 use super::PauseReason;
 use crate::{Action, ActionBatch, Plan, PlannedAction, Step};
 
-/// A step that was assigned the number and the map of its version.
+/// A step that has started: the number and the map of its configuration version are assigned.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StartedStep {
-    /// Number of the version.
+    /// Number of the step's configuration version.
     pub number: u64,
-    /// Digest of the version's map.
+    /// Digest of the shard map after the step.
     pub digest: String,
 }
 
@@ -58,10 +58,10 @@
     /// The started step, whose version is neither active nor withdrawn yet.
     #[serde(rename = "begun")]
     pub started: Option<StartedStep>,
-    /// Number of versions of this plan that were activated, withdrawn or abandoned. Entries name the turn, so that a
-    /// late entry is not applied to a later step.
+    /// Number of configuration versions of this plan that were activated, withdrawn or abandoned. Log entries that
+    /// start a step name the turn, so that a late entry is not applied to a later step.
     pub turn: u64,
-    /// Number of failed versions of the current step since the last resume.
+    /// Number of failed attempts at the current step since the plan was last resumed.
     #[serde(rename = "tries")]
     pub failed_attempts: u32,
     /// Why the plan is paused, if it is; no step starts during a pause.
@@ -69,7 +69,7 @@
     pub pause: Option<PauseReason>,
 }
 
-/// How a plan ended. A plan that was refused never ran and has no outcome.
+/// How a plan ended. A plan that was rejected never ran and has no outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlanOutcome {
     /// All steps were carried out.
@@ -108,7 +108,7 @@
     /// How the plan ended.
     #[serde(rename = "how")]
     pub outcome: PlanOutcome,
-    /// Number of versions of this plan that were activated, withdrawn or abandoned.
+    /// Number of configuration versions of this plan that were activated, withdrawn or abandoned.
     pub turns: u64,
 }
 
@@ -173,7 +173,7 @@
     }
 }
 
-/// Operations whose switch is among the steps.
+/// Indexes of the operations whose switch is carried out by one of these steps.
 fn switched_operations(steps: &[Step]) -> BTreeSet<usize> {
     let actions = steps.iter().flat_map(|step| &step.forward.actions);
     let switches = actions.filter(|planned| matches!(planned.action, Action::Switch { .. }));
--- a/crates/dunepond-rebalance/src/transition.rs
+++ b/crates/dunepond-rebalance/src/transition.rs
@@ -13,7 +13,7 @@
     /// ([`RebalanceError::InvalidMap`]).
     pub fn transition(&self, map: &VerifiedMap, step: usize) -> Result<MapTransition, RebalanceError> {
         let mut layout = Layout::from_map(map, self.segments());
-        // A replica that was filled by an earlier step of the plan is written as filled into the new map.
+        // `from_map` has marked the replicas that earlier steps filled, so the new map lists them as filled.
         for planned in &self.actions {
             layout.apply(planned.operation, &planned.action, |id| map.contains_segment(id))?;
         }
--- a/crates/dunepond-rebalance/tests/model.rs
+++ b/crates/dunepond-rebalance/tests/model.rs
@@ -25,7 +25,7 @@
 /// Maximum number of versions in one run that are withdrawn at their deadline.
 const MAX_EXPIRED_VERSIONS: u8 = 1;
 
-/// The rules that voters apply: the real ones, or weakened ones that the model has to detect.
+/// The rules that voters apply: the real ones, or weakened ones, whose violated invariants the model check has to find.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum RuleSet {
     /// The real rules.
@@ -46,13 +46,13 @@
     Propose(u64, Arc<MapTransition>, bool),
     /// All required fills of the version with this number are complete.
     Filled(u64),
-    /// The version with this number becomes active if it is filled.
+    /// The version with this number becomes active if all its required fills are complete.
     Confirm(u64),
     /// The version with this number is withdrawn.
     Withdraw(u64),
 }
 
-/// A step: id of the plan, text of the batch, and whether it is part of the rollback.
+/// A step whose version was activated: id of its plan, its batch as text, and whether it is part of the rollback.
 type ActivatedStep = (String, String, bool);
 
 /// The proposed version, which is neither active nor withdrawn.
@@ -81,8 +81,8 @@
     expired_versions: u8,
     /// Steps whose versions were activated, in order.
     steps: Vec<ActivatedStep>,
-    /// Whether a version that is no step of the running plan was accepted from an operator while a plan was running, or
-    /// from the plan's leader.
+    /// Whether voters accepted a version that is not a step of the running plan: either one from an operator while a
+    /// plan was running, or one from the plan's leader.
     has_foreign_version: bool,
     /// All other fields as text, for comparison and hashing.
     fingerprint: String,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Updates the fingerprint after a change.
+    /// Recomputes the fingerprint after another field has changed.
     fn with_fingerprint(mut self) -> Self {
         let Self { map, highest, operator_entries, expired_versions, steps, .. } = &self;
         let open = self.open.as_ref().map(|open| (open.number, open.transition.to().digest(), open.filled));
@@ -147,9 +147,10 @@
     Operator(CommittedEntry),
     /// An operator proposes a version with a map that moves a segment of the plan.
     OperatorVersion,
-    /// The item with this index is committed; if the flag is set, it stays in flight and can be committed again.
+    /// The proposal in flight with this index is committed. If the flag is set, it stays in flight and can be committed
+    /// again.
     Commit(usize, bool),
-    /// The item with this index is lost.
+    /// The proposal in flight with this index is lost.
     Lose(usize),
 }
 
@@ -211,7 +212,7 @@
                     (running.plan.id.clone(), batch, running.rollback.is_some())
                 });
                 state.has_foreign_version |= running.is_some() && step.is_none() && !is_from_leader;
-                // The leader's version is no longer the plan's started step.
+                // A version from the plan's leader that is not the plan's started step is foreign as well.
                 state.has_foreign_version |= is_from_leader && step.is_none();
                 state.highest = number;
                 if self.rules == RuleSet::DoneWhenProposed {
@@ -438,8 +439,8 @@
     }
 }
 
-/// Checks states up to this depth, until about this number of states is reached. With weakened rules it stops at the
-/// first violated invariant.
+/// Checks states up to this depth, until about this number of states is reached. With weakened rules the check stops at
+/// the first violated invariant.
 fn check_model(rules: RuleSet, depth: usize, states: usize) -> impl Checker<PlanModel> {
     let checker =
         PlanModel::new(rules).checker().threads(4).target_max_depth(depth).target_state_count(states);
--- a/crates/dunepond-rebalance/tests/plans.rs
+++ b/crates/dunepond-rebalance/tests/plans.rs
@@ -11,8 +11,8 @@
 use rstest::rstest;
 use strum::EnumCount;
 
-/// Applies the batches to the map one by one, each by the transition that its version would be checked with. Returns
-/// the last map and, for each batch, the numbers of required fills and of changed segments.
+/// Applies the batches to the map one by one, each by the verified map transition that its configuration version would
+/// use. Returns the last map and, for each batch, the numbers of required fills and of changed segments.
 fn apply_batches<'a>(
     from: &VerifiedMap,
     batches: impl Iterator<Item = &'a dunepond_rebalance::ActionBatch>,
@@ -75,7 +75,7 @@
     assert_eq!(batches[0], "Fill: fill 0 at c, fill 1 at c");
     assert_eq!(batches[2], "Fill: fill 2 at a, fill 3 at a", "{batches:?}");
     assert_eq!(steps.len(), 4);
-    // The lowest limits give one action for each step.
+    // With the lowest limits each step has one action.
     let single_action_steps =
         order_steps(&plan, &from, StepLimits { max_actions: 1, max_changed_ratio: 0.25 }, |_| false).unwrap();
     assert_eq!(single_action_steps.len(), 8);
@@ -91,7 +91,8 @@
     );
 }
 
-// Guards against an order for two full nodes that wait for each other, and against an error without their shortage.
+// Guards against an order for an impossible plan, in which two full nodes swap segments, and against an error that does
+// not name their shortage.
 #[test]
 fn swap_of_full_nodes_is_rejected() {
     let from = map_of(&[&["a"], &["b"], &["c"]]);
@@ -105,7 +106,7 @@
         panic!("{error}")
     };
     assert_eq!((shortage.missing(), &shortage.freed_by[..]), (10, &[2][..]), "{error}");
-    // With capacity for a second segment at one of them it is possible.
+    // The swap is possible if one of the nodes has capacity for a second segment.
     swap.nodes.insert("b".to_string(), node("b", Some(20), None));
     assert!(order_steps(&swap, &from, LIMITS, |_| false).is_ok());
 }
@@ -130,7 +131,7 @@
     );
 }
 
-// Guards against an error about something else when one of many operations is impossible.
+// Guards against an error about a capacity or another operation when one of many operations names an unknown segment.
 #[test]
 fn unknown_segment_among_many_moves_is_reported() {
     let nodes: Vec<&[&str]> = (0..64).map(|_| &["a"][..]).collect();
--- a/crates/dunepond-rebalance/tests/properties.rs
+++ b/crates/dunepond-rebalance/tests/properties.rs
@@ -14,7 +14,8 @@
 use proptest::prelude::*;
 
 const NODES: [&str; 4] = ["a", "b", "c", "d"];
-/// Width of each of the four segments. A segment has 8 bytes, so that a quarter of it has a whole number of bytes.
+/// Width of the key range of each of the four segments. The size of a segment is set to 8 bytes, so that a quarter of a
+/// segment has a whole number of bytes.
 const SEGMENT_WIDTH: u64 = 1 << 62;
 
 /// For each of four segments, the owner and possibly a second node with a replica.
@@ -26,8 +27,8 @@
     prop::collection::vec(nodes, 4)
 }
 
-/// An operation that mostly names existing segments and replicas. `index`: of the operation in the plan; it keeps the
-/// ids of new segments distinct.
+/// An operation that mostly names existing segments and replicas. `index`: index of the operation in the plan; ids of
+/// new segments are derived from it, so that they are distinct.
 fn operation(nodes: &[Vec<&'static str>], index: u64, drawn: (u8, u64, usize)) -> Operation {
     let (kind, segment, other) = drawn;
     let replicas = &nodes[segment as usize];
@@ -73,8 +74,8 @@
 /// Bytes and segments of each node, replica group and partner, counted independently of the code under test.
 type Loads = BTreeMap<String, (u64, u64)>;
 
-/// Loads while all of these maps are in use. Bytes of keys that a node holds in several maps count once; of the numbers
-/// of segments a node counts the largest.
+/// Loads while all of these maps are in use. If a node has the same keys in several maps, their bytes count once. The
+/// number of segments of a node is the largest that it has in one of the maps.
 fn loads(plan: &Plan, maps: &[&ShardMap]) -> Loads {
     let mut loads = Loads::new();
     for name in NODES {
@@ -140,8 +141,9 @@
     Ok(transition.to().with_filled(fills.iter().map(|(id, node)| (*id, &**node))))
 }
 
-/// Tries all orders of the remaining actions, with one action for each version, and checks them with maps only. `done`:
-/// number of done actions of each operation; `pending`: segments that wait for a switch to a filled replica.
+/// Whether the remaining actions can be carried out in any order, found by trying all orders. Each action is one
+/// version, and capacities are computed from the maps alone, independently of the search under test. `done`: number of
+/// done actions of each operation; `pending`: segments that wait for a switch to a filled replica.
 fn order_exists(plan: &Plan, map: &VerifiedMap, done: &mut Vec<usize>, pending: &mut BTreeSet<u64>) -> bool {
     let action_count =
         |operation: &Operation| if matches!(operation, Operation::Move { .. }) { 2 } else { 1 };
@@ -216,8 +218,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
-    // Guards against steps that are invalid or exceed a capacity, and against an order that the search misses or makes
-    // up.
+    // Guards against steps that are invalid or exceed a capacity, and against a search that misses a possible order or
+    // returns an impossible one.
     #[test]
     fn orders_are_valid_and_complete((nodes, plan) in plans(), max_actions in 1..4_usize) {
         let nodes: Vec<&[&str]> = nodes.iter().map(|nodes| &nodes[..]).collect();
@@ -245,8 +247,8 @@
     RebalanceContext { open_version: None, highest_version, active_map: Some(map), max_changed_ratio: 1.0 }
 }
 
-/// Checks that a withdrawal after each number of steps leads back to the initial map, and keeps the capacities on the
-/// way.
+/// Withdraws the plan after each possible number of steps, and checks that the rollback leads back to the initial map
+/// and exceeds no capacity.
 fn check_rollback_after_each_step(
     plan: &Plan,
     initial_map: &VerifiedMap,
@@ -288,7 +290,7 @@
                         .clone();
                     let next = apply_batch(&map, &batch).unwrap();
                     let before = loads(plan, &[map.map()]);
-                    // A load that exceeded its capacity in the initial map may do so again.
+                    // A load that exceeded its capacity in the initial map may exceed it again after the rollback.
                     let initial = loads(plan, &[initial_map.map()]);
                     let before: Loads = before
                         .into_iter()
