--- a/crates/dunepond-rebalance/src/load.rs
+++ b/crates/dunepond-rebalance/src/load.rs
@@ -120,7 +120,7 @@
 }
 
 impl LoadChange {
-    /// The change that undoes this one.
+    /// The load change that undoes this one.
     pub fn inverse(&self) -> Self {
         Self { node: self.node.clone(), before: self.after, after: self.before }
     }
--- a/crates/dunepond-rebalance/src/ordering/search.rs
+++ b/crates/dunepond-rebalance/src/ordering/search.rs
@@ -156,8 +156,8 @@
         key
     }
 
-    /// Keeps the error if its attempt got further than the one recorded so far. Among attempts that got equally far, a
-    /// short capacity is preferred to other errors, and a smaller shortage to a larger one.
+    /// Records the error if the attempt that it ended got further than the attempt recorded so far. Among attempts that
+    /// got equally far, a capacity shortage is preferred to other errors, and a smaller shortage to a larger one.
     fn record_failure(&mut self, error: RebalanceError) {
         let progress = AttemptProgress {
             done_actions: self.done.iter().map(|done| usize::from(*done)).sum(),
--- a/crates/dunepond-rebalance/src/ordering/simulation.rs
+++ b/crates/dunepond-rebalance/src/ordering/simulation.rs
@@ -112,8 +112,8 @@
     }
 
     /// Applies the next action of an operation, or returns why it is not possible. `added_in_step`: load that earlier
-    /// actions of the same step add. It counts together with the action's own load, as a step frees nothing before it
-    /// ends. Loads do not change until [`PlanSimulation::commit_loads`].
+    /// actions of the same step add. Capacities are checked against that load together with the action's own, because a
+    /// step frees no capacity before it ends. Loads do not change until [`PlanSimulation::commit_loads`].
     pub fn apply(
         &mut self,
         operation: usize,
--- a/crates/dunepond-rebalance/src/plan.rs
+++ b/crates/dunepond-rebalance/src/plan.rs
@@ -64,7 +64,7 @@
     Withdraw,
 }
 
-/// Maximum amount of data that a node, replica group or partner may hold. An amount that is missing is unbounded.
+/// Maximum amount of data that a node, replica group or partner may store. An amount that is missing is unbounded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Capacity {
--- a/crates/dunepond-rebalance/src/progress/mod.rs
+++ b/crates/dunepond-rebalance/src/progress/mod.rs
@@ -77,8 +77,8 @@
     /// abandoned steps. `new_map`: digest of the version's map, if the map differs from the active one.
     ///
     /// # Errors
-    /// A started step has to be proposed first, the version belongs to an abandoned step, or the version changes the
-    /// map, which only the steps of a running plan may do.
+    /// The version of a started step has to be proposed first, the version belongs to an abandoned step, or the version
+    /// changes the map, which only the steps of a running plan may do.
     pub fn check_version(&self, number: u64, new_map: Option<&str>) -> Result<(), RebalanceError> {
         let is_version_of = |step: &StartedStep| step.number == number && Some(&step.digest[..]) == new_map;
         if self.started().is_some_and(is_version_of) {
--- a/crates/dunepond-rebalance/src/progress/next_action.rs
+++ b/crates/dunepond-rebalance/src/progress/next_action.rs
@@ -12,7 +12,8 @@
 pub enum PlanWait {
     /// No plan is running, the waiting time between two steps has not passed, or the plan has no step left to start.
     NoStepDue,
-    /// The plan is paused until an operator resumes it or the overload ends.
+    /// The plan is paused for this reason, until an operator resumes it or, if the reason is overload, the overload
+    /// ends.
     Paused(PauseReason),
     /// The started step's version, with this number, is proposed and neither active nor withdrawn yet.
     StepInProgress(u64),
--- a/crates/dunepond-rebalance/src/progress/running.rs
+++ b/crates/dunepond-rebalance/src/progress/running.rs
@@ -100,7 +100,7 @@
 /// Record of a plan that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedPlan {
-    /// Id of the plan, never used again.
+    /// Id of the plan. A new plan with this id is rejected as long as this record is kept.
     pub id: String,
     /// Name of the operator who proposed the plan.
     #[serde(rename = "who")]
--- a/crates/dunepond-rebalance/tests/properties.rs
+++ b/crates/dunepond-rebalance/tests/properties.rs
@@ -141,9 +141,9 @@
     Ok(transition.to().with_filled(fills.iter().map(|(id, node)| (*id, &**node))))
 }
 
-/// Whether the remaining actions can be carried out in any order, found by trying all orders. Each action is one
-/// version, and capacities are computed from the maps alone, independently of the search under test. `done`: number of
-/// done actions of each operation; `pending`: segments that wait for a switch to a filled replica.
+/// Whether there is an order in which the remaining actions can be carried out, found by trying all orders. Each action
+/// is one version, and capacities are computed from the maps alone, independently of the search under test. `done`:
+/// number of done actions of each operation; `pending`: segments that wait for a switch to a filled replica.
 fn order_exists(plan: &Plan, map: &VerifiedMap, done: &mut Vec<usize>, pending: &mut BTreeSet<u64>) -> bool {
     let action_count =
         |operation: &Operation| if matches!(operation, Operation::Move { .. }) { 2 } else { 1 };
--- a/crates/dunepond-settlement/src/balances.rs
+++ b/crates/dunepond-settlement/src/balances.rs
@@ -9,7 +9,8 @@
     ApplyOutcome, BrokerPartners, CarriedCounts, SettlementEntry, SettlementError, SettlementLedger,
 };
 
-/// Minimum weight of an old byte in the service order, relative to a new byte.
+/// Minimum ratio of the weight of an old byte of a debt to that of a new one, in the order in which the planner serves
+/// partners.
 const MIN_WEIGHT_RATIO: f64 = 0.1;
 
 /// Limits on debts and fills that the partners have agreed on.
@@ -22,7 +23,8 @@
     /// Bytes by which the two counts may differ in addition to `tolerance_ratio`.
     #[serde(rename = "slack")]
     pub slack_bytes: u64,
-    /// Seconds after which a byte has half its weight in the service order. The amount of the debt does not decay.
+    /// Age in seconds at which a byte of a debt has half its initial weight in the order in which the planner serves partners.
+    /// The amount of the debt does not decay.
     #[serde(rename = "half_life")]
     pub half_life_seconds: f64,
     /// Maximum bytes of one fill between two partners.
@@ -31,10 +33,12 @@
     /// Maximum change of the debt between two partners, in bytes per second averaged over a window.
     #[serde(rename = "most_speed")]
     pub max_debt_speed: f64,
-    /// Maximum debt in bytes. A partner is not used as a source if the fill would leave it owed more than this.
+    /// Maximum debt of one partner to another, in bytes. No fill is planned after which the filled partner would owe the
+    /// source's partner more than this.
     #[serde(rename = "most_debt")]
     pub max_debt_bytes: u64,
-    /// Length of a window in seconds. Limits per window apply to every period of this length.
+    /// Length in seconds of the window for the limits on carried bytes and on the change of debts. These limits apply to every
+    /// period of this length.
     #[serde(rename = "window")]
     pub window_seconds: f64,
     /// Maximum bytes that one partner carries in fills for other partners per window.
@@ -114,8 +118,8 @@
     pub bytes: u64,
 }
 
-/// A difference between the counts of carrier and debtor that exceeds what the terms tolerate. If the carrier is
-/// metered, the smaller count is used, otherwise the debtor's.
+/// A difference between the counts of carrier and debtor that exceeds what the terms tolerate. The debt is then based on the
+/// smaller count if the carrier is metered ([`BrokerPartners::metered`]), otherwise on the debtor's.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Discrepancy {
     /// Partner that carried the bytes.
@@ -151,10 +155,10 @@
     }
 }
 
-/// Bytes of one pair, with a weight that decays exponentially with their age.
+/// Bytes that one partner carried for another, with a weight that decays exponentially with the age of the bytes.
 #[derive(Clone, Copy, Debug)]
 struct DecayingBytes {
-    /// Time of the last update, in seconds.
+    /// Time of the last update, in seconds on the monotonic clock.
     updated_at: f64,
     /// Decayed sum of the bytes at `updated_at`.
     weight: f64,
@@ -187,7 +191,7 @@
     terms: SettlementTerms,
     partners: BrokerPartners,
     ledger: SettlementLedger,
-    /// Bytes owed for each pair before any settlement is subtracted.
+    /// Bytes ever owed for each pair of carrier and debtor. Settlements are not subtracted.
     gross: BTreeMap<CarriedPair, u64>,
     decaying: BTreeMap<CarriedPair, DecayingBytes>,
     discrepancies: Vec<Discrepancy>,
@@ -241,7 +245,7 @@
         self.ledger.apply(entry)
     }
 
-    /// Rejects settlements for versions before this one from now on; see [`SettlementLedger::close_versions`].
+    /// Rejects settlements for configuration versions before `before` from now on; see [`SettlementLedger::close_versions`].
     pub fn close_versions(&mut self, before: u64) {
         self.ledger.close_versions(before);
     }
@@ -294,14 +298,15 @@
         self.gross.get(&CarriedPair::new(carrier, debtor)).copied().unwrap_or(0)
     }
 
-    /// Returns the settled bytes of what `debtor` owes `creditor`, capped at the known gross debt. The rest of the settlements
-    /// counts once the counts of its debt have arrived.
+    /// Returns the settled bytes of what `debtor` owes `creditor`, capped at the known gross debt. Settled bytes above the
+    /// gross debt count once further counts have raised the gross debt.
     pub fn settled(&self, debtor: &str, creditor: &str) -> u64 {
         self.ledger.settled(debtor, creditor).min(self.gross(creditor, debtor))
     }
 
-    /// Returns the bytes settled beyond the known gross debt. Counts of the debt have not arrived yet, or the debt was never
-    /// split, in which case the ledger limits nothing.
+    /// Returns the bytes by which the settlements of what `debtor` owes `creditor` exceed the known gross debt. There are such
+    /// bytes if counts of the debt have not arrived yet, or if the debt was never split into shares, so that the ledger does
+    /// not limit its settlements.
     pub fn settled_beyond_debt(&self, debtor: &str, creditor: &str) -> u64 {
         self.ledger.settled(debtor, creditor) - self.settled(debtor, creditor)
     }
@@ -347,7 +352,8 @@
             .map_or(0, |debt| debt.bytes)
     }
 
-    /// Returns the weight of a debt in the service order: its bytes, scaled down by their age.
+    /// Returns the weight of a debt in the order in which the planner serves partners: the bytes of the debt, scaled down by
+    /// their age.
     pub fn service_weight(&self, debt: &NetDebt, now: f64) -> f64 {
         let key = CarriedPair::new(&debt.creditor, &debt.debtor);
         let recent_ratio = self.decaying.get(&key).map_or(1.0, |decaying| {
--- a/crates/dunepond-settlement/src/counts.rs
+++ b/crates/dunepond-settlement/src/counts.rs
@@ -7,8 +7,8 @@
 
 use crate::SettlementError;
 
-/// Maximum number of incarnations of one broker that are kept without folding. Only starts without the stored counts lead to
-/// more.
+/// Maximum number of finished incarnations (runs) of one broker whose counts are kept separately. At a start they are normally
+/// folded into one sum; this is delayed only after starts without the stored counts.
 const MAX_UNFOLDED_INCARNATIONS: usize = 16;
 /// Maximum number of cells in one message from a peer; a cell is the count of one broker, incarnation, carrier and debtor.
 const MAX_CELLS_PER_MESSAGE: usize = 100_000;
@@ -47,9 +47,9 @@
 
 /// One broker's counts. Incarnations before `first_unfolded` are folded into one sum, later ones are kept separately.
 ///
-/// Merging is lexicographic: the row with the greater `first_unfolded` replaces the sum and drops the incarnations below it.
-/// This order is a semilattice, so late and duplicated rows change nothing. Only the broker itself folds its row, which
-/// ensures that the sum is complete; see [`LocalCounts::open`].
+/// Merging is lexicographic: the row with the greater `first_unfolded` determines the sum, and separate counts of incarnations
+/// before `first_unfolded` are dropped. Rows ordered in this way form a semilattice, so late and duplicated rows change
+/// nothing. Only the broker itself folds its row, which ensures that the sum is complete; see [`LocalCounts::open`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Row {
     /// First incarnation that is not part of `folded`.
@@ -57,7 +57,7 @@
     first_unfolded: u64,
     /// Sum of all incarnations before `first_unfolded`.
     folded: CarriedBytes,
-    /// Counts of the other incarnations of the broker, by incarnation.
+    /// Counts of the incarnations from `first_unfolded` on, by incarnation.
     #[serde(rename = "live")]
     unfolded: BTreeMap<u64, CarriedBytes>,
 }
@@ -105,8 +105,8 @@
     }
 }
 
-/// Measure of a row's content. A merge that changes the row raises it and no merge lowers it, so comparing two values
-/// detects a change.
+/// Measure of the content of a broker's row. A merge that changes the row raises this measure and no merge lowers it, so
+/// comparing two values of it detects a change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RowProgress {
     first_unfolded: u64,
@@ -216,7 +216,8 @@
         pairs.into_iter().collect()
     }
 
-    /// Returns the number of cells, one for each broker, incarnation, carrier and debtor. It determines the size in memory.
+    /// Returns the number of cells, one for each broker, incarnation, carrier and debtor. This number determines the size of
+    /// the counts in memory.
     pub fn cell_count(&self) -> usize {
         let carried = self.rows.values().flat_map(Row::parts).flatten();
         carried.map(|(_, bytes_by_debtor)| bytes_by_debtor.dots.len()).sum()
@@ -230,7 +231,7 @@
     /// Names of partners, by name of their broker.
     pub partner_of: BTreeMap<String, String>,
     /// Partners whose brokers also count what the partner's own nodes carry. This is configured and not derived from the
-    /// counts, because a debt would shrink when the first such count arrived late.
+    /// counts, because otherwise a debt would shrink when the carrier's first count arrives late.
     pub metered: BTreeSet<String>,
 }
 
@@ -257,7 +258,7 @@
 pub struct LocalCounts {
     broker: String,
     incarnation: u64,
-    /// First incarnation from which the stored counts are complete.
+    /// The stored counts are complete for this incarnation of the broker and all later ones.
     #[serde(rename = "first")]
     first_complete: u64,
     counts: CarriedCounts,
@@ -268,8 +269,8 @@
     ///
     /// Finished incarnations are folded into one sum, which only the broker itself does. If the broker lost its folder, it
     /// knows earlier incarnations only from peers, and those counts may be incomplete. Such incarnations and all later ones
-    /// stay unfolded until there are more than 16 of them. They are then folded as known: counts that have
-    /// not arrived by then are lost, but none is counted twice.
+    /// stay unfolded until there are more than 16 of them. They are then folded although they may be incomplete: counts that
+    /// arrive later are ignored and lost, but none is counted twice.
     ///
     /// # Errors
     /// Returns [`SettlementError::OtherBroker`] if the stored counts belong to another broker, and
@@ -309,8 +310,9 @@
     /// Merges the counts that the peer `from` sent, as [`CarriedCounts::merge_from`] does, and returns the number of rejected
     /// rows.
     ///
-    /// If the peer knows more about this broker's present incarnation, the folder was an old copy. The broker then continues
-    /// under a new incarnation, because a merge keeps only the greater count of a cell and would lose the new bytes.
+    /// If the peer knows more about this broker's present incarnation than the broker itself, the broker was started from an
+    /// old copy of its folder. The broker then continues under a new incarnation, because a merge keeps only the greater count
+    /// of a cell and would lose the new bytes.
     ///
     /// # Errors
     /// Returns the same errors as [`CarriedCounts::merge_from`].
--- a/crates/dunepond-settlement/src/demand.rs
+++ b/crates/dunepond-settlement/src/demand.rs
@@ -6,9 +6,11 @@
 
 use crate::Fill;
 
-/// Margin above the expected units of a window, in standard deviations of a Poisson count.
+/// Margin above the units that a node in slow start is expected to receive in a window, in standard deviations of a Poisson
+/// count.
 const MARGIN_STANDARD_DEVIATIONS: f64 = 3.0;
-/// Margin above the expected units of a window, in units, in addition to [`MARGIN_STANDARD_DEVIATIONS`].
+/// Margin above the units that a node in slow start is expected to receive in a window, in units and in addition to
+/// [`MARGIN_STANDARD_DEVIATIONS`].
 const MARGIN_UNITS: f64 = 3.0;
 
 /// A replica that has to be filled.
@@ -28,7 +30,7 @@
     pub sources: Vec<FillSource>,
     /// Size of the segment in bytes.
     pub bytes: u64,
-    /// Number of the node's start after which the replica was empty; 0 for a replica that the version adds.
+    /// Number of the node's start that emptied the replica; 0 for a replica that the configuration version adds.
     pub start: u64,
 }
 
@@ -110,9 +112,9 @@
 /// Work that nodes in slow start may receive in each window, summed over all brokers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowStartCapacity {
-    /// Length of a window in seconds.
+    /// Length in seconds of the window to which the capacities of the nodes apply.
     pub window_seconds: f64,
-    /// Size of one unit in bytes.
+    /// Bytes of a fill that count as one unit of work.
     pub unit_bytes: u64,
     /// Capacities by name of the node. A node that is not listed has no limit.
     pub nodes: BTreeMap<String, NodeCapacity>,
@@ -123,7 +125,7 @@
 pub struct NodeCapacity {
     /// Units that the node is expected to receive in a window.
     pub expected_units: f64,
-    /// Units of a window that queries already use.
+    /// Units per window that queries already use.
     pub used_units: f64,
 }
 
@@ -136,8 +138,8 @@
 impl SlowStartCapacity {
     /// Returns the rate in bytes per second that fills may send to the node; infinite if the node has no limit.
     ///
-    /// A unit is counted when it starts, so a steady flow can put one more unit into a window than its rate implies. One unit
-    /// is kept free for this.
+    /// One unit per window is kept free: a unit is counted when it starts, so a steady flow can put one more unit into a window
+    /// than its rate implies.
     pub fn rate_cap(&self, node: &str) -> f64 {
         let Some(capacity) = self.nodes.get(node) else { return f64::INFINITY };
         let free_units = max_slow_start_units(capacity.expected_units) - capacity.used_units - 1.0;
@@ -150,8 +152,8 @@
 pub enum PlanningRule {
     /// Serves the partner that is owed most first, and fills it from the partner that owes it most.
     MaxMin,
-    /// Serves the partners in turn, each with a quantum that grows with what it is owed. Sources are chosen as with
-    /// [`PlanningRule::MaxMin`].
+    /// Serves the partners in turn, each with a quantum of bytes that grows with what the partner is owed. Sources are chosen
+    /// as with [`PlanningRule::MaxMin`].
     DeficitRoundRobin,
     /// Serves the demands in the given order, each from the source whose link has the highest free rate. Serves as the
     /// baseline for comparisons.
@@ -165,20 +167,20 @@
     Running,
     /// No other node has a filled replica of the segment.
     NoSource,
-    /// No link from a source has the minimum fill rate free.
+    /// Every link from a source has less than the minimum fill rate free.
     Link,
     /// The node is in slow start, and its free rate is below the minimum fill rate.
     #[serde(rename = "Cold")]
     SlowStart,
-    /// The fill is too large for the limits per fill or per window, or would raise a debt above its limit.
+    /// The fill is too large for the limits per fill or per window, or would raise a debt above the maximum debt.
     #[serde(rename = "Far")]
     DebtSize,
     /// The fills between the two partners in this window would exceed the limit on the change of a debt, or the pair is
     /// reserved for a partner that has waited too long.
     #[serde(rename = "Fast")]
     DebtSpeed,
-    /// The source's partner would carry more in this window than its limit, or its capacity is reserved for a partner that
-    /// has waited too long.
+    /// The source's partner would carry more bytes in this window than its limit, or its capacity is reserved for a partner
+    /// that has waited too long.
     #[serde(rename = "Carry")]
     CarryLimit,
 }
--- a/crates/dunepond-settlement/src/fairness.rs
+++ b/crates/dunepond-settlement/src/fairness.rs
@@ -2,8 +2,8 @@
 
 /// Returns the max-min fair split of `capacity`, as one share per demand in the same order.
 ///
-/// No share exceeds its demand, and no share can grow unless an equal or smaller share shrinks. If an even share leaves a
-/// remainder, the first demands get one unit more each.
+/// No share exceeds its demand, and no share can grow unless an equal or smaller share shrinks. If the rest of the capacity
+/// cannot be divided evenly among the demands above an even share, the first of them get one unit more each.
 pub fn max_min(demands: &[u64], capacity: u64) -> Vec<u64> {
     let mut by_demand: Vec<usize> = (0..demands.len()).collect();
     by_demand.sort_by_key(|&index| (demands[index], index));
--- a/crates/dunepond-settlement/src/fill.rs
+++ b/crates/dunepond-settlement/src/fill.rs
@@ -5,13 +5,15 @@
 
 use crate::{Settlement, SettlementError};
 
-/// Maximum number of doublings of the backoff. It keeps the computation in range; the maximum backoff is reached earlier.
+/// Maximum number of doublings of the backoff between attempts. Keeps the power of two in range; with the default policy the
+/// maximum backoff is reached after fewer doublings.
 const MAX_DOUBLINGS: u32 = 30;
 
 /// A planned copy of a segment from a source node to the node that is filled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fill {
-    /// Id of the demand, as [`crate::FillDemand::id`]. It is the same whichever broker plans the fill and however often.
+    /// Id of the demand, as [`crate::FillDemand::id`]. The id is the same whichever broker plans the fill, and however often it
+    /// is planned.
     pub id: String,
     /// Id of the segment to copy.
     pub segment: u64,
@@ -28,8 +30,8 @@
     pub bytes: u64,
     /// Maximum rate of the copy in bytes per second.
     pub rate: f64,
-    /// Settlement to propose once the fill is complete, if the fill pays off a debt. Only the other bytes of the fill count
-    /// as carried.
+    /// Settlement to propose once the fill is complete, if the fill pays off a debt. The bytes of the fill beyond the
+    /// settlement count as carried and make a new debt.
     pub settles: Option<Settlement>,
 }
 
@@ -63,7 +65,8 @@
     /// Minimum timeout of an attempt, in seconds.
     #[serde(rename = "least")]
     pub min_timeout_seconds: f64,
-    /// Backoff before the second attempt, in seconds. It doubles with each further attempt, and half of it is random.
+    /// Backoff before the second attempt, in seconds. The backoff doubles with each further attempt. The actual wait is drawn
+    /// at random between half of the backoff and all of it.
     #[serde(rename = "pause")]
     pub initial_backoff_seconds: f64,
     /// Maximum backoff between two attempts, in seconds.
@@ -171,14 +174,15 @@
     }
 }
 
-/// Something that the caller must do for a fill now.
+/// What the caller must do for a fill now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FillAction {
     /// Start an attempt at the fill.
     Start(Fill),
     /// Stop the running attempt, if the fill service supports it.
     Stop(Fill),
-    /// Propose that the node is filled, and the fill's settlement if it has one. Repeat until the log has both.
+    /// Propose to the consensus log that the node is filled, and the fill's settlement if it has one. Repeat this until the log
+    /// contains both.
     Propose(Fill),
     /// Release the fill's capacity on its link and node by [`crate::FillPlanner::fill_ended`].
     ReleaseCapacity(Fill),
@@ -194,7 +198,7 @@
     state: FillState,
     /// Number of attempts that were started.
     attempts: u32,
-    /// Time at which the fill is withdrawn, in seconds on the monotonic clock.
+    /// Time at which the fill is withdrawn unless it has ended, in seconds on the monotonic clock.
     deadline: f64,
 }
 
@@ -224,8 +228,8 @@
     /// Continues after a crash, and returns the actions to take.
     ///
     /// It is unknown whether a running attempt has completed, so it is started again under the same id; the fill service
-    /// answers at once if the node is already filled. A complete fill is proposed again, and the ledger ignores the duplicate
-    /// because of its id.
+    /// answers at once if the node is already filled. A complete fill is proposed again, because the log may not contain it
+    /// yet; the ledger ignores a duplicate by its id.
     pub fn resume(&mut self, now: f64) -> Vec<FillAction> {
         match self.state {
             FillState::Running { .. } => {
--- a/crates/dunepond-settlement/src/ledger.rs
+++ b/crates/dunepond-settlement/src/ledger.rs
@@ -1,5 +1,5 @@
-//! Ledger of shares of debts and of settlements. Every broker applies the same entries in the order of the consensus log, so
-//! all brokers have the same ledger.
+//! Ledger of settlements, and of the shares of debts that brokers may settle. Every broker applies the same entries in the
+//! order of the consensus log, so all brokers have the same ledger.
 
 use std::collections::BTreeMap;
 
@@ -33,8 +33,8 @@
     pub debtor: String,
     /// Partner to which the debt is owed.
     pub creditor: String,
-    /// Bytes that were ever owed, settled or not, as known to the proposer. All shares together stay within the largest debt
-    /// that an allotment of the pair has stated.
+    /// Bytes that `debtor` has ever owed `creditor`, settled or not, as known to the proposer. All shares together stay within
+    /// the largest value of this field in the allotments for this debtor and creditor.
     pub debt: u64,
     /// Shares to add, by broker.
     pub parts: Vec<AllottedShare>,
@@ -62,8 +62,8 @@
     }
 }
 
-/// Returns an unspent part of a broker's share, so that it can be allotted again. Only the broker itself may propose this,
-/// because no other broker knows what it promised while it was partitioned.
+/// Returns an unspent part of a broker's share of a debt, so that it can be allotted again. Only the broker itself may propose
+/// this, because no other broker knows what it promised while it was partitioned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShareRelease {
     /// Number of this entry in the sequence of allotments and releases for this debtor and creditor, as in
@@ -93,7 +93,7 @@
 /// A broker's share of a debt between two partners.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DebtShare {
-    /// Bytes that the broker may settle in total.
+    /// Bytes that the broker may settle in total, including those already settled.
     pub allotted: u64,
     /// Bytes that the broker has settled.
     pub spent: u64,
@@ -141,8 +141,8 @@
 }
 
 impl PairAccount {
-    /// All shares, plus the bytes settled before the debt was split into shares of brokers. Once it is split, the sum stays
-    /// within `debt`.
+    /// Bytes of all shares, plus the bytes settled before the debt was split into shares of brokers. Once the debt is split,
+    /// this sum stays within `debt`.
     fn allotted(&self) -> u64 {
         let spent: u64 = self.shares.values().map(|share| share.spent).sum();
         let allotted: u64 = self.shares.values().map(|share| share.allotted).sum();
@@ -154,7 +154,7 @@
 /// order give the same ledger. It is part of each snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SettlementLedger {
-    /// Settlements for configuration versions before this one are neither kept nor accepted.
+    /// First configuration version for which settlements are kept and accepted.
     floor: u64,
     /// Settlements by id of the fill.
     settled: BTreeMap<String, SettledFill>,
@@ -256,7 +256,7 @@
         if debtor == creditor || new_bytes == 0 {
             return Err(SettlementError::EmptyEntry { debtor, creditor, bytes: new_bytes });
         }
-        // This includes the bytes settled before the first split, which can no longer be allotted.
+        // `allotted` includes the bytes settled before the debt was first split, which can no longer be allotted.
         let allotted = self.allotted(&debtor, &creditor);
         let debt = self.pair(&debtor, &creditor).map_or(0, |pair| pair.debt).max(allot.debt);
         let allotted = allotted.saturating_add(new_bytes);
@@ -317,7 +317,8 @@
         })
     }
 
-    /// Returns the fills that leaders started recently. The same fill may appear with sources of several partners.
+    /// Returns the fills that leaders started recently. The same fill appears several times if it was started from sources of
+    /// several partners.
     pub fn started_fills(&self) -> impl Iterator<Item = &StartedFill> {
         self.started.iter()
     }
--- a/crates/dunepond-settlement/src/lib.rs
+++ b/crates/dunepond-settlement/src/lib.rs
@@ -3,15 +3,18 @@
 //! The crate does no I/O, starts no threads and reads no clock. The caller passes `now` in seconds on a monotonic clock.
 //! Amounts are in bytes and rates in bytes per second. Random choices come from a seeded generator.
 //!
-//! Partners carry traffic for each other. The carried bytes are a debt, which is paid off by filling a replica of the
-//! creditor from a node of the debtor.
+//! Partners carry traffic for each other's tenants. The carried bytes are a debt of the tenant's partner (the debtor) to the
+//! partner that carried them (the creditor). A debt is paid off by filling a replica on a node of the creditor from a node of
+//! the debtor.
 //!
 //! - [`CarriedCounts`]: the carried bytes that brokers have counted. They can be merged in any order.
 //! - [`LocalCounts`]: the counts that one broker stores across restarts. [`CountsReplication`] sends them to peers.
-//! - [`SettlementLedger`]: shares of debts and settlements, applied in the order of the consensus log.
+//! - [`SettlementLedger`]: the settlements, and the shares of debts that brokers may settle, applied in the order of the
+//!   consensus log.
 //! - [`Balances`]: net debts, computed from the counts and the ledger.
 //! - [`FillPlanner`]: chooses the source of each fill. [`FillProgress`] tracks one fill.
-//! - [`SharePromises`]: settlements that this broker has promised from its shares, also while it cannot reach the log.
+//! - [`SharePromises`]: settlements that this broker has promised from its shares of debts, also while it cannot reach the
+//!   consensus log.
 #![warn(missing_docs)]
 
 mod balances;
@@ -59,16 +62,18 @@
     pub bytes: u64,
     /// Id of the segment that was filled.
     pub segment: u64,
-    /// Node that was filled. The field keeps this name because it appears in log lines.
+    /// Name of the node that was filled. The field keeps this name because it appears in log lines.
     pub holder: String,
-    /// Node that the segment was copied from.
+    /// Name of the node that the segment was copied from.
     pub source: String,
 }
 
 impl Settlement {
-    /// Creates the settlement of `fill`, which was carried out by `broker` and pays off `bytes`.
+    /// Creates the settlement of `fill`, which `broker` carries out and which pays off `bytes` of what `debtor` owes
+    /// `creditor`.
     ///
-    /// A fill has the same id at every broker and after every crash, so it cannot be settled twice.
+    /// A fill has the same id at every broker and after every crash, and the ledger accepts only one settlement per fill, so it
+    /// cannot be settled twice.
     ///
     /// # Errors
     /// Returns [`SettlementError::InvalidName`] if the broker's name is empty or contains `@`, which would make the id
--- a/crates/dunepond-settlement/src/netting.rs
+++ b/crates/dunepond-settlement/src/netting.rs
@@ -1,4 +1,4 @@
-//! Cancels cycles of debts. Debts along a cycle cancel out, so they need no settlement.
+//! Cancels cycles of debts. Equal amounts of debt along a cycle cancel out, so they need no settlement.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,7 +24,7 @@
         self.0.insert(edge, bytes);
     }
 
-    /// Cancels all cycles and returns the remaining debts. What each partner owes or is owed in total stays the same. The
+    /// Cancels all cycles and returns the remaining debts. What each partner owes minus what it is owed stays the same. The
     /// result is deterministic.
     pub fn without_cycles(mut self) -> impl Iterator<Item = (DebtEdge<'a>, u64)> {
         while let Some(cycle) = self.find_cycle() {
--- a/crates/dunepond-settlement/src/planner/mod.rs
+++ b/crates/dunepond-settlement/src/planner/mod.rs
@@ -16,7 +16,7 @@
 };
 use round::{DemandQueues, RecentFill, Round};
 
-/// Plans fills, and tracks the running fills and those planned in the current window.
+/// Plans fills, and tracks the running fills and those planned in the current window of [`crate::SettlementTerms`].
 ///
 /// Only the leader plans. A new leader passes the fills of earlier leaders to its planner by [`FillPlanner::resume`].
 #[derive(Clone, Debug)]
@@ -32,7 +32,8 @@
     /// Fills planned in the current window, including those that have ended or failed since. The limits per window apply to
     /// planned fills.
     recent: Vec<RecentFill>,
-    /// Time since which each partner with open demands has waited for a fill, in seconds.
+    /// Time in seconds since which each partner with open demands has waited: that of its last planned fill, or of its first
+    /// demand after a time without any.
     waiting_since: BTreeMap<String, f64>,
     /// Deficit counters of the round robin: bytes that each partner may still receive.
     deficits: BTreeMap<String, f64>,
@@ -41,7 +42,7 @@
 }
 
 impl FillPlanner {
-    /// Creates a planner without fills. `broker` is the broker from whose shares the fills are settled.
+    /// Creates a planner without fills. `broker` is the broker from whose shares of debts the fills are settled.
     pub fn new(broker: &str, rule: PlanningRule, seed: u64) -> FillPlanner {
         FillPlanner {
             broker: broker.to_string(),
@@ -56,8 +57,8 @@
         }
     }
 
-    /// Adds a fill that an earlier leader planned at `planned_at`. It counts in the window once, however often it is added. If
-    /// `is_running`, it also counts as running.
+    /// Adds a fill that an earlier leader planned at `planned_at`. It counts once towards the limits per window, however often
+    /// it is added. If `is_running`, it also counts as running.
     pub fn resume(&mut self, fill: &Fill, planned_at: f64, is_running: bool) {
         if !self.recent.iter().any(|recent| recent.id == fill.id && recent.from == fill.from) {
             self.recent.push(RecentFill::new(fill, planned_at));
@@ -70,8 +71,8 @@
     /// Removes a fill that has ended from the running fills. The settlement of a complete fill is remembered until the ledger
     /// has it or [`FillPlanner::settlement_rejected`] is called.
     ///
-    /// The fill still counts in its window even if it failed, and counts again if it is planned again, because fills count
-    /// when they are planned.
+    /// The fill still counts towards the limits per window even if it failed, and counts again if it is planned again, because
+    /// fills count when they are planned.
     pub fn fill_ended(&mut self, id: &str, is_complete: bool) {
         let settles = self.running.remove(id).and_then(|fill| fill.settles);
         if let Some(settlement) = settles.filter(|_| is_complete) {
@@ -135,7 +136,7 @@
         plan
     }
 
-    /// Subtracts the settlements of running and unsettled fills from the open debts.
+    /// Subtracts from the open debts what running fills, and complete fills whose settlements are not yet in the log, pay off.
     fn pay_pending(&self, round: &mut Round) {
         let running = self.running.values().filter_map(|fill| fill.settles.as_ref());
         for settlement in running.chain(self.unsettled.values()) {
@@ -168,7 +169,8 @@
         (queues, partner_order)
     }
 
-    /// Adds a chosen fill to the round, and counts it in the window and in the service order.
+    /// Adds a chosen fill to the round, and counts it towards the limits per window and in the order in which partners are
+    /// served.
     fn add_fill(&mut self, fill: Fill, round: &mut Round) {
         if let Some(settlement) = &fill.settles {
             round.pay(&settlement.debtor, &settlement.creditor, settlement.bytes);
--- a/crates/dunepond-settlement/src/planner/round.rs
+++ b/crates/dunepond-settlement/src/planner/round.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OpenDebt {
     pub bytes: u64,
-    /// Weight of the debt in the service order of the creditor.
+    /// Weight of the debt in the choice of the partner that is served next.
     pub weight: f64,
 }
 
@@ -45,8 +45,8 @@
     open_debts: BTreeMap<PartnerPair, OpenDebt>,
     /// Fills chosen in this round.
     pub chosen: Vec<Fill>,
-    /// Pairs of source partner and filled partner whose capacity is reserved for a filled partner that has waited too long.
-    /// Without the reservation a large fill would wait forever behind small ones.
+    /// Pairs of a source's partner (`from`) and a partner that has waited too long for a fill (`to`). In this round their
+    /// capacity is reserved for the waiting partner. Without the reservation a large fill would wait forever behind small ones.
     pub reserved: BTreeSet<PartnerPair>,
 }
 
@@ -99,7 +99,7 @@
         self.open_debts.iter().filter(|(pair, _)| pair.to == creditor).map(|(_, debt)| debt.weight).sum()
     }
 
-    /// Subtracts `bytes` that a fill pays off from an open debt, and reduces its weight in proportion.
+    /// Subtracts `bytes` that a fill pays off from an open debt, and reduces the debt's weight in proportion.
     pub fn pay(&mut self, debtor: &str, creditor: &str, bytes: u64) {
         if let Some(debt) = self.open_debts.get_mut(&PartnerPair::new(debtor, creditor)) {
             let left = debt.bytes.saturating_sub(bytes);
--- a/crates/dunepond-settlement/src/planner/service_order.rs
+++ b/crates/dunepond-settlement/src/planner/service_order.rs
@@ -4,7 +4,7 @@
 use super::round::{DemandQueues, Round};
 use crate::{FillDemand, PartnerPair, PlanningRule, WaitReason};
 
-/// Ratio of a window after which a waiting partner is served before all others.
+/// Time for which a partner waits before it is served ahead of all others, as a ratio of the window.
 const MAX_WAIT_WINDOW_RATIO: f64 = 0.5;
 
 impl FillPlanner {
@@ -41,7 +41,7 @@
         self.recent.iter().filter(|fill| fill.to == partner).map(|fill| fill.bytes).sum()
     }
 
-    /// Whether the partner has waited too long. Never true for the baseline rule.
+    /// Whether the partner has waited too long. Never true for the baseline rule, [`PlanningRule::Cheapest`].
     fn is_starved(&self, partner: &str, round: &Round) -> bool {
         let max_wait_seconds = MAX_WAIT_WINDOW_RATIO * round.balances.terms().window_seconds;
         let starved_since = round.now - max_wait_seconds;
@@ -67,7 +67,7 @@
             }
             let ratio = if total_weight > 0.0 { round.owed_weight(partner) / total_weight } else { 0.0 };
             *deficit += largest_bytes.max(1.0) * (1.0 + ratio * queues.by_partner.len() as f64);
-            // The least string that is greater than this name, so that the next turn goes to the next partner.
+            // The least string that is greater than this partner's name, so that the next turn goes to the next partner.
             self.next_partner = format!("{partner}\0");
         }
     }
--- a/crates/dunepond-settlement/src/planner/source.rs
+++ b/crates/dunepond-settlement/src/planner/source.rs
@@ -6,7 +6,7 @@
 use super::round::Round;
 use crate::{Fill, FillDemand, FillSource, PlanningRule, Settlement, WaitReason};
 
-/// Rank of a source. A better source compares greater; fields are compared in their order.
+/// Rank of a source. A better source compares greater; fields are compared in the order of their declaration.
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
     /// Weight of what the source's partner owes the filled partner.
@@ -24,7 +24,7 @@
 }
 
 impl FillPlanner {
-    /// Returns the fill of a demand from the best source, or the reason why it must wait.
+    /// Returns the fill of a demand from the best source, or the reason why the demand must wait.
     pub(super) fn choose_source(&mut self, demand: &FillDemand, round: &Round) -> Result<Fill, WaitReason> {
         let node_rate =
             self.free_rate(round.slow_start.rate_cap(&demand.node), round, |fill| fill.node == demand.node);
@@ -173,14 +173,14 @@
         balance + pending_bytes(from, to) - pending_bytes(to, from) + i128::from(demand.bytes)
     }
 
-    /// Free rate of a link in bytes per second, if each chosen fill uses the minimum rate.
+    /// Free rate of a link in bytes per second, if each fill chosen in this round uses the minimum rate.
     fn free_link_rate(&self, from: &str, to: &str, round: &Round) -> f64 {
         let rate_cap = round.links.rate_cap(from, to);
         self.free_rate(rate_cap, round, |fill| fill.from == from && fill.to == to)
     }
 
-    /// Free rate in bytes per second of a resource with the capacity `rate_cap`, if each chosen fill uses the minimum rate.
-    /// `uses` selects the fills that use the resource.
+    /// Free rate in bytes per second of a resource with the capacity `rate_cap`, if each fill chosen in this round uses the
+    /// minimum rate. `uses` selects the fills that use the resource.
     fn free_rate(&self, rate_cap: f64, round: &Round, uses: impl Fn(&Fill) -> bool) -> f64 {
         let chosen = round.chosen.iter().filter(|fill| uses(fill)).count();
         rate_cap - self.running_rate(uses) - chosen as f64 * round.balances.terms().min_fill_rate
--- a/crates/dunepond-settlement/src/promises.rs
+++ b/crates/dunepond-settlement/src/promises.rs
@@ -1,4 +1,4 @@
-//! Settlements that this broker has promised from its shares and that are not yet in the log.
+//! Settlements that this broker has promised from its shares of debts and that are not yet in the consensus log.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
     ShareRelease, max_min,
 };
 
-/// Settlements that one broker has promised from its shares. They must be stored before a promise is acted on.
+/// Settlements that one broker has promised from its shares. A promise must be stored before its fill starts.
 ///
 /// A partitioned broker makes promises within its shares and proposes them once it reaches the log again. Even if stored
 /// promises are lost, the ledger accepts no settlement beyond a share.
@@ -19,7 +19,7 @@
     broker: String,
     /// Promised settlements that are not yet in the log, by id of the fill.
     promised: BTreeMap<String, Settlement>,
-    /// Part of a share that the broker is returning, until the log has the entry.
+    /// Entry that returns a part of the broker's share of a debt, kept until the consensus log contains it.
     releasing: Option<ShareRelease>,
 }
 
@@ -104,7 +104,7 @@
     }
 
     /// Starts to return an unspent part of the broker's share, and returns the entry to propose. These bytes can no longer be
-    /// promised. Only one return can be pending: if there is one, its entry is returned.
+    /// promised. Only one such entry can be pending at a time: if there is one, it is returned again and nothing else changes.
     ///
     /// # Errors
     /// Returns [`SettlementError::ExceedsRemaining`] if `bytes` is 0 or larger than what the broker may still promise.
@@ -129,8 +129,9 @@
         Ok(SettlementEntry::Release(release))
     }
 
-    /// Drops the promises that the log has, and those that it will never accept. To be called after new entries were applied,
-    /// with the settlements that [`SettlementLedger::apply`] has rejected.
+    /// Drops the promises whose settlements the ledger has applied or will never accept, and the pending [`ShareRelease`] once
+    /// its number is used. To be called after new entries were applied, with the settlements that [`SettlementLedger::apply`]
+    /// has rejected.
     pub fn reconcile(&mut self, ledger: &SettlementLedger, rejected: &[Settlement]) {
         // The ledger accepts no settlements of closed versions.
         let is_open =
@@ -145,7 +146,7 @@
     }
 }
 
-/// Returns the entry that allots the part of a debt that is not split yet; `None` if there is nothing to allot.
+/// Returns the entry that allots the part of a debt that is not split into shares yet; `None` if there is nothing to allot.
 ///
 /// It makes the remaining shares as even as possible, because it is unknown which broker will be partitioned.
 pub fn allot_evenly(
--- a/crates/dunepond-settlement/src/replication.rs
+++ b/crates/dunepond-settlement/src/replication.rs
@@ -1,9 +1,10 @@
-//! Selects the counts to send to a peer: the rows that changed since the last ones it acknowledged, and periodically all rows.
+//! Selects the counts to send to a peer: the rows that changed since the last revision that the peer acknowledged, and
+//! periodically all rows.
 //!
-//! Rows are sent only as a whole and merge idempotently, so a message may be lost, duplicated or late. The one thing to avoid
-//! is to omit a row that the peer lacks. Each message therefore acknowledges how far its sender has received the receiver's
-//! rows, and each process starts with nothing acknowledged. After a restart, a lost message or a restored old folder, more
-//! rows are sent than needed, never fewer.
+//! Rows are sent only as a whole and merge idempotently, so a message may be lost, duplicated or late. The one fault to avoid
+//! is a message that omits a row that the peer lacks. Each message therefore acknowledges how far its sender has received the
+//! receiver's rows, and each process starts with nothing acknowledged. After a restart, a lost message or a restored old
+//! folder, more rows are sent than needed, never fewer.
 
 use std::collections::BTreeMap;
 
@@ -11,15 +12,15 @@
 
 use crate::counts::{CarriedCounts, RowProgress};
 
-/// The process counts its messages to all peers together. Every message whose number is a multiple of this contains all
-/// rows, whatever its receiver has acknowledged. This repairs any error in the remembered positions, which say how far each
-/// peer has received the rows.
+/// The process counts its messages to all peers together. Every message whose number is a multiple of this contains all rows,
+/// whatever its receiver has acknowledged. This repairs any error in what this process assumes the peers to have received.
 const MESSAGES_PER_FULL_SYNC: u64 = 600;
-/// Maximum number of peers for which it is remembered how far they have received the rows. If it is exceeded, this is
-/// forgotten for all peers, and all rows are sent again.
+/// Maximum number of peers for which the position up to which they have received the rows is kept. Beyond this number, the
+/// positions of all peers are discarded, and all rows are sent again.
 const MAX_PEERS: usize = 10_000;
 
-/// A revision of the rows of one process. Each process has its own id.
+/// A point in the sequence of changes of one process's rows: the id of the process, and its revision (the number of changes so
+/// far).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Position {
     process: u64,
@@ -32,7 +33,8 @@
 pub struct CountsMessage {
     /// Rows that changed since the last acknowledged revision, or all rows.
     pub counts: CarriedCounts,
-    /// Position up to which a receiver has the sender's rows after this message, if it had them up to `since_revision`.
+    /// The sender's position. A receiver that had the sender's rows up to `since_revision` has them up to this position after
+    /// the message.
     #[serde(rename = "upto")]
     up_to: Position,
     /// Sender's revision after which the rows in this message changed; 0 if the message is not limited to changed rows.
@@ -41,14 +43,14 @@
     /// Position up to which the sender has received the receiver's rows.
     #[serde(rename = "heard")]
     received: Position,
-    /// Receiving process that sent the rows omitted from this message, so that `up_to` is valid only for it; 0 if no row is
-    /// omitted.
+    /// Id of the receiving process if rows are omitted because that process itself sent them. `up_to` is then valid only for
+    /// this process. 0 if no row is omitted for this reason.
     #[serde(rename = "only")]
     only_for_process: u64,
 }
 
 impl CountsMessage {
-    /// Creates a message from the counts of a build that sends only counts. It acknowledges nothing.
+    /// Creates a message from the counts of a build that sends only counts. The message acknowledges nothing.
     pub fn counts_only(counts: CarriedCounts) -> CountsMessage {
         CountsMessage { counts, ..CountsMessage::default() }
     }
@@ -72,11 +74,11 @@
     progress: RowProgress,
     /// Revision of this process at the change.
     revision: u64,
-    /// Process that sent the row in exactly this state; 0 if none did.
+    /// Id of the process that sent the row in exactly this state; 0 if none did.
     origin: u64,
 }
 
-/// Positions of all peers, and the last change of each row. Kept only in memory.
+/// Replication state of one process: the positions of all peers, and the last change of each row. Kept only in memory.
 #[derive(Clone, Debug)]
 pub struct CountsReplication {
     /// Id of this process.
@@ -125,7 +127,7 @@
         let is_full_sync = self.message_count.is_multiple_of(MESSAGES_PER_FULL_SYNC);
         let since_revision = if is_full_sync { 0 } else { peer.acknowledged_revision };
         let changed = |broker: &str| self.rows.get(broker).filter(|row| row.revision > since_revision);
-        // Without this each row would be sent back to the peer that sent it.
+        // Rows that the peer itself sent in this state are omitted; otherwise each row would be sent back.
         let is_from_peer = |row: &RowChange| row.origin != 0 && row.origin == peer.process;
         let omits_rows =
             counts.row_progress_by_broker().filter_map(|(broker, _)| changed(broker)).any(is_from_peer);
--- a/crates/dunepond-settlement/src/started_fills.rs
+++ b/crates/dunepond-settlement/src/started_fills.rs
@@ -1,4 +1,5 @@
-//! Fills that leaders started recently. The next leader needs them so that the limits per window hold across leader changes.
+//! Fills that leaders started recently. The next leader needs them so that the limits on carried bytes and on the change of
+//! debts per window hold across leader changes.
 
 use std::collections::BTreeMap;
 
@@ -6,11 +7,12 @@
 
 use crate::{Fill, Settlement};
 
-/// Seconds for which a fill is kept, by the leaders' clocks: twice the default window, because the clocks may differ.
+/// Seconds for which a started fill is kept, by the leaders' clocks: twice the default window of [`crate::SettlementTerms`],
+/// because the clocks may differ.
 const RETENTION_SECONDS: u64 = 7200;
 /// Number of times that old fills are dropped per retention period.
 const SWEEPS_PER_RETENTION: u64 = 16;
-/// Maximum number of fills that are kept. The oldest are dropped first.
+/// Maximum number of fills that are kept. If there are more, the older half is dropped.
 const MAX_FILL_COUNT: usize = 16_384;
 
 /// A [`Fill`] as recorded in the consensus log. It is recorded before the fill starts.
@@ -54,8 +56,8 @@
     }
 }
 
-/// Recently started fills by id and by partner of the source. A fill that was started from sources of two partners counts for
-/// both.
+/// Recently started fills by id and by partner of the source. A fill that was started from sources of two partners is contained
+/// once for each of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StartedFills {
     fills: BTreeMap<String, BTreeMap<String, StartedFill>>,
@@ -127,7 +129,7 @@
 }
 
 impl FillsToDrop {
-    /// Whether to drop this fill. Counts the dropped fills of the second `before`.
+    /// Whether to drop this fill. Reduces `count_at` by one for each dropped fill that started in the second `before`.
     fn drops(&mut self, fill: &StartedFill) -> bool {
         if fill.at == self.before && self.count_at > 0 {
             self.count_at -= 1;
--- a/crates/dunepond-settlement/tests/balances.rs
+++ b/crates/dunepond-settlement/tests/balances.rs
@@ -127,8 +127,8 @@
     assert_eq!(balances.net_debt("a", "b"), 60);
 }
 
-/// A fill settles a debt before the counts of a failed broker have arrived. The settlement counts up to the known debt, and
-/// the rest of it once the missing counts arrive.
+/// A fill settles a debt before the counts of a failed broker have arrived. The settlement counts up to the known debt, and in
+/// full once the missing counts arrive.
 #[rstest]
 fn settlement_beyond_known_debt_counts_later() {
     let mut balances = balances(&[("a", "b", 30)]);
@@ -240,7 +240,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(34), ..ProptestConfig::with_cases(256) })]
 
-    /// Cancelling cycles keeps what each partner owes or is owed in total, and leaves no cycle.
+    /// Cancelling cycles keeps what each partner owes minus what it is owed, and leaves no cycle.
     #[test]
     fn net_debts_keep_total_positions(debts in prop::collection::vec((0..5usize, 0..5usize, 1..100u64), 0..20)) {
         let names = ["a", "b", "c", "d", "e"];
--- a/crates/dunepond-settlement/tests/counts.rs
+++ b/crates/dunepond-settlement/tests/counts.rs
@@ -114,8 +114,8 @@
     assert_eq!(&late, local.counts());
 }
 
-/// After the folder was lost, earlier counts are known only from peers. They are not folded, because a partitioned peer may
-/// know more of them than has arrived.
+/// After the folder was lost, earlier counts are known only from peers. They are not folded at first, because a partitioned
+/// peer may know more of these counts than the broker has received so far.
 #[rstest]
 fn lost_folder_delays_folding() {
     let (no_partners, mut first) = (BrokerPartners::default(), LocalCounts::open(None, "n1", 1).unwrap());
--- a/crates/dunepond-settlement/tests/leaders.rs
+++ b/crates/dunepond-settlement/tests/leaders.rs
@@ -14,7 +14,7 @@
 
 /// Simulates twelve windows in which south demands more than north may carry, and the leader fails every `life_seconds`.
 /// `resumes_fills`: whether a new leader resumes the started fills. Returns the most bytes that north carried in any period
-/// of a window minus the clock difference, and the number of started fills.
+/// whose length is the window minus the clock difference, and the number of started fills.
 fn most_carried_bytes(life_seconds: f64, resumes_fills: bool) -> (u64, usize) {
     let terms = SettlementTerms {
         window_seconds: WINDOW_SECONDS,
@@ -34,7 +34,7 @@
     while now < 12.0 * WINDOW_SECONDS {
         if now >= leader_since + life_seconds {
             (planner, leader_since) = (FillPlanner::new("fleet", PlanningRule::MaxMin, now as u64), now);
-            // Every second leader has a clock that is ahead.
+            // The clock of every second leader is ahead.
             let clock = now as u64
                 + if ((now / life_seconds) as u64).is_multiple_of(2) { CLOCK_DIFFERENCE_SECONDS } else { 0 };
             for started in balances.ledger().started_fills().filter(|_| resumes_fills) {
@@ -63,7 +63,7 @@
         }
         now += 5.0;
     }
-    // A window can be shorter by the difference of two clocks.
+    // For a new leader, a window can be shorter by the difference between two leaders' clocks.
     let period_seconds = WINDOW_SECONDS - CLOCK_DIFFERENCE_SECONDS as f64;
     let starts_in_period = |from: &f64| {
         started_at.iter().filter(|at| **at >= *from && **at < from + period_seconds).count() as u64
--- a/crates/dunepond-settlement/tests/model.rs
+++ b/crates/dunepond-settlement/tests/model.rs
@@ -1,6 +1,6 @@
-//! Model check of two brokers that split a debt, promise settlements, fill and propose entries. Entries are lost, duplicated
-//! and reordered, brokers crash between any two steps or lose their folder, and the counts of a failed broker arrive late or
-//! never.
+//! Model check of two brokers that split a debt, promise settlements, carry out fills, and propose entries. Entries are lost,
+//! duplicated and reordered, brokers crash between any two steps or lose their folder, and the counts of a failed broker arrive
+//! late or never.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Mutex;
@@ -14,7 +14,8 @@
 /// Bytes of the debt that only the failed broker counted.
 const FAILED_BROKER_BYTES: u64 = 1;
 const BROKERS: [&str; 2] = ["x", "y"];
-/// Fills: id, settled bytes, and the brokers that may plan it. Both brokers may plan the first one, as during a leader change.
+/// For each fill: its id, the bytes of the debt that it settles, and the indexes of the brokers that may plan it. Both brokers
+/// may plan the first one, as during a leader change.
 const FILLS: [(&str, u64, &[usize]); 2] = [("1/1/h", 2, &[0, 1]), ("1/2/h", 2, &[1])];
 /// Maximum number of times that the same entry is committed.
 const MAX_COMMITS: u8 = 2;
@@ -72,7 +73,8 @@
 struct SettlementModel {
     /// Maximum number of entries in the log.
     max_log_len: usize,
-    /// Cache of allotments by ledger and known counts, because balances are expensive to compute and often the same.
+    /// Cache of allotments, by ledger and by whether all counts are known. Balances are expensive to compute and often the
+    /// same.
     allotments: Mutex<HashMap<(SettlementLedger, bool), Option<Allotment>>>,
 }
 
--- a/crates/dunepond-settlement/tests/plan.rs
+++ b/crates/dunepond-settlement/tests/plan.rs
@@ -222,7 +222,8 @@
     assert_eq!(balances.net_debt("a", "b") + balances.net_debt("b", "a"), 0);
 }
 
-/// Guards against a new leader that plans running fills again or ignores the fills of the window.
+/// Guards against a new leader that plans running fills again, or that ignores the fills of an earlier leader in the limits per
+/// window.
 #[rstest]
 fn new_leader_counts_resumed_fills() {
     let balances = balances(SettlementTerms { max_carried_bytes: 2000, ..terms() }, &[("b", "a", 1500)]);
@@ -242,7 +243,7 @@
     assert_eq!(plan.fills[0].settles.as_ref().map(|settlement| settlement.bytes), Some(500));
 }
 
-/// A split debt is paid only from the share of the planner's broker, minus what it has promised.
+/// A debt that is split into shares is paid only from the share of the planner's broker, minus what the broker has promised.
 #[rstest]
 fn plan_stays_within_share() {
     let mut balances = balances(terms(), &[("b", "a", 1000)]);
--- a/crates/dunepond-settlement/tests/replication.rs
+++ b/crates/dunepond-settlement/tests/replication.rs
@@ -175,7 +175,8 @@
 }
 
 /// Run manually. Measures the bytes per second that a broker sends, compared with sending all counts in each message. Each
-/// second every broker exchanges messages with a random one, and has counted each pair with a probability of `busy_percent`.
+/// second, every broker records traffic of each pair of partners with a probability of `busy_percent`, and exchanges messages
+/// with a random other broker.
 #[rstest]
 #[ignore = "a measurement, some minutes"]
 fn bytes_per_second(#[values(30, 100)] brokers: usize, #[values(0, 5, 100)] busy_percent: u64) {
@@ -198,7 +199,7 @@
         for from in 0..brokers {
             let to = (from + 1 + random(brokers - 1)) % brokers;
             let messages = exchange(&mut all, from, to);
-            // Counts only once all brokers have all rows.
+            // Sent bytes are counted only after 100 seconds, once all brokers have all rows.
             if second >= 100 {
                 sent_bytes += messages.iter().map(encoded_len).sum::<usize>();
                 complete_bytes += 2 * postcard::to_stdvec(all[from].counts.counts()).unwrap().len();
--- a/crates/dunepond-settlement/tests/week.rs
+++ b/crates/dunepond-settlement/tests/week.rs
@@ -59,7 +59,7 @@
             if rng.random_bool(0.01) {
                 broker.is_partitioned = !broker.is_partitioned;
             }
-            // The broker crashes and loses what was not stored.
+            // At random, the broker crashes and loses what was not stored.
             if rng.random_bool(0.005) {
                 broker.starts += 1;
                 let (counts, shares) = broker.stored.clone();
