--- a/crates/dunepond-config/src/deployment.rs
+++ b/crates/dunepond-config/src/deployment.rs
@@ -12,10 +12,10 @@
 /// value in the settings is raised to it.
 const MIN_LIST_POLL_DEADLINE_MS: f64 = 100.0;
 
-/// Reads the deployment that the router works with. `seed` is the seed of its random numbers.
+/// Reads the router's parameters from the deployment's settings. `seed` is the seed of the router's random choices.
 ///
 /// # Errors
-/// The first field that is missing, of the wrong type or out of range.
+/// Names the first field that is missing, of the wrong type or out of range.
 pub fn deployment(seed: u64, settings: &Fields) -> Result<Deployment, ConfigError> {
     let query_classes = query_classes(settings)?;
     let quotas = quotas(settings)?;
@@ -48,7 +48,7 @@
     })
 }
 
-/// Settings that are lists with one entry for each query class.
+/// Lists in the settings that have one entry for each query class, in the order of `services`.
 struct ClassLists {
     complete_at: Vec<f64>,
     minimum_share: Vec<f64>,
@@ -112,7 +112,8 @@
     Ok(quotas)
 }
 
-/// Reads the retry budget; `None`, meaning no limit on retries, if the settings give no ratio.
+/// Reads the limit on retries and hedged requests. Returns `None`, which means no limit, if the settings contain no
+/// `rules.repeatRatio`.
 fn retry_budget(settings: &Fields) -> Result<Option<RetryBudget>, ConfigError> {
     let Some(ratio) = settings.optional("rules.repeatRatio", "a number", Value::as_f64)? else {
         return Ok(None);
@@ -124,7 +125,8 @@
     }))
 }
 
-/// Reads the longest Retry-After that clients are told, in seconds; 0 if they are told none.
+/// Reads the longest Retry-After (the time after which a client may retry) that a rejection may state, in seconds; 0 if
+/// rejections state none.
 fn max_retry_after_seconds(settings: &Fields) -> Result<f64, ConfigError> {
     if settings.flag("ceilings.retryAfter")? {
         Ok(settings.number_or("ceilings.maxRetryAfterMs", 0.0)? / 1000.0)
@@ -139,7 +141,8 @@
     })
 }
 
-/// Reads the longest interval between two polls of the endpoint list, in seconds; `None` if the list is not polled.
+/// Reads the longest interval between two polls of discovery's endpoint list, in seconds; `None` if the list is not
+/// polled, because discovery pushes it.
 fn list_poll_deadline_seconds(settings: &Fields) -> Result<Option<f64>, ConfigError> {
     match settings.optional_text("discovery")? {
         Some("on_request") => {
--- a/crates/dunepond-config/src/error.rs
+++ b/crates/dunepond-config/src/error.rs
@@ -1,9 +1,9 @@
-//! The error type for everything that is read at startup.
+//! The error type for configuration files and other input that is read at startup.
 
 use std::fmt;
 
-/// Why a configuration, or a file or address that it names, can't be used. The text is one line that begins with the key
-/// or with the source.
+/// Why a configuration, or a file or address that it names, can't be used. The text is one line that begins with what
+/// is at fault, such as the key or the file.
 #[derive(Debug, PartialEq)]
 pub struct ConfigError(pub String);
 
--- a/crates/dunepond-config/src/fields.rs
+++ b/crates/dunepond-config/src/fields.rs
@@ -8,7 +8,8 @@
 
 /// A JSON object with the name that error messages use for it. Fields are read by path: keys separated by dots.
 ///
-/// Unless stated otherwise, reading a field fails if it is absent, null or of another type.
+/// Unless a method's description says otherwise, the method fails if the field is absent, null or of another type than
+/// the method reads.
 #[derive(Clone, Copy)]
 pub struct Fields<'a> {
     name: &'a str,
@@ -49,8 +50,8 @@
         self.optional(path, kind, get)?.ok_or_else(|| self.error(path, "missing"))
     }
 
-    /// Reads a field that may be absent or null with `get`, which returns `None` for an invalid value. `kind` describes the
-    /// valid values in the error message.
+    /// Reads a field; returns `None` if it is absent or null. `get` converts the field's value, and returns `None` if
+    /// the value is invalid. `kind` describes valid values in the error message.
     pub fn optional<T>(
         &self,
         path: &str,
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Reads an index into a list of the settings that has `length` entries; returns 0 if the field is absent.
+    /// Reads an index into a list that has `length` entries; returns 0 if the field is absent. Fails if the index is
+    /// not below `length`.
     pub fn index(&self, path: &str, length: usize) -> Result<usize, ConfigError> {
         let index = self.count_or(path, 0)? as usize;
         if index < length {
--- a/crates/dunepond-config/src/host_settings.rs
+++ b/crates/dunepond-config/src/host_settings.rs
@@ -1,17 +1,19 @@
-//! Reads the settings that the host of the router needs: names and limits of connections.
+//! Reads the settings for the router's host, the process that does the router's I/O: names of query classes, tenants
+//! and zones, and limits on queries and connections.
 
 use serde_json::Value;
 
 use crate::{ConfigError, Fields};
 
-/// Names of query classes, tenants and zones by the router's index, and limits on queries and connections.
+/// Settings for the router's host, the process that does the router's I/O: names of the query classes, tenants and
+/// zones, which the router identifies by index, and limits on queries and connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostSettings {
-    /// Names of the query classes, in the order of the router's indices.
+    /// Names of the query classes. The router identifies a class by its index in this list.
     pub query_classes: Vec<String>,
-    /// Names of the tenants, in the order of the router's indices.
+    /// Names of the tenants. The router identifies a tenant by its index in this list.
     pub tenants: Vec<String>,
-    /// Names of the zones, in the order of the router's indices.
+    /// Names of the zones. The router identifies a zone by its index in this list.
     pub zones: Vec<String>,
     /// Number of segments that the data are divided into.
     pub segment_count: usize,
@@ -21,7 +23,8 @@
     pub max_parts_per_call: usize,
     /// Maximum number of parts in flight on one connection to a node.
     pub max_parts_per_connection: usize,
-    /// Time after which a peer closes an idle connection, in seconds.
+    /// Time, in seconds, after which a node closes a connection that is idle. The broker closes such a connection a
+    /// little earlier.
     pub idle_timeout_seconds: f64,
     /// Maximum duration of a connection attempt to a node, in seconds.
     pub connect_timeout_seconds: f64,
@@ -29,10 +32,10 @@
     pub longest_query_seconds: f64,
 }
 
-/// Reads the names and limits that the host of the router needs from the settings.
+/// Reads the names and limits that the router's host, the process that does the router's I/O, needs from the settings.
 ///
 /// # Errors
-/// The first field that is missing, of the wrong type or out of range.
+/// Names the first field that is missing, of the wrong type or out of range.
 pub fn host_settings(settings: &Fields) -> Result<HostSettings, ConfigError> {
     let services = settings.list("services")?;
     let zones = settings.list("zones")?;
@@ -50,7 +53,7 @@
     })
 }
 
-/// Reads the `name` of each object in a list.
+/// Reads the `name` field of each object in the list at `path`.
 fn names(settings: &Fields, path: &str) -> Result<Vec<String>, ConfigError> {
     let list_name = format!("{}.{path}", settings.name());
     let mut names = Vec::new();
@@ -65,7 +68,8 @@
     list.iter().map(|entry| entry.as_str().map(str::to_string)).collect()
 }
 
-/// Reads the limit on queries and parts in flight; 0 means no limit.
+/// Reads the maximum number of queries and parts in flight, counted together. Returns `None`, which means no limit, if
+/// the field is absent or 0.
 fn max_in_flight(settings: &Fields) -> Result<Option<usize>, ConfigError> {
     let max_in_flight = settings.optional("ceilings.mostHeld", "a whole number", Value::as_u64)?;
     Ok(max_in_flight.filter(|max| *max > 0).map(|max| max as usize))
--- a/crates/dunepond-config/src/lib.rs
+++ b/crates/dunepond-config/src/lib.rs
@@ -1,8 +1,9 @@
-//! Reads and checks the configuration that the programs start with.
+//! Reads and checks the configuration that the programs of this workspace read at startup.
 //!
 //! [`deployment`] and [`host_settings`] read the deployment's settings (JSON, see [`Fields`]), [`operator`] reads the
-//! operator's file (KDL), and [`migrate`] converts a configuration of the earlier format. Keys in the files keep their names
-//! for compatibility; only this crate maps them to the terms of the code. Every error names the offending key or its place.
+//! operator's file (KDL), and [`migrate`] converts a configuration of the earlier format. For compatibility, keys in
+//! the files keep their old names, which differ from the terms in the code; only this crate maps one to the other.
+//! Every error names the offending key or its position in the file.
 //!
 //! Durations are seconds and sizes are bytes, unless a name says otherwise.
 
--- a/crates/dunepond-config/src/migrate/known_keys.rs
+++ b/crates/dunepond-config/src/migrate/known_keys.rs
@@ -2,7 +2,8 @@
 
 use serde_json::{Map, Value};
 
-/// Known keys by the path of the object that contains them. Objects whose path is not listed are kept whole.
+/// Known keys, separated by spaces, by the path of the object that contains them. An object whose path is not listed
+/// keeps all its keys.
 const KNOWN_KEYS: [(&str, &str); 12] = [
     ("", "name listen discovery seed log limits known settings"),
     ("limits", "cores memory_mb sockets"),
@@ -39,7 +40,8 @@
     ("settings.blend", "whole worstClass worstTenant worstWindow"),
 ];
 
-/// Removes unknown keys from the object at `path` and from the objects in it, and adds a line to `changes` for each.
+/// Removes unknown keys from the object at `path` and from the objects in it, and adds a line to `changes` for each
+/// removed key.
 pub(super) fn remove_unknown(path: &str, object: &mut Map<String, Value>, changes: &mut Vec<String>) {
     let Some((_, known)) = KNOWN_KEYS.iter().find(|(known_path, _)| *known_path == path) else { return };
     object.retain(|key, value| {
@@ -62,7 +64,7 @@
     if path.is_empty() { key.to_string() } else { format!("{path}.{key}") }
 }
 
-/// Returns the value itself, or the entries of a list, leaving out everything that is not an object.
+/// Returns the objects in a value: the value itself if it is an object, or those entries of a list that are objects.
 fn objects_in(value: &mut Value) -> Vec<&mut Map<String, Value>> {
     let values = match value {
         Value::Array(list) => list.iter_mut().collect(),
--- a/crates/dunepond-config/src/migrate/mod.rs
+++ b/crates/dunepond-config/src/migrate/mod.rs
@@ -1,5 +1,6 @@
-//! Converts a configuration file of the earlier format, in which the replicas of a segment span neighbouring replica groups
-//! and clients may be told when to retry, to the current one. Each changed or removed key is reported.
+//! Converts a configuration file from the earlier format to the current one, and reports each changed or removed key.
+//! In the earlier format, the replicas of a segment are in several neighbouring replica groups, and clients may be told
+//! when to retry.
 
 mod known_keys;
 
@@ -10,8 +11,8 @@
 /// Choices about the new deployment that the old file doesn't contain.
 #[derive(Debug, Default)]
 pub struct MigrationOptions {
-    /// Number of replica groups of the new deployment. If `None`, as many old groups are joined into one as held the same
-    /// segment.
+    /// Number of replica groups of the new deployment. If `None`, old groups are joined: each new group replaces as
+    /// many old groups as stored the same segment.
     pub replica_groups: Option<usize>,
     /// Whether to disable hedging, so that a part never has two attempts at the same time.
     pub disable_hedging: bool,
@@ -22,9 +23,10 @@
 pub struct MigratedConfig {
     /// Text of the new file.
     pub text: String,
-    /// One line for each changed or removed key, beginning with the key.
+    /// One line for each key that was changed or removed, or that sets a limit and is absent. A line begins with its
+    /// key.
     pub changes: Vec<String>,
-    /// Whether the old file has the new format already; `text` is then the unchanged text of the old file.
+    /// Whether the old file is in the current format already; `text` is then the unchanged text of the old file.
     pub unchanged: bool,
 }
 
@@ -32,7 +34,8 @@
 /// configuration must pass it.
 ///
 /// # Errors
-/// Fails if the text is not JSON, if `check` fails, or if the replica groups can't be joined evenly.
+/// Fails if the text is not JSON, if `check` fails, if `options` requests 0 replica groups, or if `options` gives no
+/// number of replica groups and the old groups can't be joined evenly.
 pub fn migrate(
     text: &str,
     options: &MigrationOptions,
@@ -71,8 +74,8 @@
 struct OldLayout {
     /// Number of replica groups.
     groups: usize,
-    /// Number of replica groups, neighbours of each other, that hold the same segment. By default, this many old groups are
-    /// joined into one new group.
+    /// Number of neighbouring replica groups that store the same segment. Unless [`MigrationOptions::replica_groups`]
+    /// is given, this many old groups are joined into one new group.
     span: usize,
 }
 
@@ -82,7 +85,8 @@
     settings: Fields<'a>,
     /// The new configuration, which starts as a copy of the old one.
     new: Value,
-    /// One line for each changed or removed key, beginning with the key.
+    /// One line for each key that was changed or removed, or that sets a limit and is absent. A line begins with its
+    /// key.
     changes: Vec<String>,
 }
 
--- a/crates/dunepond-config/src/operator/body_buffer.rs
+++ b/crates/dunepond-config/src/operator/body_buffer.rs
@@ -1,4 +1,4 @@
-//! Reads the limits on buffering request bodies for retries (`bodies`).
+//! Reads the `bodies` node: the limits on request bodies, which are buffered for retries.
 
 use std::path::PathBuf;
 
@@ -25,9 +25,9 @@
 /// How request bodies are buffered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BodyBufferConfig {
-    /// Limits on the size of buffers and on the time of reads and writes.
+    /// Limits on the sizes of bodies and buffers, and the time after which a read or write without progress fails.
     pub limits: BufferLimits,
-    /// Where bodies are spilled to; `None` if they are held in memory only.
+    /// Folder and threads for bodies that are spilled to disk; `None` if bodies are stored in memory only.
     pub spill: Option<SpillConfig>,
 }
 
@@ -111,7 +111,8 @@
         Some(SpillConfig { folder: folder?, threads, max_queued_jobs })
     }
 
-    /// Checks that the longest allowed body fits into the share of one tenant and into that of one query class.
+    /// Checks that the longest body in memory and the window of a streamed body fit into the memory that one tenant or
+    /// one query class may use, and that the longest spilled body fits into the disk space that one of these may use.
     fn check_body_limits(&mut self, at: usize, limits: &BufferLimits) {
         let ratio = limits.tenant_ratio.min(limits.query_class_ratio);
         let max_buffered = (MAX_BUFFERED_RATIO * ratio * limits.max_memory_bytes as f64) as u64;
--- a/crates/dunepond-config/src/operator/fleet/mod.rs
+++ b/crates/dunepond-config/src/operator/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration of consensus and membership among brokers (`fleet`).
+//! Configuration of consensus and membership among brokers (the KDL node `fleet`).
 
 mod parse;
 
@@ -18,29 +18,32 @@
 pub struct FleetConfig {
     /// Address at which other brokers reach this one, over UDP and TCP on the same port.
     pub listen_address: SocketAddr,
-    /// Folder for configurations, votes and promises. A voter whose folder was lost does not vote after a restart.
+    /// Folder for configurations, votes and commitments to settle fills. A voter whose folder was lost does not vote
+    /// after a restart.
     pub folder: PathBuf,
-    /// Validity of a lease, in seconds.
+    /// Time for which a lease is valid, in seconds, counted from when the broker sent the request for it.
     pub lease_seconds: f64,
-    /// Maximum difference between the rates of two brokers' clocks, as a ratio.
+    /// Maximum drift of any broker's monotonic clock, as a ratio; 0.01 is 1%.
     pub clock_drift_ratio: f64,
-    /// Time, in seconds, after which no two brokers act on contradicting rules any more.
+    /// The switch bound, in seconds: once this time has passed since a new configuration was committed, no broker acts
+    /// on the previous one alone.
     pub switch_bound_seconds: f64,
-    /// Longest timeout of a query at any broker, in seconds. If the deployment's settings contain a longer query timeout,
-    /// that one is used instead; `None` also means the one in the settings.
+    /// Longest timeout of a query at any broker, in seconds. The longest query timeout in the deployment's settings is
+    /// used instead if it is longer than this one, or if this one is `None`.
     pub longest_query_seconds: Option<f64>,
-    /// Brokers that vote.
+    /// Names and addresses of the voters: the brokers that vote in consensus.
     pub voters: Vec<BrokerAddress>,
-    /// Addresses of brokers that are not voters but known at startup.
+    /// Names and addresses of other brokers that are known at startup; they do not vote.
     pub peers: Vec<BrokerAddress>,
     /// File with the secret that all brokers share. Without it, brokers are identified by the addresses they send from, so
     /// it is needed if network relays forward the messages between brokers.
     pub key_file: Option<PathBuf>,
-    /// The version file, which contains a configuration to propose. It is read at startup and on SIGHUP.
+    /// The version file, which contains a configuration version to propose to the fleet. It is read at startup and on
+    /// SIGHUP.
     pub version_file: Option<PathBuf>,
     /// The audit log: a file to which this broker's decisions are written, one per line.
     pub audit_log_file: Option<PathBuf>,
-    /// Partners, which own zones, tenants and brokers.
+    /// The partners: organisations that own zones, tenants and brokers.
     pub partners: Vec<PartnerConfig>,
     /// Limits on the bandwidth of fills between partners. A fill copies a segment's data to a new replica.
     pub links: Vec<LinkConfig>,
@@ -50,7 +53,7 @@
     pub rebalancing: Option<RebalanceConfig>,
     /// Constraints on new shard maps; `None` if configurations contain no shard maps.
     pub map: Option<MapConfig>,
-    /// Quotas that all brokers share by demand; `None` if each broker has an even share.
+    /// Quotas that are divided among the brokers by demand; `None` if each broker has an equal share of every quota.
     pub quotas: Option<QuotaConfig>,
 }
 
@@ -63,7 +66,8 @@
     pub address: SocketAddr,
 }
 
-/// A partner: an owner of zones. The work of its nodes for the tenants of other partners is counted.
+/// A partner: an organisation that owns zones. The work that its nodes do for the tenants of other partners is counted
+/// as a debt of those partners.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartnerConfig {
     /// Name of the partner, unique in the fleet.
@@ -72,10 +76,11 @@
     pub zones: Vec<String>,
     /// Names of the partner's tenants.
     pub tenants: Vec<String>,
-    /// Names of the brokers whose counts represent this partner. The counts of a broker without a partner are used for both
-    /// sides.
+    /// Names of the partner's brokers, which count the work for this partner. The counts of a broker that belongs to no
+    /// partner are used for both sides of a debt.
     pub brokers: Vec<String>,
-    /// Whether the partner's brokers also count the work of its own nodes; it is then owed the lower of both sides' counts.
+    /// Whether the partner's brokers also count the work that the partner's own nodes do for others. If so, a debt to
+    /// this partner is the lower of the counts of both sides.
     pub metered: bool,
 }
 
@@ -95,7 +100,8 @@
 pub struct FillConfig {
     /// TCP address of the service.
     pub address: SocketAddr,
-    /// Deadline for all fills that a proposed configuration needs, in seconds; if they take longer, it is withdrawn.
+    /// Deadline for all fills that a proposed configuration needs, in seconds. If the fills take longer, the
+    /// configuration is withdrawn.
     pub deadline_seconds: f64,
     /// Size of one segment's data, in bytes.
     pub segment_bytes: u64,
@@ -103,8 +109,9 @@
     pub bytes_per_second: u64,
     /// Maximum number of fills that run at the same time.
     pub max_concurrent_fills: usize,
-    /// Whether replicas on nodes in slow start are filled too. The broker responsible for such a fill runs it even if it is
-    /// partitioned from the others; to allow this, debts are split among all brokers in advance.
+    /// Whether replicas on nodes in slow start (nodes that have just started) are filled too. The broker that is
+    /// responsible for such a fill runs it even while it is partitioned from the other brokers. To allow this, debts
+    /// are split among all brokers in advance, and each broker settles such fills from its share.
     pub fill_started_nodes: bool,
 }
 
@@ -117,16 +124,17 @@
     pub max_concurrent_actions: usize,
     /// Pause between two steps of the plan, in seconds.
     pub settle_seconds: f64,
-    /// Maximum rate of fills between two partners without a `link`, in bytes per second.
+    /// Maximum rate of all fills from one partner to another if there is no `link` node for them, in bytes per second;
+    /// `None` for no limit.
     pub default_link_bytes_per_second: Option<u64>,
 }
 
 /// Constraints on new shard maps.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MapConfig {
-    /// Minimum number of replicas of each segment.
+    /// Minimum number of filled replicas (replicas whose data is complete) of each segment.
     pub min_replicas: usize,
-    /// Minimum number of zones in which each segment has a replica.
+    /// Minimum number of zones in which each segment has a filled replica.
     pub min_zones: usize,
     /// Maximum ratio of segments that one configuration may change, from 0 to 1.
     pub max_changed_ratio: f64,
--- a/crates/dunepond-config/src/operator/fleet/parse.rs
+++ b/crates/dunepond-config/src/operator/fleet/parse.rs
@@ -21,7 +21,8 @@
     ["voter", "peer", "key", "version", "record", "partner", "link", "fills", "moves", "map", "limits"];
 const REPEATABLE_NODES: [&str; 4] = ["voter", "peer", "partner", "link"];
 
-/// Entries of the consensus parameters: the places of errors that involve several parameters.
+/// KDL entries of the consensus parameters. An error that involves several parameters is reported at the position of
+/// one of them.
 struct ConsensusEntries<'n> {
     lease: Option<&'n KdlEntry>,
     drift: Option<&'n KdlEntry>,
@@ -88,7 +89,8 @@
         }
     }
 
-    /// Checks that both ends of a link are partners, and that there is no other link between them.
+    /// Checks that both ends of a link are partners, and that there is no other link between them in the same
+    /// direction.
     fn check_link(&mut self, node: &KdlNode, link: &LinkConfig, fleet: &FleetConfig) {
         let at = node.name().span().offset();
         for end in [&link.from, &link.to] {
@@ -101,13 +103,15 @@
         }
     }
 
-    /// Checks the voters and the consensus parameters. Errors are reported at the offending entry if there is one.
+    /// Checks the voters and the consensus parameters. An error is reported at the entry of the offending parameter, or
+    /// at the offset `at` if the parameter has no entry.
     fn check_consensus(&mut self, at: usize, fleet: &FleetConfig, entries: &ConsensusEntries) {
         let Some(voter) = fleet.voters.first() else {
             let message = "fleet: no voter; add each as a node 'voter \"NAME\" at=\"ADDRESS:PORT\"'";
             return self.report(at, message);
         };
-        // This file contains neither the broker's name nor the settings' longest query timeout; startup checks these.
+        // The operator's file contains neither the broker's name nor the longest query timeout of the deployment's
+        // settings; both are checked at startup.
         if let Err(error) = fleet.consensus_config(&voter.name, MIN_QUERY_SECONDS).check() {
             let entry = match error {
                 ConsensusConfigError::Lease { .. } => entries.lease,
--- a/crates/dunepond-config/src/operator/mod.rs
+++ b/crates/dunepond-config/src/operator/mod.rs
@@ -27,7 +27,7 @@
 
 const MIB: u64 = 1024 * 1024;
 
-/// One error in the operator's file, with its place.
+/// One error in the operator's file, with its position.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Diagnostic {
     /// Line of the error, counted from 1.
@@ -44,24 +44,25 @@
     }
 }
 
-/// The contents of the operator's file. The fields' docs name the KDL nodes that set them.
+/// The contents of the operator's file. The description of a field ends with the KDL node that sets it, in parentheses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperatorConfig {
     /// Buffering of request bodies (`bodies`).
     pub body_buffer: Option<BodyBufferConfig>,
-    /// The prefilter, which runs before a query (`phases`).
+    /// The prefilter, which determines before a query is run which segments can match it (`phases`).
     pub prefilter: Option<PrefilterConfig>,
-    /// Storage of state that outlives the process (`state`).
+    /// Storage of state that survives a restart of the process (`state`).
     pub recovery: Option<RecoveryConfig>,
     /// The listener of the search API (`search`).
     pub search_api: Option<SearchApiConfig>,
-    /// Networks of the nodes that speak the search API; all other nodes speak the frame protocol (`search-nodes`).
+    /// Networks of the nodes that implement the search API; all other nodes implement the frame protocol
+    /// (`search-nodes`).
     pub search_api_nodes: Vec<IpNet>,
     /// Consensus and membership among brokers (`fleet`).
     pub fleet: Option<FleetConfig>,
     /// Limits on all background jobs together (`background`).
     pub background: Budget,
-    /// Format of the log, `text` or `json`; `None` if the file gives none (`log`).
+    /// Format of the log, `text` or `json`; `None` if the file sets no format (`log`).
     pub log_format: Option<String>,
     /// Interval between two log lines with counters, in seconds; `None` if counters are not logged (`counters`).
     pub counters_interval_seconds: Option<f64>,
--- a/crates/dunepond-config/src/operator/prefilter.rs
+++ b/crates/dunepond-config/src/operator/prefilter.rs
@@ -1,4 +1,5 @@
-//! Reads the configuration of the prefilter, which runs before a query (`phases`).
+//! Reads the `phases` node: the configuration of the prefilter, which determines before a query is run which segments
+//! can match it.
 
 use dunepond_prefilter::PrefilterConfig;
 use kdl::KdlNode;
--- a/crates/dunepond-config/src/operator/quotas.rs
+++ b/crates/dunepond-config/src/operator/quotas.rs
@@ -1,21 +1,23 @@
-//! Reads which quotas all brokers of a fleet share (`limits`).
+//! Reads the `limits` node: which quotas are divided among the brokers of a fleet by demand.
 
 use kdl::{KdlDocument, KdlNode};
 
 use super::reader::Reader;
 
-/// Which quotas the brokers of a fleet share; a quota that the file doesn't name is not shared.
+/// Which quotas are shared, that is, divided among the brokers of a fleet by demand. A quota that the file doesn't name
+/// is not shared: each broker determines its part of it on its own.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaConfig {
-    /// Share of each quota, as a ratio, that brokers may use without a lease. It is split evenly among them; the rest of
-    /// the quota is allocated by demand.
+    /// Ratio of each shared quota that brokers may use without a lease, split evenly among them. The rest of the quota
+    /// is allocated by demand.
     pub reserved_ratio: f64,
-    /// Interval between two allocations, in seconds.
+    /// Interval between two allocations of the shared quotas to the brokers, in seconds.
     pub interval_seconds: f64,
-    /// Rate of parts that one warm node accepts from all brokers together, in parts per second; `None` if the limits of slow
-    /// start are not shared.
+    /// Number of parts per second that one warm node (a node that is past its slow start) accepts from all brokers
+    /// together; it limits what the brokers send to a node in slow start. `None` if that limit is not shared.
     pub slow_start_parts_per_second: Option<f64>,
-    /// Whether the retry budget's minimum number of retries is shared.
+    /// Whether the brokers share the minimum of the retry budget: the number of retries and hedged requests that are
+    /// allowed regardless of the load.
     pub share_retries: bool,
     /// Names of the tenants whose quotas are shared, as in the settings.
     pub tenants: Vec<String>,
--- a/crates/dunepond-config/src/operator/reader.rs
+++ b/crates/dunepond-config/src/operator/reader.rs
@@ -10,7 +10,7 @@
 
 use super::{Diagnostic, MIB};
 
-/// Reads one file and collects the errors in it.
+/// Reads one operator's file and collects the errors in it.
 pub(super) struct Reader<'a> {
     text: &'a str,
     pub(super) errors: Vec<Diagnostic>,
@@ -23,7 +23,7 @@
 }
 
 impl Reader<'_> {
-    /// Reports an error at an offset in the text, in bytes.
+    /// Reports an error at a byte offset in the file.
     pub(super) fn report(&mut self, offset: usize, message: impl Into<String>) {
         let before = &self.text.as_bytes()[..offset.min(self.text.len())];
         let line = 1 + before.iter().filter(|byte| **byte == b'\n').count();
@@ -32,7 +32,8 @@
         self.errors.push(Diagnostic { line, column, message: message.into() });
     }
 
-    /// Returns the nodes with a known name. Unknown and repeated names are errors, reported as errors in `within`.
+    /// Returns those of `nodes` whose name is in `known`. Unknown and repeated names are reported as errors, in
+    /// messages that begin with `within`.
     pub(super) fn children<'n>(
         &mut self,
         within: &str,
@@ -42,8 +43,8 @@
         self.children_with_repeats(within, nodes, known, &[])
     }
 
-    /// Returns the nodes with a known name. Unknown names are errors, and so are repeated names that are not in `repeatable`;
-    /// they are reported as errors in `within`.
+    /// Returns those of `nodes` whose name is in `known`. Unknown names, and repeated names that are not in
+    /// `repeatable`, are reported as errors, in messages that begin with `within`.
     pub(super) fn children_with_repeats<'n>(
         &mut self,
         within: &str,
@@ -70,7 +71,8 @@
         accepted
     }
 
-    /// Returns a node's properties in the order of `known`. Other properties, arguments and children are errors.
+    /// Returns a node's properties in the order of `known`; absent ones are `None`. Reports an error for each other
+    /// property and each argument, and for children.
     pub(super) fn properties<'n, const N: usize>(
         &mut self,
         node: &'n KdlNode,
@@ -84,8 +86,8 @@
         found
     }
 
-    /// Returns the properties, in the order of `known`, of a node that may have children. Other properties and arguments are
-    /// errors.
+    /// Returns the properties of a node that may have children, in the order of `known`; absent ones are `None`.
+    /// Reports an error for each other property and each argument.
     pub(super) fn properties_beside_children<'n, const N: usize>(
         &mut self,
         node: &'n KdlNode,
@@ -94,8 +96,9 @@
         self.known_properties(node, node.entries(), known)
     }
 
-    /// Returns a node's only argument, which is a name, and the node's properties in the order of `known`. Other properties,
-    /// further arguments and children are errors.
+    /// Returns a node's only argument, which is a name, and the node's properties in the order of `known`; what is
+    /// absent is `None`. Reports an error for a missing name, for each other property and further argument, and for
+    /// children.
     pub(super) fn name_and_properties<'n, const N: usize>(
         &mut self,
         node: &'n KdlNode,
@@ -116,7 +119,8 @@
         (name.map(str::to_string), found)
     }
 
-    /// Returns the entries that are properties with a known key, in the order of `known`. Other entries are errors.
+    /// Returns the entries that are properties with a key in `known`, in the order of `known`; absent ones are `None`.
+    /// Reports an error for each other entry.
     fn known_properties<'n, const N: usize>(
         &mut self,
         node: &KdlNode,
@@ -148,7 +152,8 @@
         found
     }
 
-    /// Returns the only entry of a node that has one argument and neither properties nor children.
+    /// Returns a node's argument. Reports an error and returns `None` unless the node has exactly one argument and
+    /// neither properties nor children.
     pub(super) fn argument<'n>(&mut self, node: &'n KdlNode) -> Option<&'n KdlEntry> {
         let (name, at) = (node.name().value(), node.name().span().offset());
         match node.entries() {
@@ -174,7 +179,8 @@
         text.map(str::to_string)
     }
 
-    /// Reads an address with a port. Without an entry, the error is reported at the offset `at`.
+    /// Reads an IP address with a port. If there is no entry, the error is reported at the byte offset `at`. Error
+    /// messages begin with `what`.
     pub(super) fn address(&mut self, what: &str, entry: Option<&KdlEntry>, at: usize) -> Option<SocketAddr> {
         let address = entry.and_then(|entry| entry.value().as_string()).and_then(|text| text.parse().ok());
         if address.is_none() {
@@ -238,7 +244,7 @@
         number.map_or(default, |number| number as usize)
     }
 
-    /// Reads `on` or `off`; returns whether it is `on`, and false if it is absent or invalid.
+    /// Reads `on` or `off`. Returns true for `on`, and false if the value is `off`, absent or invalid.
     pub(super) fn is_on(&mut self, entry: Option<&KdlEntry>) -> bool {
         entry.and_then(|entry| self.one_of(entry, &["on", "off"])).is_some_and(|value| value == "on")
     }
@@ -283,7 +289,8 @@
         found
     }
 
-    /// Reads the absolute path of a folder; an absent path is an error at the node's name.
+    /// Reads the absolute path of a folder. If there is no entry, the error is reported at the position of the node's
+    /// name.
     pub(super) fn absolute_folder(&mut self, node: &KdlNode, folder: Option<&KdlEntry>) -> Option<PathBuf> {
         let path = folder.and_then(|entry| entry.value().as_string()).filter(|path| path.starts_with('/'));
         if path.is_none() {
@@ -295,7 +302,8 @@
     }
 }
 
-/// Parses a whole number with a unit, and returns it in bytes; `None` if it is invalid or too large.
+/// Parses a whole number with an optional unit, and returns the size in bytes; `None` if the text is invalid or the
+/// size too large.
 fn parse_size(text: &str) -> Option<u64> {
     let digits = text.len() - text.trim_start_matches(|c: char| c.is_ascii_digit()).len();
     let factor = match text[digits..].trim() {
--- a/crates/dunepond-config/src/operator/recovery.rs
+++ b/crates/dunepond-config/src/operator/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads where state that outlives the process is stored (`state`).
+//! Reads the `state` node: where state that survives a restart of the process is stored, and how often.
 
 use std::path::PathBuf;
 
@@ -6,7 +6,8 @@
 
 use super::reader::Reader;
 
-/// Where learned state and spent budgets are stored, and how often.
+/// Where and how often snapshots are stored: of what the broker has learned about nodes, and of the budgets that it has
+/// spent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoveryConfig {
     /// Folder for the snapshots; it must exist.
--- a/crates/dunepond-config/src/operator/search_api.rs
+++ b/crates/dunepond-config/src/operator/search_api.rs
@@ -1,4 +1,4 @@
-//! Reads the address of the search API and the limits on its requests (`search`).
+//! Reads the `search` node: the address at which the search API listens, and the limits on its requests.
 
 use std::net::SocketAddr;
 
--- a/crates/dunepond-config/src/strict_json.rs
+++ b/crates/dunepond-config/src/strict_json.rs
@@ -1,12 +1,13 @@
-//! A JSON parser that rejects duplicate keys. Otherwise a proxy that reads the first of two values, where this program reads
-//! the last, would check a different document from the one that is used.
+//! A JSON parser that rejects duplicate keys. If they were accepted, this program would use the last of two values with
+//! the same key. A proxy that checks documents before this program reads them might use the first, and so check a
+//! different document.
 
 use std::fmt;
 
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 
-/// Parses a whole document.
+/// Parses a complete JSON document.
 ///
 /// # Errors
 /// Returns a message with the line and column of the first error. For a duplicate key, the message contains the key.
--- a/crates/dunepond-config/tests/operator.rs
+++ b/crates/dunepond-config/tests/operator.rs
@@ -1,4 +1,4 @@
-//! Parsing of the operator's file: defaults, the documented example, and errors with their places.
+//! Parsing of the operator's file: defaults, the documented example, and errors with their positions.
 
 use dunepond_config::operator::{OperatorConfig, parse};
 use dunepond_search_api::RequestLimits;
@@ -17,7 +17,7 @@
     let text = include_str!("../../../deploy/dunepond.kdl");
     let config = parse(text).unwrap();
     assert_eq!(config, OperatorConfig::default());
-    // In the example, each feature is commented out with a slash-dash.
+    // In the example, each feature is commented out with `/-`, KDL's slash-dash. Without it, all features are enabled.
     let enabled = parse(&text.replace("/-", "")).unwrap();
     let bodies = enabled.body_buffer.unwrap();
     assert_eq!((bodies.limits.max_body_bytes, bodies.limits.window_bytes), (64 * MIB, MIB / 4));
@@ -70,7 +70,7 @@
     );
 }
 
-/// A `fleet` node with one voter and the given keys and nodes; the nodes begin on line 3.
+/// The text of a `fleet` node with one voter and the given keys and nodes; the given nodes begin on line 3 of the text.
 fn fleet(keys: &str, nodes: &str) -> String {
     format!("fleet {keys} {{\nvoter \"a\" at=\"127.0.0.1:1\"\n{nodes}\n}}")
 }
