--- a/crates/dunepond-search-api/src/error.rs
+++ b/crates/dunepond-search-api/src/error.rs
@@ -61,12 +61,12 @@
         Self::new(429, "rejected_execution_exception", reason)
     }
 
-    /// 503: too few parts returned a result; the search may be retried.
+    /// 503: too few parts of the search returned a result; the client may retry the search.
     pub fn shards_failed(reason: impl Into<String>) -> Self {
         Self::new(503, "search_phase_execution_exception", reason)
     }
 
-    /// 502: non-idempotent parts may have run, so a retry may run them twice.
+    /// 502: non-idempotent parts of the request may have run, so a retry of the request may run them twice.
     pub fn unknown_outcome() -> Self {
         Self::new(
             502,
--- a/crates/dunepond-search-api/src/hits/merger.rs
+++ b/crates/dunepond-search-api/src/hits/merger.rs
@@ -7,7 +7,8 @@
 use super::{Hit, HitDocument, PartResult};
 use crate::request::SortKey;
 
-/// Merges part results into the first hits of the whole search. Holds at most as many hits as the response may need.
+/// Merges the results of parts into the first hits of the whole search. Keeps at most as many hits as the response may
+/// need.
 pub struct HitMerger {
     sort: Vec<SortKey>,
     max_hits: usize,
@@ -18,7 +19,7 @@
     pub total_is_exact: bool,
     /// The highest score of any hit; `None` if no part returned a score.
     pub max_score: Option<f64>,
-    /// Whether some part stopped early because of `terminate_after`.
+    /// Whether a node stopped searching for some part early, because of the search's `terminate_after`.
     pub terminated_early: bool,
 }
 
@@ -32,7 +33,8 @@
 }
 
 impl HitMerger {
-    /// Creates an empty merger that keeps `max_hits` hits, sorted by the keys in `sort`, or by score if there are none.
+    /// Creates an empty merger that keeps at most `max_hits` hits. They are sorted by the keys in `sort`, or by score
+    /// if `sort` is empty.
     pub fn new(sort: &[SortKey], max_hits: usize) -> Self {
         Self {
             sort: sort.to_vec(),
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Adds the result of one segment's part.
+    /// Adds the result of the part of the search for one segment.
     pub fn add(&mut self, segment: usize, result: PartResult) {
         self.total = self.total.saturating_add(result.total);
         self.total_is_exact &= result.total_is_exact;
@@ -58,7 +60,8 @@
     }
 
     fn add_hits(&mut self, segment: usize, hits: Vec<Hit>) {
-        // Nodes return sorted hits, but this code doesn't rely on it: every hit is compared with the last one held.
+        // Nodes return sorted hits, but this code doesn't rely on it: every hit is compared with the last one that is
+        // kept.
         let is_full = self.first_hits.len() == self.max_hits;
         let last = if is_full { self.first_hits.last().cloned() } else { None };
         for (position, hit) in hits.into_iter().enumerate() {
@@ -74,7 +77,7 @@
         self.first_hits.truncate(self.max_hits);
     }
 
-    /// Number of hits that the merger holds.
+    /// Number of hits that the merger has kept so far.
     pub fn hit_count(&self) -> usize {
         self.first_hits.len()
     }
--- a/crates/dunepond-search-api/src/hits/mod.rs
+++ b/crates/dunepond-search-api/src/hits/mod.rs
@@ -11,16 +11,17 @@
 pub use merger::HitMerger;
 pub use part_result::{ExpectedResult, PartResult};
 
-/// One hit of a part, as the node returned it.
+/// One hit in the result of a part, as the node returned it.
 #[derive(Clone, Debug)]
 pub struct Hit {
     /// Id of the document.
     pub id: String,
     /// Relevance score; `None` if the node returned none.
     pub score: Option<f64>,
-    /// The hit's values for the sort keys, in their order.
+    /// The hit's values for the sort keys, in the order of the keys.
     pub sort: Vec<Value>,
-    /// The document's JSON, which is passed on unparsed; `None` if the source was filtered out.
+    /// The document's JSON, which is passed to the client unparsed; `None` if the request's `_source` filter excludes
+    /// it.
     pub source: Option<Box<RawValue>>,
 }
 
@@ -36,7 +37,7 @@
     /// Relevance score; `null` in the response if there is none.
     #[serde(rename = "_score")]
     pub score: Option<f64>,
-    /// The document's JSON; left out of the response if it was filtered out.
+    /// The document's JSON; left out of the response if the request's `_source` filter excludes it.
     #[serde(rename = "_source", skip_serializing_if = "Option::is_none")]
     pub source: Option<Box<RawValue>>,
     /// The hit's values for the sort keys; left out of the response if there are none.
--- a/crates/dunepond-search-api/src/hits/part_result.rs
+++ b/crates/dunepond-search-api/src/hits/part_result.rs
@@ -1,5 +1,5 @@
-//! The result of one part. A node's response is validated as a whole before it is used: an invalid response means that the
-//! part failed, not that it found fewer hits.
+//! The result of one part of a search. A node's response is validated completely before any of it is used. If it is
+//! invalid, the part counts as failed, not as a part with fewer hits.
 
 use super::Hit;
 use super::raw::{OneHit, RawHits, RawResponse, Total};
@@ -7,7 +7,7 @@
 /// The result of one part of a search.
 #[derive(Clone, Debug)]
 pub struct PartResult {
-    /// Number of documents that match.
+    /// Number of documents that match the query, including those that are not in `hits`.
     pub total: u64,
     /// Whether `total` is exact; otherwise it is a lower bound.
     pub total_is_exact: bool,
@@ -15,7 +15,7 @@
     pub max_score: Option<f64>,
     /// The first hits in sort order, as the node returned them.
     pub hits: Vec<Hit>,
-    /// Whether the node stopped early because of `terminate_after`.
+    /// Whether the node stopped searching early, because of the search's `terminate_after`.
     pub terminated_early: bool,
 }
 
@@ -28,7 +28,7 @@
     pub max_hits: usize,
     /// Number of sort values that each hit must have; `None` skips this check.
     pub sort_keys: Option<usize>,
-    /// Whether the response may lack a total because the client doesn't track it.
+    /// Whether the response may lack a total, because the client set `track_total_hits` to false.
     pub total_untracked: bool,
 }
 
@@ -36,7 +36,7 @@
     /// Parses and validates a node's response.
     ///
     /// # Errors
-    /// The first reason why the response can't be used.
+    /// Returns the first reason why the response can't be used.
     pub fn parse(bytes: &[u8], expected: &ExpectedResult) -> Result<Self, String> {
         let response = RawResponse::parse(bytes, expected.max_hits).map_err(|error| error.to_string())?;
         if response.timed_out == Some(true) {
@@ -57,7 +57,8 @@
     }
 }
 
-/// Returns the total and whether it is exact; 0 as a lower bound if the total is missing and allowed to be.
+/// Returns the total number of hits and whether it is exact. If the response may lack a total and does, returns 0,
+/// which is a lower bound.
 fn read_total(total: Option<Total>, expected: &ExpectedResult) -> Result<(u64, bool), String> {
     let Some(total) = total else {
         return if expected.total_untracked {
--- a/crates/dunepond-search-api/src/hits/raw.rs
+++ b/crates/dunepond-search-api/src/hits/raw.rs
@@ -55,7 +55,7 @@
 }
 
 impl RawResponse {
-    /// Deserializes a whole response and fails if it has more than `max_hits` hits.
+    /// Deserializes a complete response; fails if it has more than `max_hits` hits.
     pub(super) fn parse(bytes: &[u8], max_hits: usize) -> Result<Self, serde_json::Error> {
         let mut deserializer = serde_json::Deserializer::from_slice(bytes);
         let response = deserializer.deserialize_map(ResponseVisitor { max_hits })?;
@@ -69,7 +69,7 @@
     if field.replace(value).is_some() { Err(E::duplicate_field(name)) } else { Ok(()) }
 }
 
-/// Deserializes a whole search response.
+/// Deserializes a complete search response.
 struct ResponseVisitor {
     max_hits: usize,
 }
--- a/crates/dunepond-search-api/src/json.rs
+++ b/crates/dunepond-search-api/src/json.rs
@@ -1,5 +1,5 @@
 //! A strict JSON parser that rejects duplicate keys, trailing data, and documents with too many values or levels of
-//! nesting. It checks these limits before it allocates a value.
+//! nesting. The limits on values and nesting are checked before memory for a value is allocated.
 
 use std::cell::Cell;
 use std::fmt;
@@ -27,7 +27,8 @@
 }
 
 impl StrictValue<'_> {
-    /// Returns the deserializer for values one level deeper, or an error at the maximum depth.
+    /// Returns the deserializer for the values in an object or list, which are one level deeper; fails at the maximum
+    /// depth.
     fn nested<E: Error>(&self) -> Result<Self, E> {
         let max_depth = self.limits.max_depth;
         if self.depth >= max_depth {
@@ -36,7 +37,7 @@
         Ok(Self { depth: self.depth + 1, ..*self })
     }
 
-    /// Counts one more value and fails beyond the maximum.
+    /// Counts one more value; fails if the document then has more values than the maximum.
     fn count_value<E: Error>(&self) -> Result<(), E> {
         let max_values = self.limits.max_values;
         let remaining = self.remaining_values.get().checked_sub(1);
@@ -109,10 +110,10 @@
     }
 }
 
-/// Parses a whole document within `limits`.
+/// Parses a complete document; fails if it exceeds `limits`.
 ///
 /// # Errors
-/// The first error in the document, with its line and column.
+/// Returns the first error in the document, with its line and column.
 pub fn parse(bytes: &[u8], limits: JsonLimits) -> Result<Value, ApiError> {
     let remaining_values = Cell::new(limits.max_values);
     let mut deserializer = serde_json::Deserializer::from_slice(bytes);
--- a/crates/dunepond-search-api/src/lib.rs
+++ b/crates/dunepond-search-api/src/lib.rs
@@ -1,8 +1,8 @@
 //! The OpenSearch-style search API, implemented from its public description. This crate does no I/O.
 //!
 //! [`request`] parses requests and reports where an error is; [`routing`] selects the segments of a search; [`node`]
-//! encodes the requests to nodes that speak the API and interprets their responses; [`hits`] merges the results of parts;
-//! [`response`] builds the responses to clients and marks partial results as the API does.
+//! encodes the requests to nodes that implement the API and interprets their responses; [`hits`] merges the results of
+//! parts; [`response`] builds the responses to clients and marks partial results in the way that the API defines.
 
 #![warn(missing_docs)]
 
--- a/crates/dunepond-search-api/src/node.rs
+++ b/crates/dunepond-search-api/src/node.rs
@@ -1,4 +1,5 @@
-//! Encodes the request for one part to a node that speaks the API, and interprets the node's response.
+//! Encodes the request for one part (the share of a search or update for one segment) to a node that implements the
+//! API, and interprets the node's response.
 
 use serde_json::Value;
 
@@ -11,12 +12,12 @@
 const MAX_ERROR_VALUES: usize = 1000;
 const MAX_UPDATE_VALUES: usize = 10_000;
 
-/// The outcome of a part, derived from the node's response. Whether the part may have run depends on this value only.
+/// The outcome of a part, derived from the node's response. The variant alone tells whether the part may have run.
 #[derive(Clone, Debug)]
 pub enum NodeOutcome {
-    /// A search succeeded and returned this result.
+    /// The part of a search succeeded and returned this result.
     Found(Box<PartResult>),
-    /// An update is complete and changed this many documents.
+    /// The part of an update is complete and changed this many documents.
     Updated(u64),
     /// The node rejected the part before running it.
     Rejected,
@@ -37,14 +38,15 @@
     pub segment: usize,
     /// Id of the request, sent as `X-Opaque-Id` so that it appears in the node's log.
     pub id: &'a str,
-    /// Time that the node may take, in milliseconds.
+    /// Time that the node may take to respond, in milliseconds.
     pub timeout_ms: u64,
     /// Length of the body, in bytes.
     pub body_bytes: u64,
 }
 
 impl RequestHead<'_> {
-    /// Returns the request line and headers as they are sent. Names are plain text and are not percent-encoded.
+    /// Returns the request line and headers as they are sent. `index` and `operation` are plain text, so they are not
+    /// percent-encoded.
     pub fn encode(&self) -> Vec<u8> {
         let Self { host, index, operation, segment, id, timeout_ms, body_bytes } = self;
         format!(
--- a/crates/dunepond-search-api/src/query/fields.rs
+++ b/crates/dunepond-search-api/src/query/fields.rs
@@ -1,4 +1,5 @@
-//! Readers of the values in a query. Each takes the path of the value in the document (`place`), which errors begin with.
+//! Functions that read single values in a query. Each takes the value's path in the document as `place`; its error
+//! messages begin with this path.
 
 use serde_json::{Map, Value};
 
@@ -42,7 +43,7 @@
     value.as_str().map(str::to_string).ok_or_else(|| ApiError::parsing("expected a string").at(place))
 }
 
-/// A value that is neither null, a list nor an object, as terms and range bounds must be.
+/// A string, number or boolean, as terms and range bounds must be; fails for null, lists and objects.
 pub(super) fn scalar(place: &str, value: &Value) -> Parsed<Value> {
     match value {
         Value::String(_) | Value::Number(_) | Value::Bool(_) => Ok(value.clone()),
--- a/crates/dunepond-search-api/src/query/mod.rs
+++ b/crates/dunepond-search-api/src/query/mod.rs
@@ -31,7 +31,7 @@
     And,
 }
 
-/// A valid query. Variants and fields have the API's names unless a comment gives the API's name.
+/// A valid query. Variants and fields are named as in the API; where a name differs, a comment gives the API's name.
 #[allow(missing_docs, reason = "the API's documentation describes the fields")]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Query {
@@ -116,7 +116,8 @@
 }
 
 impl Query {
-    /// The query's JSON as sent to nodes. It states every default explicitly, so that equal queries have equal JSON.
+    /// The query's JSON as it is sent to nodes. It states every default explicitly, so that equal queries have equal
+    /// JSON.
     pub fn normalized(&self) -> Value {
         match self {
             Self::MatchAll => json!({"match_all": {}}),
--- a/crates/dunepond-search-api/src/query/parser.rs
+++ b/crates/dunepond-search-api/src/query/parser.rs
@@ -14,8 +14,8 @@
 const BOOL_KEYS: [&str; 5] = ["must", "filter", "should", "must_not", "minimum_should_match"];
 const QUERY_STRING_KEYS: [&str; 3] = ["query", "default_field", "default_operator"];
 
-/// Parses queries. It counts the clauses of all queries that it parses together against the limit, so each query that is to
-/// have the whole limit needs its own parser.
+/// Parses queries. The limit on clauses applies to all queries that one parser parses, taken together. For a query to
+/// have the full limit, it needs a parser of its own.
 pub struct QueryParser {
     pub(super) limits: QueryLimits,
     clauses: usize,
@@ -35,7 +35,7 @@
 }
 
 impl QueryParser {
-    /// Creates a parser whose count of clauses is 0.
+    /// Creates a parser that has not counted any clauses yet.
     pub fn new(limits: QueryLimits) -> Self {
         Self { limits, clauses: 0 }
     }
@@ -43,7 +43,7 @@
     /// Parses the query at the path `place` of the document.
     ///
     /// # Errors
-    /// The first error in the query, with its path in the document.
+    /// Returns the first error in the query, with its path in the document.
     pub fn parse(&mut self, place: &str, value: &Value) -> Result<Query, ApiError> {
         self.parse_nested(place, value, 0)
     }
@@ -113,8 +113,8 @@
         Ok(Query::Phrase { field: parsed.field, text: parsed.text, slop })
     }
 
-    /// Parses a field and its text from `{FIELD: TEXT}` or `{FIELD: {KEY: TEXT, ...}}`, where `key` is the name of KEY. The
-    /// inner object of the second form may only have keys in `known`, which includes `key`.
+    /// Parses a field and its text from `{FIELD: TEXT}` or `{FIELD: {KEY: TEXT, ...}}`, where KEY is `key`. The inner
+    /// object of the second form may only have keys in `known`, which includes `key`.
     fn field_text<'v>(
         &self,
         place: &str,
--- a/crates/dunepond-search-api/src/query/query_string.rs
+++ b/crates/dunepond-search-api/src/query/query_string.rs
@@ -5,7 +5,7 @@
 use crate::Parsed;
 use crate::error::ApiError;
 
-/// Delimiters of a query string that are open at the current character.
+/// Delimiters that are open at the current character of a query string.
 #[derive(Default)]
 struct OpenDelimiters {
     quote: bool,
@@ -14,7 +14,7 @@
 }
 
 impl OpenDelimiters {
-    /// Updates the state with the next character; fails if the character is not supported.
+    /// Updates the open delimiters with the next character; fails if the character is not supported.
     fn advance(&mut self, place: &str, c: char) -> Parsed<()> {
         if std::mem::take(&mut self.escape) {
             return Ok(());
@@ -54,11 +54,11 @@
 }
 
 impl QueryParser {
-    /// Validates the query string at the path `place`, and returns it with single spaces between its words. Each space counts
-    /// as one more clause.
+    /// Validates the query string at the path `place`, and returns it with single spaces between its words; spaces in
+    /// quotes are not changed. Each space between words counts as one more clause.
     ///
     /// # Errors
-    /// The first error in the query string, prefixed with `place`.
+    /// Returns the first error in the query string, prefixed with `place`.
     pub fn parse_query_string(&mut self, place: &str, text: &str) -> Result<String, ApiError> {
         self.check_length(place, text, "max_text_length", self.limits.max_text_chars)?;
         let mut open = OpenDelimiters::default();
--- a/crates/dunepond-search-api/src/request/body.rs
+++ b/crates/dunepond-search-api/src/request/body.rs
@@ -11,7 +11,7 @@
     ["query", "from", "size", "sort", "_source", "timeout", "track_total_hits", "terminate_after"];
 
 impl RequestParser<'_> {
-    /// Applies the keys of a request body to `search`, and returns these keys.
+    /// Sets the values in a request body on `search`, and returns the body's keys.
     pub(super) fn apply_body(&self, search: &mut Search, document: &Value) -> Parsed<Vec<String>> {
         let Some(map) = document.as_object() else { return Err(ApiError::parsing("expected an object")) };
         for (key, value) in map {
--- a/crates/dunepond-search-api/src/request/limits.rs
+++ b/crates/dunepond-search-api/src/request/limits.rs
@@ -3,10 +3,10 @@
 use crate::json::JsonLimits;
 use crate::query::QueryLimits;
 
-/// Limits on one request to the search API. The error of a request that exceeds a limit names the limit.
+/// Limits on one request to the search API. If a request exceeds a limit, the error names the limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestLimits {
-    /// Maximum length of one JSON document, in bytes.
+    /// Maximum length of one JSON document, such as a request body, in bytes.
     pub max_document_bytes: usize,
     /// Maximum nesting depth of objects and lists.
     pub max_depth: usize,
--- a/crates/dunepond-search-api/src/request/mod.rs
+++ b/crates/dunepond-search-api/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Parses requests. A key or parameter that is not supported is an error; none is silently ignored.
+//! Parses requests. A key or parameter that is not supported is reported as an error instead of being ignored.
 
 mod body;
 mod limits;
@@ -29,7 +29,8 @@
     Search(Box<Search>),
     /// A search that returns only the number of its hits.
     Count(Box<Search>),
-    /// Several searches, answered in this order; an invalid search gets an error in place of its response.
+    /// Several searches, answered in this order. For an invalid search, the response contains an error in place of a
+    /// result.
     Multi(Vec<Result<Search, ApiError>>),
     /// An update of all documents that match the query of a search.
     Update(Box<Search>),
@@ -39,7 +40,7 @@
 /// this list.
 ///
 /// # Errors
-/// The error response for the client, with the first error in the request and its place.
+/// Returns the error response for the client, with the first error in the request and its place.
 pub fn parse(
     method: &str,
     target: &str,
@@ -81,7 +82,7 @@
     }
 }
 
-/// Served indices and limits that all parts of a request are parsed with.
+/// Parses one request; contains the names of the served indices and the limits on the request.
 struct RequestParser<'a> {
     indices: &'a [String],
     limits: &'a RequestLimits,
@@ -100,7 +101,8 @@
         if !body.iter().all(u8::is_ascii_whitespace) {
             body_keys = self.apply_body(&mut search, &self.document(body)?)?;
         }
-        // A value given both in the body and as a parameter would have to be ignored in one of them.
+        // A value that is given both in the body and as a parameter is an error, because one of the two would have to
+        // be ignored.
         for (key, _) in &target.params {
             let body_name = if key == "q" { "query" } else { key.as_str() };
             if body_keys.iter().any(|body_key| body_key == key || body_key == body_name) {
@@ -134,7 +136,7 @@
         QueryParser::new(self.limits.query())
     }
 
-    /// Fails if `from` and `size` together exceed the result window.
+    /// Fails if the sum of `from` and `size` exceeds `max_result_window`.
     fn check_window(&self, search: &Search) -> Parsed<()> {
         let max = self.limits.max_result_window;
         if search.from.checked_add(search.size).is_none_or(|window| window > max) {
--- a/crates/dunepond-search-api/src/request/multi.rs
+++ b/crates/dunepond-search-api/src/request/multi.rs
@@ -8,12 +8,13 @@
 use crate::error::ApiError;
 
 const KNOWN_HEADER_KEYS: [&str; 4] = ["index", "routing", "allow_partial_search_results", "preference"];
-/// Maximum length of the whole body, in documents of the maximum length, even if more searches are allowed.
+/// Maximum length of the body of an `_msearch`, as a multiple of the maximum length of one document. It applies even if
+/// the maximum number of searches is greater.
 const MAX_BODY_DOCUMENTS: usize = 16;
 
 impl RequestParser<'_> {
-    /// Parses pairs of lines, each a header that may name the index, followed by a search. A search without an index in its
-    /// header uses `default_index`.
+    /// Parses pairs of lines: the first is a header that may name the index, the second is a search. A search without
+    /// an index in its header uses `default_index`.
     pub(super) fn multi_search(
         &self,
         body: &[u8],
--- a/crates/dunepond-search-api/src/request/params.rs
+++ b/crates/dunepond-search-api/src/request/params.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// The included and the excluded fields of a source filter.
+/// The included and the excluded fields of a source filter; both lists are empty if the filter names no fields.
 fn source_fields(source: &SourceFilter) -> (Vec<String>, Vec<String>) {
     match source {
         SourceFilter::Fields { includes, excludes } => (includes.clone(), excludes.clone()),
--- a/crates/dunepond-search-api/src/request/search.rs
+++ b/crates/dunepond-search-api/src/request/search.rs
@@ -60,11 +60,11 @@
     pub sort: Vec<SortKey>,
     /// Which part of each document is returned.
     pub source: SourceFilter,
-    /// Time that the client is willing to wait, in seconds; `None` if the client gives none.
+    /// Time that the client is willing to wait, in seconds; `None` if the client states none.
     pub timeout_seconds: Option<f64>,
     /// How far the total number of hits is counted.
     pub track_total_hits: TrackTotalHits,
-    /// Number of hits after which each part may stop; `None` for no limit.
+    /// Number of hits after which a node may stop searching for a part; `None` for no limit.
     pub terminate_after: Option<u64>,
     /// Whether the client accepts a response that lacks the results of some parts.
     pub allow_partial_results: bool,
--- a/crates/dunepond-search-api/src/request/values.rs
+++ b/crates/dunepond-search-api/src/request/values.rs
@@ -1,5 +1,5 @@
-//! Parsers of values in URL parameters and request bodies. Each takes the name of the parameter or the path in the body
-//! (`place`), which errors begin with.
+//! Parsers of values in URL parameters and request bodies. Each takes the name of the parameter or the value's path in
+//! the body as `place`; its error messages begin with it.
 
 use crate::Parsed;
 use crate::error::ApiError;
@@ -37,12 +37,12 @@
     }
 }
 
-/// Returns `None`, meaning no limit, for 0.
+/// Converts a limit of a request: 0 means no limit and is returned as `None`.
 pub(super) fn unless_zero(number: u64) -> Option<u64> {
     if number > 0 { Some(number) } else { None }
 }
 
-/// Copies names of fields; fails if one has characters that nodes would interpret as a pattern.
+/// Checks and returns names of fields; fails if one is empty or has characters that nodes would interpret as a pattern.
 pub(super) fn field_names<'t>(place: &str, names: impl Iterator<Item = &'t str>) -> Parsed<Vec<String>> {
     names.map(|name| field_name(place, name)).collect()
 }
--- a/crates/dunepond-search-api/src/response.rs
+++ b/crates/dunepond-search-api/src/response.rs
@@ -63,7 +63,7 @@
     pub skipped: usize,
     /// Parts that are neither successful nor skipped.
     pub missing: Vec<MissingPart>,
-    /// Whether the response was sent before all parts had finished, as the query class allows.
+    /// Whether the response was sent before all parts had finished, which the query class may allow.
     pub timed_out: bool,
 }
 
@@ -140,7 +140,8 @@
     }))
 }
 
-/// The `hits.total` object, counted as far as the client requested; `None` if the client doesn't track it.
+/// The `hits.total` object of a response, counted as far as the client requested; `None` if the client requested no
+/// total.
 fn total_hits(search: &Search, parts: &PartOutcomes, merger: &HitMerger) -> Option<Value> {
     // A part without a result may have more hits, which makes the total a lower bound even if all other totals are exact.
     let is_exact = merger.total_is_exact && parts.is_complete() && !merger.terminated_early;
@@ -188,7 +189,8 @@
     format!("{{\"took\":{took_ms},\"responses\":[{}]}}", responses.collect::<Vec<_>>().join(","))
 }
 
-/// Builds the response with name and version; it has the fields that client tools need to connect.
+/// Builds the response to a request for the name and version of the service. It has the fields that client tools need
+/// to connect.
 pub fn info_response(name: &str, version: &str) -> Value {
     json!({
         "name": name,
@@ -199,7 +201,8 @@
     })
 }
 
-/// Builds the response with the state of the nodes: green if all are in service, yellow if some are, red if none is.
+/// Builds the response to a request for the state of the nodes: green if all nodes are in service, yellow if some are,
+/// red if none is.
 pub fn health_response(nodes: usize, in_service: usize, segments: usize) -> Value {
     let status = match in_service {
         0 => "red",
--- a/crates/dunepond-search-api/src/routing.rs
+++ b/crates/dunepond-search-api/src/routing.rs
@@ -1,5 +1,5 @@
-//! Selects the segments of a search: all of them, or those that its routing values hash to. The hash is the one that the
-//! API documents: the 32-bit MurmurHash3 with seed 0 of the value in UTF-16, little-endian.
+//! Selects the segments of a search: all of them, or those that its routing values hash to. The hash is the one that
+//! the API documents: the 32-bit MurmurHash3 with seed 0, applied to the value in UTF-16, little-endian.
 
 /// The 32-bit variant of MurmurHash3 with seed 0.
 fn murmur3(bytes: &[u8]) -> u32 {
--- a/crates/dunepond-search-api/src/target.rs
+++ b/crates/dunepond-search-api/src/target.rs
@@ -7,7 +7,7 @@
 pub struct RequestTarget {
     /// The decoded elements of the path; empty elements are dropped.
     pub path: Vec<String>,
-    /// Decoded names and values of the parameters, in their order; names are unique.
+    /// Decoded names and values of the parameters, in the order of the request; names are unique.
     pub params: Vec<(String, String)>,
 }
 
--- a/crates/dunepond-search-api/tests/requests.rs
+++ b/crates/dunepond-search-api/tests/requests.rs
@@ -188,7 +188,8 @@
     assert_eq!(search.query, expected);
 }
 
-/// Nodes may cache results by the body's text, and the prefilter identifies a search by the hash of its body.
+/// Equal searches must have equal bodies, because nodes may cache results by the body's text, and the prefilter
+/// identifies a search by the hash of its body.
 #[test]
 fn equal_searches_have_equal_bodies() {
     let a = parse_search(
@@ -219,7 +220,7 @@
     assert_eq!(searches[0].as_ref().unwrap().index, 0);
     assert_eq!(searches[1].as_ref().map(|s| (s.index, s.size)).unwrap(), (1, 1));
     assert_eq!(searches[2].as_ref().unwrap_err().status, 404);
-    // Without a default index, a search that names no index is invalid, but the others are not affected.
+    // Without a default index, a search that names no index is invalid, but the other searches are not affected.
     let Ok(ApiRequest::Multi(searches)) = parse_request("POST", "/_msearch", &body) else { panic!() };
     assert!(searches[1].as_ref().unwrap_err().reason.contains("no [index]"));
     assert!(
--- a/crates/dunepond-search-api/tests/responses.rs
+++ b/crates/dunepond-search-api/tests/responses.rs
@@ -36,8 +36,8 @@
 #[case::duplicate_field(|d: Value| d.to_string().replacen("\"timed_out\"", "\"timed_out\":false,\"timed_out\"", 1), "duplicate field")]
 #[case::timed_out(|mut d: Value| { d["timed_out"] = json!(true); d.to_string() }, "timed_out")]
 #[case::failed_shard(|mut d: Value| { d["_shards"]["failed"] = json!(1); d.to_string() }, "_shards.failed")]
-// The expected texts below contain names of Rust types, such as `OneHit`. Errors with these texts are logged, so the texts
-// must stay the same even if a type is renamed.
+// The expected texts below contain names of Rust types, such as `OneHit`. Error messages with these texts are logged,
+// so the texts must stay the same even if a type is renamed.
 #[case::shards_of_wrong_type(|mut d: Value| { d["_shards"] = json!(false); d.to_string() }, "expected struct Shards")]
 #[case::hit_of_wrong_type(|mut d: Value| { d["hits"]["hits"][0] = json!([]); d.to_string() }, "struct OneHit with 5 elements")]
 #[case::hits_of_wrong_type(|mut d: Value| { d["hits"] = json!([]); d.to_string() }, "hits: an object")]
@@ -70,7 +70,7 @@
     let body = json!({"error": {"type": kind, "reason": "x"}, "status": status}).to_string();
     let rejected = matches!(read_response(status, body.as_bytes(), Some(&EXPECTED)), NodeOutcome::Rejected);
     assert_eq!(rejected, is_rejected);
-    // Without such a body, the response may come from a server between the broker and the node.
+    // Without a body that names the error type, the response may come from a server between the broker and the node.
     assert!(!matches!(read_response(status, b"busy", None), NodeOutcome::Rejected));
 }
 
@@ -85,7 +85,7 @@
     assert_eq!(updated, count);
 }
 
-/// A part result with these ids and scores.
+/// The result of a part, with one hit for each of these pairs of id and score.
 fn scored_hits(hits: &[(&str, f64)]) -> PartResult {
     let hit = |(id, score): &(&str, f64)| Hit {
         id: id.to_string(),
@@ -125,7 +125,7 @@
     }
 }
 
-/// A part result with one hit for each sort value; a hit's id is its position.
+/// The result of a part, with one hit for each of these sort values; a hit's id is its position in the result.
 fn hits_with_sort_values(keys: &[Value]) -> PartResult {
     let hits = keys.iter().enumerate().map(|(i, key)| Hit {
         id: i.to_string(),
@@ -285,7 +285,7 @@
         prop_assert_eq!(ids(&merger.into_hits("x", 0)), expected);
     }
 
-    /// No request panics the parser, and the node request body of a parsed search parses to the same search.
+    /// No request makes the parser panic, and the node request body of a parsed search parses to the same search.
     #[test]
     fn any_request_parses_or_fails(
         target in "/(full-search|x)/_(search|count|msearch)(\\?[a-z_=&0-9%+]{0,30})?",
@@ -301,7 +301,8 @@
         }
     }
 
-    /// A response with one corrupted byte is either invalid, or has at most the requested hits and a plausible total.
+    /// A node's response with one corrupted byte is either invalid, or has at most the requested number of hits and, if
+    /// its total is exact, a total that is not less than the number of hits.
     #[test]
     fn corrupted_response_is_invalid_or_consistent(offset in 0..400usize, byte in any::<u8>(), status in prop_oneof![Just(200u16), Just(429), 100..600u16]) {
         let mut bytes = node_response(json!([hit("a", 2.0), hit("b", 1.0)]), 7).to_string().into_bytes();
