--- a/crates/dunepond-simulation/src/event_queue.rs
+++ b/crates/dunepond-simulation/src/event_queue.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// An event with its due time and its place in the order of scheduling.
+/// An event with its due time and its number in the order in which events were scheduled.
 struct Scheduled<T> {
     due_at: f64,
     sequence: u64,
@@ -11,8 +11,8 @@
 }
 
 impl<T> Ord for Scheduled<T> {
-    /// Reversed, as the heap pops the greatest element: the earliest event is the greatest, and among events of one
-    /// time the one that was scheduled first.
+    /// Compares in reverse, because the heap pops the greatest element: an event that is due earlier is greater, and of
+    /// two events that are due at the same time, the one that was scheduled first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.due_at.total_cmp(&self.due_at).then(other.sequence.cmp(&self.sequence))
     }
--- a/crates/dunepond-simulation/src/fixtures.rs
+++ b/crates/dunepond-simulation/src/fixtures.rs
@@ -4,9 +4,10 @@
 use dunepond_settlement::Settlement;
 use dunepond_shard_map::{KeyRange, MapConstraints, Replica, Segment, ShardMap};
 
-/// Ratio by which a clock may run too fast or too slow, in [`consensus_config`].
+/// Ratio by which a broker's clock may run too fast or too slow, in the configurations that [`consensus_config`]
+/// creates.
 pub const DRIFT_RATIO: f64 = 0.01;
-/// Number of segments of [`shard_map`].
+/// Number of segments in the maps that [`shard_map`] creates.
 pub const SEGMENT_COUNT: u64 = 4;
 
 /// Configuration of the broker `name` in a fleet with the voters `n1` to `n{voter_count}`.
@@ -25,7 +26,7 @@
     }
 }
 
-/// Routing rules with this maximum number of attempts.
+/// Routing rules that allow at most `max_attempts` attempts of each part of a query.
 pub fn routing_rules(max_attempts: usize) -> RoutingRules {
     RoutingRules {
         minimum_shares: vec![0.5],
@@ -41,8 +42,8 @@
     }
 }
 
-/// A map of [`SEGMENT_COUNT`] segments with two filled replicas each. The owner of one segment changes with each epoch.
-/// If `with_unfilled`, segment 0 has a third replica, which has to be filled first.
+/// A map of [`SEGMENT_COUNT`] segments with two filled replicas each. From each epoch to the next, the owner of one
+/// segment changes. If `with_unfilled`, segment 0 has a third replica, which has to be filled first.
 pub fn shard_map(epoch: u64, with_unfilled: bool) -> ShardMap {
     let width = (1u128 << 64) / u128::from(SEGMENT_COUNT);
     let replica = |node: String, filled, share| {
@@ -64,8 +65,8 @@
     ShardMap { epoch, hash: String::from("xxh3-64"), segments, digest: String::new() }.with_digest()
 }
 
-/// Configuration version `number` with this map. The maximum number of attempts depends on the number, so that the
-/// rules of successive versions differ.
+/// Configuration version `number` with this map. The rules' maximum number of attempts depends on the version number,
+/// so that the rules of successive versions differ.
 pub fn config_version(number: u64, map: Option<ShardMap>) -> ConfigVersion {
     ConfigVersion {
         number,
@@ -81,7 +82,7 @@
     }
 }
 
-/// The settlement of a fill in version 1; `fill` makes its id unique.
+/// The settlement of a fill in version 1. `fill` is a part of the settlement's id and makes the id unique.
 pub fn settlement(fill: &str) -> Settlement {
     let text = String::from;
     Settlement {
--- a/crates/dunepond-simulation/src/fleet/broker.rs
+++ b/crates/dunepond-simulation/src/fleet/broker.rs
@@ -9,16 +9,17 @@
     pub messages_sent: u64,
     /// Messages received from other brokers.
     pub messages_received: u64,
-    /// Bytes of the messages sent, without the overhead of the connections.
+    /// Bytes of the messages sent to other brokers, without the overhead of the connections.
     pub bytes_sent: u64,
-    /// Bytes of the messages received, without the overhead of the connections.
+    /// Bytes of the messages received from other brokers, without the overhead of the connections.
     pub bytes_received: u64,
-    /// Processor time in nanoseconds; 0 unless the fleet has a [`crate::fleet::Fleet::cpu_clock`].
+    /// Processor time of the voter and lease client in nanoseconds; 0 unless the fleet has a
+    /// [`crate::fleet::Fleet::cpu_clock`].
     pub cpu_nanoseconds: u64,
 }
 
 impl BrokerLoad {
-    /// The increase since an earlier reading.
+    /// The increase of the load since the reading `earlier`.
     pub fn since(self, earlier: Self) -> Self {
         Self {
             messages_sent: self.messages_sent - earlier.messages_sent,
@@ -38,9 +39,9 @@
     pub voter: Option<Voter>,
     /// Lease client of the broker; `None` if the broker is down.
     pub lease_client: Option<LeaseClient>,
-    /// Records that are synced to the broker's folder, in order.
+    /// Records of the voter that are synced to the broker's folder, oldest first.
     pub disk: Vec<Vec<u8>>,
-    /// State of the lease client in the broker's folder.
+    /// State of the lease client that is stored in the broker's folder.
     pub(crate) persisted_leases: PersistedState,
     /// Whether the broker votes when it runs.
     pub(crate) is_voter: bool,
@@ -54,19 +55,21 @@
     pub(super) last_clock: f64,
     /// Whether the broker's clock was set back since its last turn, that is, since its voter and lease client last ran.
     pub(super) clock_went_back: bool,
-    /// Set if the broker's clock was set back during a pause by less than the length of the pause, which the broker
-    /// cannot detect. Leases that were requested before this reading of its clock last longer than the configuration
-    /// allows.
+    /// Reading of the broker's clock when the broker first ran after an undetectable clock jump; `None` if there was
+    /// none. The broker cannot detect that its clock was set back if it was paused for longer than the clock was set
+    /// back by. Leases that were requested before this reading last longer than the configuration allows.
     pub hidden_clock_jump: Option<f64>,
-    /// Whether the broker crashes during its next write, which leaves a torn record.
+    /// Whether the broker crashes during its next write to the folder, which leaves a torn record.
     pub tears_next_record: bool,
-    /// Why the lease client rejected replies; the first ones, up to a limit.
+    /// Reasons why the lease client rejected replies to its lease requests. Only the first ones are recorded, up to a
+    /// limit.
     pub rejections: Vec<Rejection>,
     /// Log lines of the broker's voter.
     pub log: Vec<String>,
     /// Traffic and processor time since the start of the fleet.
     pub load: BrokerLoad,
-    /// Configuration in the broker's file.
+    /// Configuration in the broker's file; at a start, [`crate::fleet::Fleet::lease_seconds`] replaces its length of a
+    /// lease.
     pub config: ConsensusConfig,
 }
 
@@ -119,8 +122,8 @@
         self.persisted_leases = PersistedState::default();
     }
 
-    /// Records the clock reading of a turn. If the clock was set back without falling below the last reading, the
-    /// broker cannot detect it, and `hidden_clock_jump` is set.
+    /// Records the reading of the broker's clock in the current turn. If the clock was set back, but not to before its
+    /// reading in the last turn, the broker cannot detect that, and `hidden_clock_jump` is set.
     pub(super) fn observe_clock(&mut self, clock: f64) {
         if std::mem::take(&mut self.clock_went_back) && clock >= self.last_clock {
             self.hidden_clock_jump = Some(clock);
--- a/crates/dunepond-simulation/src/fleet/lifecycle.rs
+++ b/crates/dunepond-simulation/src/fleet/lifecycle.rs
@@ -21,13 +21,13 @@
         }
     }
 
-    /// Stops a broker at once, as a crash does; its folder stays.
+    /// Stops a broker at once, as a crash does. Its folder is kept.
     pub fn kill(&mut self, n: usize) {
         let broker = &mut self.brokers[n];
         (broker.voter, broker.lease_client) = (None, None);
         broker.paused_until = 0.0;
         broker.tears_next_record = false;
-        // Its connections are closed, so messages to it are lost.
+        // The broker's connections are closed, so messages that are in flight to it are lost.
         self.in_flight.retain(|message| message.to != n);
     }
 
@@ -36,7 +36,8 @@
         self.brokers[n].wipe_folder();
     }
 
-    /// Replaces a broker permanently with another one, which has a new name, an empty folder and does not vote.
+    /// Replaces a broker that does not vote, permanently, with another one that does not vote either and has a new name
+    /// and an empty folder.
     pub fn replace(&mut self, n: usize, name: &str) {
         self.kill(n);
         let broker = &mut self.brokers[n];
@@ -44,12 +45,12 @@
         self.index_by_name.remove(&broker.name);
         (broker.name, broker.config.name) = (name.to_string(), name.to_string());
         self.index_by_name.insert(name.to_string(), n);
-        // Nobody answers messages of the replaced broker.
+        // Messages that the replaced broker has sent are dropped, as nobody answers them.
         self.in_flight.retain(|message| message.from != n);
         self.start(n);
     }
 
-    /// Pauses a broker for some seconds of true time; messages to it wait until then.
+    /// Pauses a broker for some seconds of true time. Messages that arrive for it are delivered when the pause ends.
     pub fn pause(&mut self, n: usize, seconds: f64) {
         self.brokers[n].paused_until = self.now + seconds;
     }
@@ -61,7 +62,8 @@
         broker.clock_went_back = true;
     }
 
-    /// Whether a broker's clock was set back since its last turn, or was set back undetectably since its start.
+    /// Whether a broker's clock was set back since the broker last ran, or was set back since its start in a way that
+    /// the broker cannot detect.
     pub fn has_clock_gone_back(&self, n: usize) -> bool {
         let broker = &self.brokers[n];
         broker.clock_went_back || broker.hidden_clock_jump.is_some()
--- a/crates/dunepond-simulation/src/fleet/message.rs
+++ b/crates/dunepond-simulation/src/fleet/message.rs
@@ -14,7 +14,7 @@
 }
 
 impl Message {
-    /// Size of the encoded message as hosts send it, without the overhead of the connection.
+    /// Size in bytes of the message as real brokers encode it, without the overhead of the connection.
     pub fn size_bytes(&self) -> u64 {
         let size = match self {
             Self::Consensus(bytes) => Ok(bytes.len()),
@@ -25,7 +25,7 @@
     }
 }
 
-/// A message in flight. Brokers are given by index.
+/// A message in flight. `from` and `to` are indices of brokers.
 #[derive(Clone)]
 pub(super) struct InFlight {
     pub size_bytes: u64,
--- a/crates/dunepond-simulation/src/fleet/mod.rs
+++ b/crates/dunepond-simulation/src/fleet/mod.rs
@@ -25,8 +25,8 @@
 
 /// Default of [`Fleet::turn_seconds`].
 pub const DEFAULT_TURN_SECONDS: f64 = 0.01;
-/// Longest time in seconds that a new fleet may take until all brokers have leases, and until its first version is
-/// active.
+/// Longest time in seconds that a new fleet may take until all brokers have leases. The activation of its first version
+/// may take as long again.
 const MAX_SETUP_SECONDS: f64 = 10.0;
 
 /// Records when a broker learned of a settlement.
@@ -44,39 +44,44 @@
 pub struct Fleet {
     /// Current true time.
     pub now: f64,
-    /// Length of a simulation step in seconds. Each active broker takes one turn in each step, like an iteration of a
-    /// host's event loop; messages that arrive in between wait for the next step.
+    /// Length of a simulation step in seconds. In each step, each broker that is neither down nor paused takes one
+    /// turn: its voter and lease client run once, as in an iteration of a real broker's event loop. Messages that
+    /// arrive between two steps are delivered in the next step.
     pub turn_seconds: f64,
     /// All brokers, running or not, by index.
     pub brokers: Vec<Broker>,
     /// Random number generator of the fleet and its network.
     pub rng: Pcg64Mcg,
-    /// Messages that were sent and have not arrived.
+    /// Messages that were sent and have not arrived yet.
     in_flight: EventQueue<InFlight>,
     index_by_name: HashMap<String, usize>,
     /// Checks the invariants, and records when versions and settlements were committed and activated.
     pub invariants: InvariantChecker,
-    /// Partition of each broker; brokers in different partitions receive no messages from each other.
+    /// Number of each broker's partition, by index of the broker; brokers in different partitions receive no messages
+    /// from each other.
     pub partitions: Vec<u32>,
-    /// Blocked links as (sender, receiver): messages over them are lost.
+    /// Blocked links as (index of the sender, index of the receiver): messages over them are lost.
     pub blocked_links: BTreeSet<(usize, usize)>,
     /// Loss, duplication and delay on all links.
     pub links: LinkConditions,
-    /// Broker whose links are all slow and lose messages, if there is one.
+    /// Index of a broker whose links are all slow and lose messages; `None` if there is no such broker.
     pub slow_broker: Option<usize>,
     /// Length of a lease in seconds, in the configuration of brokers that are started from now on.
     pub lease_seconds: f64,
-    /// Segments that are checked for conflicting owners: at each step, each active broker is assumed to send a
-    /// non-idempotent part of them to any owner that it may.
+    /// Segments that are checked for conflicting owners. At each step, each broker that is neither down nor paused is
+    /// assumed to send a non-idempotent part of a query for each of these segments to any node that it considers the
+    /// segment's owner.
     pub watched_segments: Vec<u64>,
-    /// Number of messages sent so far, including those to the sender itself.
+    /// Number of messages sent so far, including those that brokers sent to themselves.
     pub messages_sent: u64,
-    /// Hash of all messages that arrived and entries that were applied, in order. Equal traces mean equal runs.
+    /// Hash of all messages that arrived and all log entries that were applied, in order. Equal hashes mean that two
+    /// runs were the same.
     pub trace: u64,
-    /// Function that returns the processor time used so far, in nanoseconds. If set, it is called before and after each
-    /// call of a voter or lease client; it does not influence the run.
+    /// Function that returns the processor time that the process has used so far, in nanoseconds. If set, it is called
+    /// before and after each call of a voter or lease client to measure the broker's load; it does not influence the
+    /// run.
     pub cpu_clock: Option<fn() -> u64>,
-    /// Settlements that brokers have learned of; `None` if they are not recorded.
+    /// Records of when brokers learned of settlements; `None` if this is not recorded.
     pub settlement_notices: Option<Vec<SettlementNotice>>,
 }
 
@@ -87,8 +92,8 @@
         Self::with_config(&config, voter_count + other_count, vec![0, 1, 2, 3], seed)
     }
 
-    /// Starts a fleet of brokers with this configuration, except for their names `n1` and so on. The first brokers
-    /// vote, as many as `config` names voters.
+    /// Starts a fleet whose brokers all have the configuration `config`, except that they are named `n1`, `n2` and so
+    /// on. As many brokers vote as `config` has voters: the first ones.
     pub fn with_config(
         config: &ConsensusConfig,
         broker_count: usize,
@@ -121,7 +126,8 @@
         fleet
     }
 
-    /// Creates broker `n` with a random clock, which runs at the true rate or at one of the limits of the drift.
+    /// Creates broker `n` with a random clock. The clock runs at the true rate, or as fast or as slow as the configured
+    /// drift allows.
     fn new_broker(n: usize, config: &ConsensusConfig, rng: &mut Pcg64Mcg) -> Broker {
         let name = format!("n{}", n + 1);
         let clock_rate = 1.0 + config.drift_ratio * [-1.0, 0.0, 1.0][rng.random_range(0..3)];
@@ -134,7 +140,7 @@
     /// Starts a fleet and runs it until all brokers have a lease.
     ///
     /// # Panics
-    /// The brokers do not all get leases in time.
+    /// Some broker gets no lease in time.
     pub fn with_leases(voter_count: usize, other_count: usize, seed: u64) -> Self {
         let mut fleet = Self::new(voter_count, other_count, seed);
         let has_leases = fleet.run_until(MAX_SETUP_SECONDS, Self::all_have_leases);
@@ -142,10 +148,11 @@
         fleet
     }
 
-    /// Starts a fleet and runs it until all brokers have a lease and act on version 1, which has a map.
+    /// Starts a fleet and runs it until all brokers have a lease and act on configuration version 1, which has a shard
+    /// map.
     ///
     /// # Panics
-    /// The brokers do not all get leases, or do not all act on version 1, in time.
+    /// Some broker gets no lease in time, or does not act on version 1 in time.
     pub fn with_map(voter_count: usize, other_count: usize, seed: u64) -> Self {
         let mut fleet = Self::with_leases(voter_count, other_count, seed);
         let version = config_version(1, Some(shard_map(1, false)));
@@ -161,12 +168,12 @@
         self.brokers[n].clock(self.now)
     }
 
-    /// Whether a broker's process runs, paused or not.
+    /// Whether a broker is up; a paused broker is up, too.
     pub fn is_running(&self, n: usize) -> bool {
         self.brokers[n].lease_client.is_some()
     }
 
-    /// Whether a broker runs and is not paused.
+    /// Whether a broker is up and not paused.
     fn is_active(&self, n: usize) -> bool {
         self.is_running(n) && self.now >= self.brokers[n].paused_until
     }
@@ -176,7 +183,7 @@
         *self.index_by_name.get(name).expect("a broker of the fleet")
     }
 
-    /// The first active broker that is leader, if there is one.
+    /// Index of the first broker that is leader and neither down nor paused; `None` if there is none.
     pub fn leader(&self) -> Option<usize> {
         let leads =
             |n: &usize| self.is_active(*n) && self.brokers[*n].voter.as_ref().is_some_and(Voter::is_leader);
@@ -191,18 +198,18 @@
         }
     }
 
-    /// Whether a broker runs and its lease is valid.
+    /// Whether a broker is up and its lease is valid.
     pub fn has_lease(&self, n: usize) -> bool {
         let client = self.brokers[n].lease_client.as_ref();
         client.is_some_and(|client| client.active_config().lease_expires_at() > self.clock(n))
     }
 
-    /// Whether all running brokers have valid leases.
+    /// Whether all brokers that are up have valid leases.
     pub fn all_have_leases(&self) -> bool {
         (0..self.brokers.len()).all(|n| !self.is_running(n) || self.has_lease(n))
     }
 
-    /// Whether all running brokers are in this configuration phase.
+    /// Whether all brokers that are up are in this configuration phase.
     pub fn all_in_phase(&self, phase: &ConfigPhase) -> bool {
         (0..self.brokers.len()).all(|n| !self.is_running(n) || self.phase(n) == *phase)
     }
@@ -215,7 +222,7 @@
         self.brokers[n].voter.as_ref().expect("a voter that is up").state()
     }
 
-    /// Proposes a command at the leader, as its host would.
+    /// Proposes a command at the leader, as the process that runs the leader's voter would.
     ///
     /// # Errors
     /// There is no leader, or the leader rejects the command.
@@ -239,7 +246,7 @@
         Ok(())
     }
 
-    /// Proposes a command at broker `n` without the check of its content, as a faulty proposer would.
+    /// Proposes a command at broker `n` without the check of the command's content, as a faulty proposer would.
     ///
     /// # Errors
     /// The broker is not leader, or too many entries are uncommitted.
--- a/crates/dunepond-simulation/src/fleet/network.rs
+++ b/crates/dunepond-simulation/src/fleet/network.rs
@@ -6,23 +6,23 @@
 use super::Fleet;
 use super::message::{InFlight, Message};
 
-/// Shortest time after which a late copy of a message arrives.
+/// Shortest time in seconds from the sending of a message until a late copy of it arrives.
 const MIN_LATE_SECONDS: f64 = 2.0;
-/// Longest time after which a late copy of a message arrives.
+/// Longest time in seconds from the sending of a message until a late copy of it arrives.
 const MAX_LATE_SECONDS: f64 = 30.0;
 /// Ratio of messages that the links of a slow broker lose.
 const SLOW_LOSS_RATIO: f64 = 0.2;
-/// Additional delay on the links of a slow broker.
+/// Additional delay in seconds of messages on the links of a slow broker.
 const SLOW_EXTRA_SECONDS: f64 = 0.8;
 
-/// Loss, duplication and delay on all links. The default has delays and no faults.
+/// Loss, duplication and delay on all links. By default, messages are delayed, but not lost or duplicated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkConditions {
     /// Ratio of messages that are lost.
     pub loss_ratio: f64,
     /// Ratio of messages that arrive twice.
     pub duplicate_ratio: f64,
-    /// Ratio of messages of which an additional copy arrives much later.
+    /// Ratio of messages of which an additional copy arrives seconds later.
     pub late_copy_ratio: f64,
     /// Shortest delay of a message.
     pub min_delay_seconds: f64,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Delays in seconds of the copies of a message; `None` for a copy that does not arrive.
+/// Delays in seconds of the two copies of a message; `None` for a copy that does not arrive.
 #[derive(Default)]
 struct Copies {
     first: Option<f64>,
@@ -50,7 +50,7 @@
 }
 
 impl Fleet {
-    /// Sends a message: schedules its copies by the conditions of the links, and counts it.
+    /// Sends a message: counts it, and schedules the arrival of its copies under the conditions of the links.
     pub(super) fn send(&mut self, from: usize, to: usize, message: Message) {
         self.messages_sent += 1;
         let is_remote = from != to;
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Draws the delays of a message; no copy arrives if it is lost. A message of a broker to itself arrives without
-    /// delay.
+    /// Draws the random delays of a message's copies; if the message is lost, no copy arrives. A message of a broker to
+    /// itself arrives without delay.
     fn draw_copies(&mut self, from: usize, to: usize) -> Copies {
         if from == to {
             return Copies { first: Some(0.0), duplicate: None };
--- a/crates/dunepond-simulation/src/fleet/step.rs
+++ b/crates/dunepond-simulation/src/fleet/step.rs
@@ -7,11 +7,11 @@
 use crate::invariants::BrokerActivity;
 use crate::settlements;
 
-/// Maximum number of rejections that are recorded of one broker.
+/// Maximum number of rejections of lease replies that are recorded for each broker.
 const MAX_RETAINED_REJECTIONS: usize = 1000;
 
 impl Fleet {
-    /// Runs steps until `is_done` returns true, for `max_seconds` at most. Returns whether it did.
+    /// Runs steps until `is_done` returns true, for `max_seconds` at most. Returns whether `is_done` returned true.
     pub fn run_until(&mut self, max_seconds: f64, is_done: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + max_seconds;
         while self.now < end {
@@ -28,8 +28,9 @@
         self.run_until(seconds, |_| false);
     }
 
-    /// Advances the time by one step. The invariants are checked first, so that brokers whose pause has just ended act
-    /// before they receive anything; then messages are delivered, and each active broker takes its turn.
+    /// Advances the time by one step: messages are delivered, and each broker that is neither down nor paused takes its
+    /// turn. The invariants are checked at the end. They are also checked at the beginning, because a broker whose
+    /// pause has just ended may act before it receives anything.
     pub fn step(&mut self) {
         self.now += self.turn_seconds;
         for n in 0..self.brokers.len() {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Runs the voter and the lease client of a broker at its current time.
+    /// Runs the voter and the lease client of a broker at the current reading of the broker's clock.
     fn take_turn(&mut self, n: usize) {
         let (clock, cpu_before) = (self.clock(n), self.cpu_now());
         let broker = &mut self.brokers[n];
@@ -73,7 +74,7 @@
         self.add_cpu_time(n, cpu_before);
         if let Some(effects) = effects {
             self.apply_effects(n, effects);
-            // The lease client may be gone: applying the effects may have crashed the broker during its write.
+            // There may be no lease client any more: the broker may have crashed during the write of the effects.
             request = self.brokers[n].lease_client.as_mut().and_then(|client| client.tick(clock));
         }
         if let Some((voter, request)) = request {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Delivers a message to its receiver and applies the effects.
+    /// Delivers a message to its receiver and applies the effects that the receiver's voter returns.
     fn deliver(&mut self, in_flight: InFlight) {
         let InFlight { size_bytes, from, to, message } = in_flight;
         if !self.is_running(to) {
@@ -118,7 +119,8 @@
         }
     }
 
-    /// Reports a failed lease request to its sender: the host of a broker that is down refuses the connection at once.
+    /// Handles a message to a broker that is down. Its machine refuses the connection at once, so if the message is a
+    /// lease request, the sender's lease client is notified that it failed.
     fn refuse_connection(&mut self, from: usize, to: usize, message: &Message) {
         let (name, clock) = (self.brokers[to].name.clone(), self.clock(from));
         if let (Message::LeaseRequest(_), Some(client)) = (message, &mut self.brokers[from].lease_client) {
@@ -126,7 +128,8 @@
         }
     }
 
-    /// Hands a reply to the lease client of a broker, and records the result.
+    /// Passes a lease reply to a broker's lease client. Records a rejection of the reply, and settlements that the
+    /// broker learns of.
     fn receive_reply(&mut self, n: usize, clock: f64, sender: &str, reply: LeaseReply) {
         let broker = &mut self.brokers[n];
         let Some(client) = &mut broker.lease_client else { return };
@@ -143,12 +146,12 @@
         }
     }
 
-    /// Carries out the effects of a voter's call: first writes, then messages and replies.
+    /// Applies the effects that a call of a voter returned: first writes, then messages and replies.
     pub(super) fn apply_effects(&mut self, n: usize, effects: Effects) {
         if !effects.write_batch.is_empty() {
             if self.brokers[n].tears_next_record {
-                // The torn record is ignored when the folder is read, so the messages that depend on it must not be
-                // sent.
+                // The broker crashes during the write. The torn record is ignored when the folder is read, so the
+                // messages that depend on it must not be sent.
                 self.kill(n);
                 return;
             }
@@ -171,7 +174,7 @@
         }
     }
 
-    /// Writes a voter's batch to the broker's folder; a checkpoint replaces all earlier records.
+    /// Writes a voter's batch of records to the broker's folder. A checkpoint replaces all earlier records.
     fn write(&mut self, n: usize, effects: &Effects) {
         let broker = &mut self.brokers[n];
         if effects.write_batch.is_checkpoint() {
@@ -182,8 +185,9 @@
         }
     }
 
-    /// Checks all invariants as if each active broker sent a part of a non-idempotent query (the share of the query for
-    /// one segment) for each watched segment to the segment's owner, if it may.
+    /// Checks all invariants. For each watched segment, each broker that is neither down nor paused is assumed to send
+    /// a part of a non-idempotent query (the share of the query for one segment) to the segment's owner, if the
+    /// broker's configuration allows that.
     fn check_invariants(&mut self) {
         self.invariants.begin_step(self.now);
         for (n, broker) in self.brokers.iter().enumerate() {
@@ -192,8 +196,8 @@
                 continue;
             };
             let config = client.active_config();
-            // An undetected clock jump makes this lease last too long, which the configuration assumes not to happen.
-            // The broker is checked again once it has its next lease.
+            // An undetected clock jump made this lease last longer than the configuration allows, and the invariants
+            // assume that this does not happen. The broker is checked again once it has a lease from after the jump.
             if broker.hidden_clock_jump.is_some_and(|clock| config.lease_started_at() < clock) {
                 continue;
             }
@@ -210,7 +214,7 @@
         self.invariants.end_step(self.now);
     }
 
-    /// Processor time so far in nanoseconds, if it is measured.
+    /// Processor time that the process has used so far, in nanoseconds; `None` if it is not measured.
     fn cpu_now(&self) -> Option<u64> {
         self.cpu_clock.map(|clock| clock())
     }
@@ -222,7 +226,7 @@
         }
     }
 
-    /// Adds values to the hash of the run.
+    /// Adds values to [`Fleet::trace`], the hash of the run.
     fn extend_trace(&mut self, values: &[u64]) {
         for value in values {
             self.trace = (self.trace ^ value).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29);
--- a/crates/dunepond-simulation/src/fleet/voters.rs
+++ b/crates/dunepond-simulation/src/fleet/voters.rs
@@ -7,11 +7,11 @@
 
 use super::Fleet;
 
-/// Number of the latest rejections in a broker's summary.
+/// Maximum number of rejected lease replies, the latest ones, that a broker's summary shows.
 const SHOWN_REJECTION_COUNT: usize = 6;
-/// Seed of a recovered voter.
+/// Seed of the random choices of a recovered voter.
 const RECOVERED_VOTER_SEED: u64 = 77;
-/// Seed of the lease client of a recovered voter.
+/// Seed of the random choices of a recovered voter's lease client.
 const RECOVERED_CLIENT_SEED: u64 = 78;
 
 impl Fleet {
@@ -28,7 +28,7 @@
         self.start(n);
     }
 
-    /// Proposes to make these brokers the voters.
+    /// Proposes to make the brokers with these indices the voters, in place of the current ones.
     ///
     /// # Errors
     /// There is no leader, or the leader rejects the change.
@@ -46,7 +46,7 @@
         })))
     }
 
-    /// Indices of the voters on the committed list, as the leader knows it.
+    /// Indices of the brokers on the committed list of voters, as known to the leader.
     ///
     /// # Panics
     /// There is no leader.
@@ -82,7 +82,8 @@
         format!("{}: {phase:?}, lease {has_lease}, {voter:?}, {rejections:?}, {last_line:?}", broker.name)
     }
 
-    /// The order with which an operator recovers the fleet from the folder of voter `n` without `lost_voters`.
+    /// The order with which an operator recovers the fleet from the folder of voter `n` after the loss of
+    /// `lost_voters`.
     ///
     /// # Panics
     /// The broker is down, or does not vote.
--- a/crates/dunepond-simulation/src/invariants.rs
+++ b/crates/dunepond-simulation/src/invariants.rs
@@ -1,5 +1,5 @@
-//! Invariants that must hold at every moment, whatever fails. A violation panics with the time and the brokers
-//! involved.
+//! Invariants that must hold in every step, whatever fails. A violation causes a panic whose message has the time and
+//! the brokers involved.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,8 +16,8 @@
     sent_by: usize,
 }
 
-/// The versions that a broker acts on: both versions of a joint configuration, or the same one twice if the broker acts
-/// on one version alone. 0 stands for no version.
+/// The numbers of the configuration versions that a broker acts on: both versions of a joint configuration, or the same
+/// number twice if the broker acts on one version alone. 0 stands for no version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ActingVersions {
     from: u64,
@@ -25,7 +25,8 @@
 }
 
 impl ActingVersions {
-    /// The versions that a broker with this configuration acts on; `None` if it may not act.
+    /// The versions that a broker with this configuration acts on when its clock reads `clock`; `None` if it may not
+    /// act.
     fn of(config: &ActiveConfig, clock: f64) -> Option<Self> {
         match config.phase(clock) {
             ConfigPhase::LeaseExpired(_) => None,
@@ -36,12 +37,12 @@
         }
     }
 
-    /// The version, if the broker acts on one version alone.
+    /// The number of the only version that the broker acts on; `None` if it acts on two versions.
     fn alone(self) -> Option<u64> {
         (self.from == self.to).then_some(self.from)
     }
 
-    /// Whether both act on a common version.
+    /// Whether `self` and `other`, the versions of two brokers, have a version in common.
     fn shares_version_with(self, other: Self) -> bool {
         [self.from, self.to].iter().any(|number| *number == other.from || *number == other.to)
     }
@@ -51,7 +52,7 @@
     }
 }
 
-/// The activity of one broker at one moment.
+/// The activity of one broker in one step.
 pub struct BrokerActivity<'a> {
     /// True time of the activity.
     pub now: f64,
@@ -61,16 +62,17 @@
     pub config: &'a ActiveConfig,
     /// Reading of the broker's clock.
     pub clock: f64,
-    /// Segments for which the broker sends a part of a non-idempotent query, if it may.
+    /// Segments for each of which the broker is assumed to send a part of a non-idempotent query if its configuration
+    /// allows that.
     pub segments: &'a [u64],
     /// Longest time in true seconds for which a part of a non-idempotent query may run.
     pub part_seconds: f64,
-    /// Longest time in seconds for which a broker may still act only on a configuration version after the proposal of
-    /// the next one was committed.
+    /// Longest time in seconds that a broker may still act on the previous configuration version alone, counted from
+    /// when the first voter applied the proposal of the next version.
     pub switch_bound_seconds: f64,
 }
 
-/// Checks a fleet while it runs. Times are true times, and brokers are given by index.
+/// Checks the invariants of a fleet while it runs. Times are true times, and brokers are identified by index.
 #[derive(Default)]
 pub struct InvariantChecker {
     /// Result of each entry of the log, by index, as reported by the first voter that applied it.
@@ -85,14 +87,14 @@
     pub activated_at: BTreeMap<u64, f64>,
     /// When the first voter applied the log entry of each settlement, by the settlement's id.
     pub settled_at: BTreeMap<String, f64>,
-    /// Numbers of withdrawn versions.
+    /// Numbers of the configuration versions that were withdrawn.
     pub withdrawn: BTreeSet<u64>,
-    /// When any broker last acted only on each configuration version, by version number.
+    /// Latest time at which some broker acted on each configuration version alone, by version number.
     pub last_alone_at: BTreeMap<u64, f64>,
     /// The versions that brokers act on in the current step, each with the first broker that acts on them.
     acting: BTreeMap<ActingVersions, usize>,
-    /// Longest time in seconds for which a broker still acted only on a configuration version after the proposal of
-    /// the next one was committed.
+    /// Longest time in seconds that a broker still acted on the previous configuration version alone, counted from when
+    /// the first voter applied the proposal of the next version.
     pub longest_alone_seconds: f64,
 }
 
@@ -100,7 +102,8 @@
     /// Checks and records an entry that a voter has applied.
     ///
     /// # Panics
-    /// Another voter got another result for the entry, or a settlement is counted twice.
+    /// Another voter got another result for the entry, or the entry counts a settlement that an earlier entry has
+    /// counted already.
     pub fn on_entry_applied(&mut self, now: f64, voter: &str, outcome: &EntryOutcome) {
         let index = outcome.index;
         let result = format!("{:?}", outcome.result);
@@ -124,15 +127,15 @@
         }
     }
 
-    /// Records a settlement, and checks that it was not applied by another entry.
+    /// Records a settlement, and checks that no other entry of the log has applied the same settlement.
     fn on_settled(&mut self, now: f64, id: &str, index: u64) {
         let first = *self.settled_index.entry(id.to_string()).or_insert(index);
         assert_eq!(first, index, "settlement {id} counted twice");
         self.settled_at.entry(id.to_string()).or_insert(now);
     }
 
-    /// Forgets the entries of the log before `index` and the versions before `version`, which no broker may use any
-    /// more. This bounds the memory of long runs.
+    /// Removes what is recorded about log entries before `index` and versions before `version`. No broker may use these
+    /// entries and versions any more. This bounds the memory of long runs.
     pub fn forget_before(&mut self, index: u64, version: u64) {
         self.outcomes = self.outcomes.split_off(&index);
         self.settled_index.retain(|_, settled| *settled >= index);
@@ -154,7 +157,8 @@
     /// Checks and records the activity of one broker in this step.
     ///
     /// # Panics
-    /// The broker acts on an old version for too long, or sends a part to an owner while one may run at another owner.
+    /// The broker acts on an old version for too long, or sends a non-idempotent part to an owner of a segment while
+    /// such a part may be running at another owner.
     pub fn on_broker_acts(&mut self, activity: &BrokerActivity<'_>) {
         if let Some(versions) = ActingVersions::of(activity.config, activity.clock) {
             if let Some(number) = versions.alone() {
@@ -169,8 +173,8 @@
         }
     }
 
-    /// Checks that the broker does not act only on this version for longer than the switch bound after the proposal of
-    /// the next one was committed. Withdrawn versions do not count as next ones.
+    /// Checks that the broker does not act on version `number` alone for longer than the switch bound, counted from
+    /// when the first voter applied the proposal of the next version. Versions that were withdrawn are skipped.
     fn check_alone(&mut self, number: u64, activity: &BrokerActivity<'_>) {
         let (now, broker) = (activity.now, activity.broker + 1);
         self.last_alone_at.insert(number, now);
@@ -186,7 +190,8 @@
         );
     }
 
-    /// Checks that no non-idempotent part of the segment may be running at another owner, and records the part.
+    /// Records that the broker sends a non-idempotent part for the segment to `owner`. Checks that no such part may
+    /// still be running at another owner.
     fn send_part(&mut self, segment: u64, owner: &str, activity: &BrokerActivity<'_>) {
         let (now, broker) = (activity.now, activity.broker + 1);
         let owners = self.running_parts.entry(segment).or_default();
@@ -212,7 +217,7 @@
     /// Ends the check of a step, once the activity of all brokers is recorded.
     ///
     /// # Panics
-    /// Two brokers act on no common version.
+    /// Two brokers have no version in common that both act on.
     pub fn end_step(&self, now: f64) {
         let acting: Vec<_> = self.acting.iter().collect();
         for (place, (versions, broker)) in acting.iter().enumerate() {
@@ -228,7 +233,8 @@
         }
     }
 
-    /// Whether brokers acted in the last step, and all of them only on version `number` or later ones.
+    /// Whether at least one broker acted in the last step, and all brokers that did acted only on version `number` or
+    /// later ones.
     pub fn all_act_on_at_least(&self, number: u64) -> bool {
         !self.acting.is_empty() && self.acting.keys().all(|versions| versions.from >= number)
     }
--- a/crates/dunepond-simulation/src/scenario/config.rs
+++ b/crates/dunepond-simulation/src/scenario/config.rs
@@ -8,7 +8,7 @@
 pub struct ScenarioConfig {
     /// Number of brokers.
     pub broker_count: usize,
-    /// Number of voters, which are the first brokers.
+    /// Number of voters. The first brokers, by index, are the voters.
     pub voter_count: usize,
     /// Number of nodes.
     pub node_count: usize,
@@ -18,10 +18,10 @@
     pub segment_count: u64,
     /// Number of zones over which the brokers are spread.
     pub zone_count: usize,
-    /// Length of the part with faults, in seconds; 0 for no faults.
+    /// Length of the part of the run in which faults are injected, in seconds; 0 for no faults.
     pub fault_seconds: f64,
-    /// Length of the steady part before the faults, in seconds. It is measured; nothing fails in it, and a version is
-    /// proposed every few leases.
+    /// Length of the steady part of the run, before the faults, in seconds. It is measured; nothing fails in it, and a
+    /// configuration version is proposed every few lease lengths.
     pub steady_seconds: f64,
     /// Length of a lease, in seconds.
     pub lease_seconds: f64,
@@ -30,7 +30,7 @@
 }
 
 impl ScenarioConfig {
-    /// A fleet of this many brokers; the other numbers are those of the experiment `fleet-at-size`.
+    /// A fleet of this many brokers; the other values are those of the experiment `fleet-at-size`.
     pub fn with_brokers(broker_count: usize, seed: u64) -> Self {
         Self {
             broker_count,
--- a/crates/dunepond-simulation/src/scenario/faults.rs
+++ b/crates/dunepond-simulation/src/scenario/faults.rs
@@ -7,7 +7,7 @@
 use super::{Scenario, config_version};
 use crate::fleet::LinkConditions;
 
-/// Longest time in seconds that a partition, a zone crash or a pause lasts.
+/// Longest time in seconds that a fault with a duration lasts, such as a partition, a zone crash or a pause.
 const MAX_FAULT_SECONDS: f64 = 6.0;
 /// Shortest time in seconds that a fault with a duration lasts, except for pauses.
 const MIN_FAULT_SECONDS: f64 = 0.2;
@@ -21,34 +21,34 @@
 const MASS_CRASH_RATIO: f64 = 0.7;
 /// Ratio of the brokers that are paused together.
 const PAUSED_RATIO: f64 = 0.05;
-/// Ratio of the brokers that one step of a rolling restart restarts.
+/// Ratio of the brokers that are restarted in each step of a rolling restart.
 const ROLLING_RESTART_RATIO: f64 = 0.1;
 /// Time in seconds between the steps of a rolling restart.
 const ROLLING_RESTART_SECONDS: f64 = 0.5;
-/// One-way link faults that last longer than this, in seconds, hit the leader.
+/// Faults that block links in one direction hit the leader's links if they last longer than this time in seconds.
 const LEADER_FAULT_SECONDS: f64 = 2.0;
-/// Ratio of the versions without a stage that have fills.
+/// Probability that a proposed version without a first stage requires fills.
 const FILL_RATIO: f64 = 0.4;
-/// Ratio of the versions with a stage that have fills.
+/// Probability that a proposed version with a first stage requires fills.
 const STAGED_FILL_RATIO: f64 = 0.2;
-/// Shortest clock jump in seconds.
+/// Shortest time in seconds by which a clock jumps.
 const MIN_CLOCK_JUMP_SECONDS: f64 = 0.1;
-/// Longest clock jump in seconds.
+/// Longest time in seconds by which a clock jumps.
 const MAX_CLOCK_JUMP_SECONDS: f64 = 5.0;
 /// Partition number of the brokers of a zone that is cut off; all other brokers are in partition 0.
 const CUT_OFF_PARTITION: u32 = 1;
 
-/// An event that a fault schedules for later.
+/// An event that a fault schedules for a later time, such as the end of the fault.
 pub(super) enum ScheduledEvent {
-    /// Starts a broker unless it runs.
+    /// Starts a broker unless it is up already.
     Start(usize),
-    /// Restarts brokers at once.
+    /// Restarts these brokers, all at the same time.
     Restart(Vec<usize>),
     /// Unblocks all links between brokers and removes all partitions.
     Heal,
     /// Resets the conditions of the links to the default.
     ResetLinks,
-    /// Activates or withdraws the open version.
+    /// Activates or withdraws the open version: the one that is proposed and neither active nor withdrawn.
     EndStage { activate: bool },
 }
 
@@ -73,7 +73,7 @@
     OperatorEndsVersion,
 }
 
-/// All kinds of faults, indexed by the random number that draws them.
+/// All kinds of faults. `draw_fault_kind` draws an index into this list.
 const FAULT_KINDS: [FaultKind; 16] = [
     FaultKind::ZonePartition,
     FaultKind::ZoneCrash,
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Draws the kind of the next fault. New versions are drawn more often than any other kind.
+    /// Draws the kind of the next fault at random. `Version`, the proposal of a new version, is more likely than the
+    /// others.
     fn draw_fault_kind(&mut self) -> FaultKind {
         let index = match self.rng.random_range(0..22) {
             extra @ 16.. => 12 + usize::from(extra > 20),
@@ -167,7 +168,7 @@
         (0..self.config.broker_count).filter(|other| zone(*other) == zone(n)).collect()
     }
 
-    /// Cuts a random zone off from the others for some seconds.
+    /// Cuts a random zone off from all other zones for some seconds.
     fn partition_zone(&mut self, seconds: f64) {
         let n = self.rng.random_range(0..self.config.broker_count);
         for n in self.zone_of(n) {
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Proposes a version without the nodes of one partner.
+    /// Proposes a version that excludes the nodes of the partner that owns node number `n`.
     fn remove_partner(&mut self, n: usize) {
         let Some(leader) = self.fleet.leader() else { return };
         let state = self.fleet.state(leader);
@@ -222,8 +223,8 @@
         let _ = self.propose(version);
     }
 
-    /// Blocks the links between a zone and one broker in one direction. The broker is the leader if the fault lasts
-    /// longer than [`LEADER_FAULT_SECONDS`].
+    /// Blocks the links between the zone of broker `n` and one broker, in one direction. That broker is the leader if
+    /// the fault lasts longer than [`LEADER_FAULT_SECONDS`], otherwise a random one.
     fn block_one_way(&mut self, n: usize, seconds: f64) {
         let leader = self.fleet.leader().filter(|_| seconds > LEADER_FAULT_SECONDS);
         let target = leader.unwrap_or_else(|| self.rng.random_range(0..self.config.broker_count));
@@ -246,9 +247,9 @@
         }
     }
 
-    /// Makes a broker's clock jump. If the clock is set back, the broker does not trust it any more until it is
-    /// restarted. If it jumps forward, the broker's leases end sooner. Voters' clocks only jump back: a jump forward
-    /// would make their waits too short, and the configured drift assumes that this does not happen.
+    /// Makes a broker's clock jump. If the clock is set back, the broker no longer trusts it until the broker is
+    /// restarted. If the clock jumps forward, the broker's leases end sooner. Voters' clocks are only set back: a jump
+    /// forward would make the voters' waits too short, and the configured drift assumes that this does not happen.
     fn jump_clock(&mut self, n: usize) {
         let seconds = self.rng.random_range(MIN_CLOCK_JUMP_SECONDS..MAX_CLOCK_JUMP_SECONDS);
         let is_forward = n >= self.config.voter_count && self.rng.random::<bool>();
@@ -284,8 +285,8 @@
         self.schedule(seconds, ScheduledEvent::ResetLinks);
     }
 
-    /// Empties the folder of a voter and restarts it, but only if all other voters have their state and no link is
-    /// blocked, so that one folder at a time is lost.
+    /// Empties the folder of a voter and restarts the voter, but only if all voters have their state and no link is
+    /// blocked, so that only one folder is lost at a time.
     fn lose_voter_folder(&mut self, n: usize) {
         let have_all_state = (0..self.config.voter_count).all(|n| {
             let broker = &self.fleet.brokers[n];
@@ -298,7 +299,8 @@
         }
     }
 
-    /// Proposes a version with a stage, and schedules the end of the stage.
+    /// Proposes a version with a first stage, in which only some brokers act on the version alone. Schedules the end of
+    /// the stage.
     fn propose_staged_version(&mut self) {
         self.propose_next_version(STAGED_FILL_RATIO, 1.0);
         let activate = self.rng.random::<bool>();
@@ -338,14 +340,14 @@
         }
     }
 
-    /// Ends all faults, restarts brokers whose clocks were set back, and starts all that are down.
+    /// Ends all faults, restarts the brokers whose clocks were set back, and starts all brokers that are down.
     pub(super) fn heal(&mut self) {
         self.fleet.heal();
         self.fleet.links = LinkConditions::default();
         for n in 0..self.config.broker_count {
             self.fleet.brokers[n].tears_next_record = false;
-            // A broker whose clock was set back does not trust it any more, or will not once it detects that, until its
-            // supervisor restarts it.
+            // A broker that has detected that its clock was set back, or will detect it, does not trust the clock until
+            // the broker's supervisor restarts it.
             let client = self.fleet.brokers[n].lease_client.as_ref();
             let distrusts_clock = client.is_some_and(distrusts_clock);
             if self.fleet.has_clock_gone_back(n) || distrusts_clock {
@@ -358,7 +360,7 @@
     }
 }
 
-/// Whether a broker does not trust its clock any more.
+/// Whether a lease client rejects leases because it has found a clock faulty: its broker's or the leader's.
 fn distrusts_clock(client: &LeaseClient) -> bool {
     client.distrust_reason().is_some()
 }
--- a/crates/dunepond-simulation/src/scenario/fill_simulation.rs
+++ b/crates/dunepond-simulation/src/scenario/fill_simulation.rs
@@ -1,6 +1,7 @@
-//! Simulates how the leader's host carries out fills and settlements: it plans fills by its own balances, starts them,
-//! and proposes the settlement and completion of those that are complete. A new leader starts from the committed log
-//! and the transfer counts alone, as a host does.
+//! Simulates how the leader's host, the process that runs the leader, handles fills (copies of segments to new
+//! replicas) and settlements (log entries by which a fill pays off a transfer debt between partners). It plans fills by
+//! the balances that it has computed itself, starts them, and proposes the settlement and the completion of each
+//! complete fill. A new leader's host starts from the committed log and the transfer counts alone, as in a real fleet.
 
 use std::collections::BTreeMap;
 
@@ -22,72 +23,75 @@
 /// Seconds after which the log entry that records a fill (a copy of a segment to a new replica) as complete is
 /// proposed again.
 const PROPOSE_INTERVAL_SECONDS: f64 = 1.0;
-/// Name that each leader gives to its planner, which plans fills and the settlements (payments of transfer debts
-/// between partners) that they make.
+/// Name of each leader's planner, which plans fills and the settlements by which they pay off transfer debts between
+/// partners.
 const PLANNER_NAME: &str = "fleet";
-/// Size of each segment.
+/// Size of each segment's data, in bytes.
 const SEGMENT_BYTES: u64 = 1 << 20;
 /// Shortest time in seconds that a fill takes.
 const MIN_FILL_SECONDS: f64 = 0.1;
 /// Longest time in seconds that a fill takes.
 const MAX_FILL_SECONDS: f64 = 1.5;
-/// Ratio of fills that fail.
+/// Probability that a fill fails.
 const FILL_FAILURE_RATIO: f64 = 0.1;
-/// Number of brokers that carry traffic between partners and count it.
+/// Number of brokers that count the transfers between partners that pass through them.
 const COUNTING_BROKERS: usize = 8;
 /// Number of transfers between partners in each [`CARRY_INTERVAL_SECONDS`].
 const TRANSFERS_PER_INTERVAL: usize = 6;
-/// Longest transfer between partners.
+/// Upper limit of the size of one transfer between partners, in bytes.
 const MAX_CARRIED_BYTES: u64 = 1 << 20;
 /// Seconds between two rounds of transfers.
 const CARRY_INTERVAL_SECONDS: f64 = 1.0;
-/// Number of readings by which the leader's knowledge of the counts lags behind, as with gossip.
+/// Number of readings of the transfer counts that are stored. The leader uses the oldest of them, because its counts
+/// lag behind the actual ones, as with gossip.
 const COUNTS_LAG: usize = 3;
-/// Capacity of a link in bytes per second.
+/// Maximum rate of fills over each link between partners or within a partner, in bytes per second.
 const LINK_RATE: f64 = 1e9;
-/// Combined with the seed, so that the random numbers here differ from those of the fleet.
+/// Combined with the scenario's seed, so that the random numbers of this module differ from those of the fleet.
 const SEED_MASK: u64 = 0xf111;
 
 /// A fill that the leader has started.
 struct RunningFill {
     fill: Fill,
     ends_at: f64,
-    /// Whether the fill fails at its end.
+    /// Whether the fill will fail at `ends_at`.
     fails: bool,
     /// Whether the fill has ended successfully.
     is_complete: bool,
     next_proposal_at: f64,
 }
 
-/// State of one leader's host.
+/// State of the host of one leader, that is, of the process that runs the leader.
 struct LeaderState {
     /// Index of the leader.
     leader: usize,
-    /// Number of the open version, 0 if there is none.
+    /// Number of the open version, which is proposed and neither active nor withdrawn; 0 if there is none.
     version: u64,
     balances: Balances,
     planner: FillPlanner,
-    /// Fills that were started, by id.
+    /// Fills that were started and have not been ended or dropped, by id.
     running: BTreeMap<String, RunningFill>,
 }
 
-/// Traffic between partners, and the fills of open versions.
+/// Simulated transfers between partners, and the fills that open versions require. A version is open if it is proposed
+/// and neither active nor withdrawn.
 pub(super) struct FillSimulation {
     rng: Pcg64Mcg,
-    /// Actual counts of the bytes that partners have carried for each other.
+    /// Actual counts of the bytes that partners have transferred for each other, without the lag of the leader's
+    /// counts.
     carried: CarriedCounts,
-    /// The counts at the last [`COUNTS_LAG`] readings, oldest first.
+    /// The transfer counts after each of the last [`COUNTS_LAG`] rounds of transfers, oldest first.
     earlier_counts: Vec<CarriedCounts>,
     leader_state: Option<LeaderState>,
     next_plan_at: f64,
     next_carry_at: f64,
     /// Committed settlements in the order of the log.
     settled: Vec<Settlement>,
-    /// Number of settlement entries in the log that were read.
+    /// Number of settlement entries in the log that were read so far.
     known_entry_count: u64,
     /// Total bytes of transfer debt that committed settlements have paid off, by debtor and creditor.
     settled_bytes: BTreeMap<(String, String), u64>,
-    /// When each fill with a settlement was complete, by the settlement's id.
+    /// Time at which each fill with a settlement was complete, by the settlement's id.
     pub filled_at: BTreeMap<String, f64>,
 }
 
@@ -126,7 +130,7 @@
         self.end_fills(fleet);
     }
 
-    /// Simulates random transfers between partners, counted by a few brokers.
+    /// Simulates one round of random transfers between partners, each counted by one of a few brokers.
     fn carry_traffic(&mut self, topology: &Topology) {
         let partner_count = topology.partner_count();
         for _ in 0..TRANSFERS_PER_INTERVAL {
@@ -142,8 +146,8 @@
         }
     }
 
-    /// Reads the new settlements in the log, and checks that no debtor settles more than its partner has actually
-    /// carried for it.
+    /// Reads the new settlements in the log, and checks that no debtor settles more bytes than the creditor has
+    /// actually transferred for it.
     fn check_settlements(&mut self, fleet: &Fleet, leader: usize) {
         let logged = settlements::settlements_after(fleet.state(leader), self.known_entry_count);
         self.known_entry_count = logged.entry_count;
@@ -157,7 +161,7 @@
         }
     }
 
-    /// State of a new leader's host, from the committed settlements alone.
+    /// Creates the state of a new leader's host from the committed settlements alone.
     fn new_leader_state(&self, leader: usize) -> LeaderState {
         let mut ledger = SettlementLedger::default();
         for settlement in &self.settled {
@@ -191,7 +195,7 @@
     }
 
     /// Ends the fills that are due. For a complete fill, the settlement is proposed before the entry that records the
-    /// fill as complete: a crash between the two leaves the fill open.
+    /// fill as complete, so that the fill is still open after a crash between the two.
     fn end_fills(&mut self, fleet: &mut Fleet) {
         let Some(state) = &mut self.leader_state else { return };
         let now = fleet.now;
@@ -216,7 +220,7 @@
 }
 
 impl LeaderState {
-    /// Switches to another open version, and ends the fills of the previous one, which are not required any more.
+    /// Switches to the open version `version`, and ends the fills of the previous one, which are not required any more.
     fn switch_version(&mut self, version: u64) {
         if self.version == version {
             return;
@@ -227,7 +231,7 @@
         self.version = version;
     }
 
-    /// Ends the fills that are not in demand any more, and returns the new fills to start.
+    /// Ends the fills that `demands` does not require any more, and returns the new fills to start.
     fn plan(&mut self, now: f64, mut demands: Vec<FillDemand>) -> Vec<Fill> {
         let is_demanded = |id: &str| demands.iter().any(|demand| demand.id() == id);
         let ended: Vec<String> = self.running.keys().filter(|id| !is_demanded(id)).cloned().collect();
@@ -256,14 +260,15 @@
     }
 }
 
-/// The open version at the leader, with the fills that it still requires.
+/// The open version (proposed and neither active nor withdrawn), as known to the leader, with the fills that it still
+/// requires.
 struct OpenVersion {
     number: u64,
     demands: Vec<FillDemand>,
 }
 
 impl OpenVersion {
-    /// The open version at `leader`; `None` if there is none or it changes no map.
+    /// The open version, as known to `leader`; `None` if there is none or it does not change the shard map.
     fn of(fleet: &Fleet, topology: &Topology, leader: usize) -> Option<Self> {
         let state = fleet.state(leader);
         let open = state.open.as_ref()?;
--- a/crates/dunepond-simulation/src/scenario/mod.rs
+++ b/crates/dunepond-simulation/src/scenario/mod.rs
@@ -1,5 +1,6 @@
-//! Runs of a fleet of any size, determined by a seed: faults as they occur in operation, singly and together, and
-//! figures on what the run cost. A run that ends without a panic has kept all invariants.
+//! Runs of a fleet of any size, determined by a seed. Faults are injected as they occur in operation, singly and
+//! together, and the durations and the load of a run are measured. A run that ends without a panic has kept all
+//! invariants.
 
 mod config;
 mod faults;
@@ -24,20 +25,22 @@
 pub use report::{FaultCount, ScenarioReport};
 pub use topology::{Topology, config_version};
 
-/// Longest time in seconds between two faults.
+/// Upper limit of the random time in seconds between two faults.
 const MAX_FAULT_PAUSE_SECONDS: f64 = 1.2;
-/// Longest time in seconds that a fleet without faults may take until all brokers have leases, and to activate a
-/// version.
+/// Longest time in seconds that a fleet without faults may take until all brokers have leases. The same limit applies
+/// to the activation of a version and to the end of an open version.
 const MAX_RECOVERY_SECONDS: f64 = 30.0;
 /// Number of turns (runs of its voter and lease client) that each broker takes during a lease, as on a real host.
 const TURNS_PER_LEASE: f64 = 100.0;
-/// Length of the warm-up before the steady part is measured, as a multiple of the length of a lease.
+/// Length of the warm-up before the steady part of a run (the part without faults) is measured, as a multiple of the
+/// length of a lease.
 const WARM_UP_LEASES: f64 = 2.0;
-/// Time between two configuration versions in the steady part, as a multiple of the length of a lease.
+/// Time between the proposals of two configuration versions in the steady part of a run (the part without faults), as a
+/// multiple of the length of a lease.
 const VERSION_INTERVAL_LEASES: f64 = 3.0;
-/// Ratio of the versions in the steady part that have fills.
+/// Probability that a version that is proposed in the steady part of a run (the part without faults) requires fills.
 const STEADY_FILL_RATIO: f64 = 0.3;
-/// Seconds between two attempts to end an open version.
+/// Seconds between two attempts to withdraw an open version (one that is proposed and neither active nor withdrawn).
 const END_STAGE_INTERVAL_SECONDS: f64 = 0.5;
 
 /// A simulated run of a fleet.
@@ -46,11 +49,11 @@
     pub fleet: Fleet,
     /// Configuration of the run.
     pub config: ScenarioConfig,
-    /// Figures of the run, filled in while it runs.
+    /// Measurements of the run, recorded while it runs.
     pub report: ScenarioReport,
     topology: Topology,
     fill_simulation: FillSimulation,
-    /// Events that faults have scheduled.
+    /// Events that faults have scheduled for later, such as their own ends.
     scheduled: EventQueue<ScheduledEvent>,
     rng: Pcg64Mcg,
     /// Versions that were proposed and that not all brokers act on yet.
@@ -89,7 +92,7 @@
     /// Proposes version 1 and runs until all brokers act on it.
     ///
     /// # Panics
-    /// The brokers do not all get leases, or do not all act on version 1, in time.
+    /// Some broker gets no lease in time, or does not act on version 1 in time.
     pub fn activate_first_version(&mut self) {
         let is_up = |fleet: &Fleet| fleet.leader().is_some() && fleet.all_have_leases();
         assert!(
@@ -105,7 +108,8 @@
         );
     }
 
-    /// Runs the whole scenario: the first version, the steady part, the faults and the recovery. Returns its figures.
+    /// Runs the whole scenario: the activation of the first version, the steady part without faults, the part with
+    /// faults, and the recovery. Returns the measurements of the run.
     ///
     /// # Panics
     /// An invariant is violated, or the fleet does not recover.
@@ -124,7 +128,7 @@
         self.finish()
     }
 
-    /// Runs the steady part, which is measured: nothing fails, and a version is proposed every few leases.
+    /// Runs the steady part, which is measured. Nothing fails in it, and a version is proposed every few lease lengths.
     fn run_steadily(&mut self) {
         if self.config.steady_seconds <= 0.0 {
             return;
@@ -150,8 +154,8 @@
         self.fleet.brokers.iter().map(|broker| broker.load).collect()
     }
 
-    /// Ends all faults and the open version, and checks that all brokers act on a next version and all voters vote
-    /// again.
+    /// Ends all faults and withdraws the open version. Checks that all brokers act on the next version, and that all
+    /// voters vote again.
     fn recover(&mut self) {
         self.scheduled = EventQueue::default();
         self.heal();
@@ -176,7 +180,8 @@
         }
     }
 
-    /// Withdraws the open version, and runs until none is open.
+    /// Withdraws the open version (the one that is proposed and neither active nor withdrawn), and runs until no
+    /// version is open.
     fn end_open_version(&mut self) {
         let end = self.fleet.now + MAX_RECOVERY_SECONDS;
         while self.fleet.leader().is_none_or(|leader| self.fleet.state(leader).open.is_some()) {
@@ -186,7 +191,7 @@
         }
     }
 
-    /// Completes the report.
+    /// Completes the report and returns it.
     fn finish(mut self) -> ScenarioReport {
         self.report_notices();
         let invariants = &self.fleet.invariants;
@@ -209,7 +214,8 @@
         let notices = self.fleet.settlement_notices.replace(Vec::new()).unwrap_or_default();
         let mut known = BTreeSet::new();
         for notice in notices {
-            // A restarted broker receives all settlements again; only the first time counts.
+            // A restarted broker receives all settlements again, so only the first notice of each settlement at each
+            // broker counts.
             if let Some(settled_at) = self.fleet.invariants.settled_at.get(&notice.id)
                 && known.insert((notice.broker, notice.id))
             {
@@ -218,7 +224,7 @@
         }
     }
 
-    /// Runs steps until `is_done` returns true, for `max_seconds` at most. Returns whether it did.
+    /// Runs steps until `is_done` returns true, for `max_seconds` at most. Returns whether `is_done` returned true.
     pub fn run_until(&mut self, max_seconds: f64, is_done: impl Fn(&Fleet) -> bool) -> bool {
         let end = self.fleet.now + max_seconds;
         while self.fleet.now < end {
@@ -245,8 +251,8 @@
         self.track_rollouts();
     }
 
-    /// Proposes an operator's command to activate or withdraw the latest version at the leader. It is rejected if that
-    /// version is not open.
+    /// Proposes at the leader the command with which an operator activates or withdraws the latest version. The leader
+    /// rejects it if that version is active or withdrawn already.
     fn end_stage(&mut self, activate: bool) {
         let Some(leader) = self.fleet.leader() else { return };
         let number = self.fleet.state(leader).highest_number;
--- a/crates/dunepond-simulation/src/scenario/report.rs
+++ b/crates/dunepond-simulation/src/scenario/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a scenario's run.
+//! Measurements of a scenario's run.
 
 use crate::fleet::BrokerLoad;
 
@@ -7,26 +7,26 @@
 pub struct FaultCount {
     /// Name of the kind of fault.
     pub kind: &'static str,
-    /// Number of faults of this kind; at least 1.
+    /// Number of faults of this kind that were injected; at least 1.
     pub count: usize,
 }
 
-/// Figures of a scenario's run. Times are in simulated seconds.
+/// Measurements of a scenario's run. Times are in simulated seconds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ScenarioReport {
-    /// Time from the commit of each version until every acting broker acts on it or a later one alone, for versions
-    /// without fills or a stage.
+    /// Time from the commit of a version's proposal until all brokers that act on any version act only on this or later
+    /// versions, for each version that neither requires fills nor has a first stage.
     pub rollout_seconds: Vec<f64>,
-    /// Time from the commit of each version until every acting broker acts on it or a later one alone, for versions
-    /// with fills or a stage.
+    /// Time from the commit of a version's proposal until all brokers that act on any version act only on this or later
+    /// versions, for each version that requires fills or has a first stage.
     pub slow_rollout_seconds: Vec<f64>,
-    /// Longest time for which a broker acted on a version alone after the next version was committed.
+    /// Longest time that a broker still acted on a version alone after the proposal of the next version was committed.
     pub longest_alone_seconds: f64,
-    /// Upper limit of `longest_alone_seconds`, by the configuration.
+    /// The configured upper limit of `longest_alone_seconds`.
     pub switch_bound_seconds: f64,
-    /// Time from the end of each fill until its settlement was committed.
+    /// Time from the end of each fill until the fill's settlement was committed.
     pub settlement_seconds: Vec<f64>,
-    /// Time from the commit of each settlement until a broker learned of it, for each broker.
+    /// Times from the commit of a settlement until a broker learned of it, one for each settlement and broker.
     pub notice_seconds: Vec<f64>,
     /// Number of versions that were activated.
     pub activated: usize,
@@ -40,11 +40,11 @@
     pub fills: usize,
     /// Number of faults by kind, in the order in which the kinds first occurred.
     pub faults: Vec<FaultCount>,
-    /// Length of the measured steady part.
+    /// Length of the steady part of the run: the part without faults, which is measured.
     pub measured_seconds: f64,
-    /// Load of each broker during the steady part, by index.
+    /// Load of each broker during the steady part of the run (the part without faults), by index of the broker.
     pub loads: Vec<BrokerLoad>,
-    /// Index of the leader at the end of the steady part.
+    /// Index of the leader at the end of the steady part of the run (the part without faults).
     pub leader: Option<usize>,
     /// Hash of the run; see [`crate::fleet::Fleet::trace`].
     pub trace: u64,
--- a/crates/dunepond-simulation/src/scenario/topology.rs
+++ b/crates/dunepond-simulation/src/scenario/topology.rs
@@ -11,7 +11,8 @@
 const MAX_CHANGED_SEGMENTS: usize = 4;
 /// Maximum number of watched segments: those that are checked for conflicting owners at each step.
 const WATCHED_SEGMENT_COUNT: u64 = 6;
-/// Versions change only the first segments, this many times as many as are watched, so that watched ones change often.
+/// Versions change only the first segments: this many times the number of watched ones. These few include the watched
+/// segments, so those change often.
 const CHANGED_PER_WATCHED: u64 = 2;
 
 /// The nodes, the partners that own them, and the segments of a scenario. Nodes and partners are identified by number.
@@ -21,15 +22,15 @@
     segment_count: u64,
 }
 
-/// A shard map without the nodes of one partner.
+/// A shard map in which no node of one partner owns a segment.
 pub(super) struct MapWithoutPartner {
     pub map: ShardMap,
-    /// Names of the partner's nodes that were removed from the map.
+    /// Names of the partner's nodes that had replicas in the active map.
     pub removed_nodes: Vec<String>,
 }
 
 impl Topology {
-    /// Creates a topology. The nodes are assigned to the partners in turn.
+    /// Creates a topology. The nodes are assigned to the partners in turn, by number.
     pub fn new(node_count: usize, partner_count: usize, segment_count: u64) -> Self {
         Self { node_count, partner_count, segment_count }
     }
@@ -44,7 +45,7 @@
         (0..self.segment_count.min(WATCHED_SEGMENT_COUNT)).collect()
     }
 
-    /// Name of the node of this number; numbers wrap around.
+    /// Name of the node of this number. A number that is too high wraps around to the first nodes.
     pub fn node(&self, number: usize) -> String {
         format!("s{}", number % self.node_count)
     }
@@ -59,7 +60,7 @@
         self.partner(node[1..].parse().expect("a node of this topology"))
     }
 
-    /// A replica of a segment on the node of this number.
+    /// A replica, on the node of this number, that serves `share` of the reads of its segment.
     fn replica(&self, number: usize, filled: bool, share: f64) -> Replica {
         Replica { node: self.node(number), partner: self.partner(number), filled, share }
     }
@@ -81,8 +82,8 @@
         Segment { id, keys, owner: self.node(first), replicas }
     }
 
-    /// The active map with other owners of some random segments; up to `fill_count` of these get a new replica that has
-    /// to be filled. Without an active map, this is [`Self::map`].
+    /// A copy of the active map in which some random segments have another owner, and up to `fill_count` of these have
+    /// a new replica that has to be filled. Without an active map, this is [`Self::map`].
     pub fn changed_map(
         &self,
         state: &ReplicatedState,
@@ -117,8 +118,9 @@
         }
     }
 
-    /// The active map without the nodes of `partner`, with the names of these nodes; `None` if a segment would be left
-    /// without a filled replica.
+    /// A copy of the active map in which each segment that has replicas on nodes of `partner` is owned by a node of
+    /// another partner, with the names of the partner's nodes. Unfilled replicas of these segments are dropped; the
+    /// partner's filled replicas stay in the map. `None` if such a segment has no filled replica of another partner.
     pub(super) fn map_without(
         &self,
         state: &ReplicatedState,
--- a/crates/dunepond-simulation/src/scenario/versions.rs
+++ b/crates/dunepond-simulation/src/scenario/versions.rs
@@ -1,4 +1,4 @@
-//! Proposes configuration versions during a run, and measures how long their rollouts take.
+//! Proposes configuration versions during a run, and measures how long it takes until all brokers act on each of them.
 
 use dunepond_consensus::{Command, ConfigVersion, Rejection};
 use rand::RngExt;
@@ -7,18 +7,19 @@
 
 /// Maximum number of fills of one version.
 const MAX_FILL_COUNT: usize = 3;
-/// Ratio of the brokers that act on a staged version first.
+/// Ratio of the brokers that act on a version alone in its first stage, if it has one.
 const FIRST_STAGE_RATIO: f64 = 0.3;
 
 /// A version that was proposed and that not all brokers act on yet.
 pub(super) struct PendingVersion {
     number: u64,
-    /// Whether the version has fills or a stage.
+    /// Whether the version requires fills or has a first stage.
     is_slow: bool,
 }
 
 impl Scenario {
-    /// Proposes a version at the leader, and tracks its rollout or counts its rejection.
+    /// Proposes a version at the leader. If the proposal is accepted, the version's rollout is tracked; otherwise the
+    /// rejection is counted.
     pub(super) fn propose(&mut self, version: ConfigVersion) -> Result<(), Rejection> {
         let is_slow = version.first_stage_ratio.is_some() || self.topology.requires_fills(&version);
         let number = version.number;
@@ -30,8 +31,8 @@
         result
     }
 
-    /// Proposes a random change of the active version. `fill_ratio` and `stage_ratio` are the probabilities that the
-    /// new version has fills and a stage.
+    /// Proposes a version with random changes to the active shard map. `fill_ratio` is the probability that the version
+    /// requires fills, `stage_ratio` the probability that it has a first stage.
     pub(super) fn propose_next_version(&mut self, fill_ratio: f64, stage_ratio: f64) {
         let Some(leader) = self.fleet.leader() else { return };
         let state = self.fleet.state(leader);
@@ -45,7 +46,8 @@
         let _ = self.propose(version);
     }
 
-    /// Reports the pending versions that all brokers act on now, and drops withdrawn ones.
+    /// Adds the rollout times of pending versions that all brokers now act on to the report. Removes these versions and
+    /// withdrawn ones from the pending versions.
     pub(super) fn track_rollouts(&mut self) {
         let (now, invariants) = (self.fleet.now, &self.fleet.invariants);
         let report = &mut self.report;
--- a/crates/dunepond-simulation/src/settlements.rs
+++ b/crates/dunepond-simulation/src/settlements.rs
@@ -3,7 +3,7 @@
 use dunepond_consensus::{Command, LeaseClient, ReplicatedState, StateChange};
 use dunepond_settlement::{Settlement, SettlementEntry};
 
-/// The command that commits a settlement.
+/// The command with which a settlement is proposed.
 pub fn settle_command(settlement: Settlement) -> Command {
     Command::Settlement(SettlementEntry::Settle(settlement))
 }
@@ -16,7 +16,7 @@
     }
 }
 
-/// The settlement in an entry, if it has one.
+/// The settlement in an entry; `None` if the entry is of another kind.
 fn settlement_of(entry: SettlementEntry) -> Option<Settlement> {
     match entry {
         SettlementEntry::Settle(settlement) => Some(settlement),
@@ -38,8 +38,8 @@
     pub settlements: Vec<Settlement>,
 }
 
-/// The settlements in the log after its first `known_count` settlement entries. Reads a single update; settlements
-/// that it does not contain are not returned.
+/// The settlements in the log after its first `known_count` settlement entries. Reads a single update, which has a
+/// limited number of entries; settlements beyond it are not returned.
 ///
 /// # Panics
 /// The replicated state does not keep the entries after `known_count` any more.
--- a/crates/dunepond-simulation/tests/memory_growth.rs
+++ b/crates/dunepond-simulation/tests/memory_growth.rs
@@ -36,16 +36,17 @@
 const VOTER_COUNT: usize = 3;
 /// Number of brokers that do not vote.
 const OTHER_COUNT: usize = 3;
-/// Number of measurements in each half, of which the maximum counts: the size of a folder depends on how recently its
-/// log was compacted.
+/// Number of measurements in the second half of the run; the second quarter has half as many. The maximum of each is
+/// compared, because the size of a folder depends on how recently its log was compacted.
 const SAMPLE_COUNT: u64 = 16;
-/// Number of settlements before the first version: more than are kept for brokers that lag behind.
+/// Number of settlements before the first version. This is more than the replicated state keeps for brokers that lag
+/// behind.
 const SETTLEMENT_COUNT: u64 = 4200;
-/// Upper limit of the ratio of the second half's maximum to the second quarter's. Above 1 because lists of bounded
-/// length may not have been full yet.
+/// Upper limit of the maximum usage in the second half of the run, as a ratio of that in the second quarter. It is
+/// above 1 because lists of bounded length may not have been full yet in the second quarter.
 const MAX_GROWTH_RATIO: f64 = 1.05;
 
-/// Memory of the process, and size of the largest folder, in bytes.
+/// Memory of the process, and size of the largest broker folder, in bytes.
 #[derive(Clone, Copy, Debug, Default)]
 struct Usage {
     memory: isize,
@@ -73,7 +74,7 @@
     let mut fleet = Fleet::with_config(&config, VOTER_COUNT + OTHER_COUNT, vec![0, 1], 1);
     fleet.settlement_notices = Some(Vec::new());
     assert!(fleet.run_until(10.0, |fleet| fleet.leader().is_some() && fleet.all_have_leases()));
-    // Fill the lists of bounded length from the beginning.
+    // Fill the lists of bounded length before the first version.
     for fill in 0..SETTLEMENT_COUNT {
         fleet.propose(settlements::settle_command(settlement(&fill.to_string()))).expect("a new settlement");
         if fill % 50 == 0 {
@@ -105,7 +106,7 @@
         fleet.invariants.forget_before(index.saturating_sub(1000), number.saturating_sub(8));
         fleet.settlement_notices = Some(Vec::new());
         fleet.brokers.iter_mut().for_each(|broker| (broker.log.clear(), broker.rejections.clear()).0);
-        // The first quarter is not measured: lists of bounded length fill up in it.
+        // The first quarter is not measured, because lists of bounded length are still filling up in it.
         if number > versions / 4 && number % (versions / 2 / SAMPLE_COUNT).max(1) == 0 {
             let (current, half) = (usage(&fleet), &mut max_usage[usize::from(number > versions / 2)]);
             (half.memory, half.folder) = (half.memory.max(current.memory), half.folder.max(current.folder));
--- a/crates/dunepond-simulation/tests/seeds.rs
+++ b/crates/dunepond-simulation/tests/seeds.rs
@@ -1,5 +1,5 @@
-//! Runs of small fleets with all kinds of faults, by seed. Invariants are checked at each step. Seeds that failed once
-//! are kept as tests.
+//! Runs of small fleets with all kinds of faults, determined by a seed. Invariants are checked at each step. Seeds that
+//! failed once are kept as tests.
 
 use dunepond_simulation::scenario::{Scenario, ScenarioConfig, ScenarioReport};
 
@@ -41,8 +41,8 @@
     assert_ne!(first.trace, other.trace);
 }
 
-/// Runs one seed and prints its figures:
-/// `SEED=7 cargo test -p dunepond-simulation --test seeds -- --ignored --nocapture run_one_seed`.
+/// Runs one seed and prints the run's measurements: `SEED=7 cargo test -p dunepond-simulation --test seeds -- --ignored
+/// --nocapture run_one_seed`.
 #[test]
 #[ignore = "by hand"]
 fn run_one_seed() {
@@ -66,9 +66,9 @@
     assert!(failed.is_empty(), "{} of {} failed: {failed:?}", failed.len(), seeds.len());
 }
 
-/// Guards against clocks set back undetectably during a pause. They led to two owners at once, as a lease lasted too
-/// long (first three seeds), and to a broker without a lease at the end of the run, before its supervisor had restarted
-/// it.
+/// Guards against failures after a clock was set back undetectably during a pause. With the first three seeds, a lease
+/// lasted too long, so that a segment had two owners at once. With the other two, a broker had no lease at the end of
+/// the run, because its supervisor had not restarted it yet.
 #[test]
 fn formerly_failed_seeds_pass() {
     for seed in [1049, 3052, 4966, 8497, 8670] {
