--- a/crates/dunepond-config/src/host_settings.rs
+++ b/crates/dunepond-config/src/host_settings.rs
@@ -15,7 +15,7 @@
     pub tenants: Vec<String>,
     /// Names of the zones. The router identifies a zone by its index in this list.
     pub zones: Vec<String>,
-    /// Number of segments that the data are divided into.
+    /// Number of segments into which the data is divided.
     pub segment_count: usize,
     /// Maximum number of queries and parts in flight, counted together; `None` for no limit.
     pub max_in_flight: Option<usize>,
--- a/crates/dunepond-config/src/operator/body_buffer.rs
+++ b/crates/dunepond-config/src/operator/body_buffer.rs
@@ -22,7 +22,7 @@
 const MIN_WINDOW_BYTES: u64 = 128 * 1024;
 const KEYS: [&str; 6] = ["longest", "memory", "files", "share", "window", "slowest"];
 
-/// How request bodies are buffered.
+/// Limits on buffering request bodies, and where bodies are spilled to disk.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BodyBufferConfig {
     /// Limits on the sizes of bodies and buffers, and the time after which a read or write without progress fails.
--- a/crates/dunepond-config/src/operator/fleet/mod.rs
+++ b/crates/dunepond-config/src/operator/fleet/mod.rs
@@ -98,7 +98,7 @@
 /// The operator's service that fills replicas (copies a segment's data to a new replica), with limits on its use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FillConfig {
-    /// TCP address of the service.
+    /// TCP address of the operator's service that fills replicas.
     pub address: SocketAddr,
     /// Deadline for all fills that a proposed configuration needs, in seconds. If the fills take longer, the
     /// configuration is withdrawn.
--- a/crates/dunepond-config/src/operator/fleet/parse.rs
+++ b/crates/dunepond-config/src/operator/fleet/parse.rs
@@ -125,7 +125,8 @@
         }
     }
 
-    /// Checks that names, addresses, zones and tenants are unique.
+    /// Checks that no broker name, broker address, partner name, zone, tenant, or broker of a partner is given twice in
+    /// the `fleet` node.
     fn check_unique(&mut self, node: &KdlNode, fleet: &FleetConfig) {
         let brokers: Vec<_> = fleet.voters.iter().chain(&fleet.peers).collect();
         let partners = &fleet.partners;
--- a/crates/dunepond-config/src/operator/quotas.rs
+++ b/crates/dunepond-config/src/operator/quotas.rs
@@ -19,7 +19,7 @@
     /// Whether the brokers share the minimum of the retry budget: the number of retries and hedged requests that are
     /// allowed regardless of the load.
     pub share_retries: bool,
-    /// Names of the tenants whose quotas are shared, as in the settings.
+    /// Names of the tenants whose quotas are shared. They are the names in the deployment's settings.
     pub tenants: Vec<String>,
 }
 
--- a/crates/dunepond-search-api/src/request/search.rs
+++ b/crates/dunepond-search-api/src/request/search.rs
@@ -29,7 +29,7 @@
     UpTo(u64),
 }
 
-/// Which part of each hit's document is returned.
+/// Which fields of each hit's document are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceFilter {
     /// The whole document is returned.
@@ -58,7 +58,7 @@
     pub size: u64,
     /// Keys by which hits are sorted; an empty list sorts them by score.
     pub sort: Vec<SortKey>,
-    /// Which part of each document is returned.
+    /// Which fields of each hit's document are returned.
     pub source: SourceFilter,
     /// Time that the client is willing to wait, in seconds; `None` if the client states none.
     pub timeout_seconds: Option<f64>,
--- a/crates/dunepond-simulation/src/fleet/broker.rs
+++ b/crates/dunepond-simulation/src/fleet/broker.rs
@@ -49,15 +49,15 @@
     pub clock_rate: f64,
     /// Reading of the broker's clock at true time 0.
     pub clock_offset: f64,
-    /// True time until which the broker is paused.
+    /// True time, in seconds, until which the broker is paused; in the past if it is not paused.
     pub paused_until: f64,
     /// Reading of the broker's clock in its last turn, that is, when its voter and lease client last ran.
     pub(super) last_clock: f64,
     /// Whether the broker's clock was set back since its last turn, that is, since its voter and lease client last ran.
     pub(super) clock_went_back: bool,
     /// Reading of the broker's clock when the broker first ran after an undetectable clock jump; `None` if there was
-    /// none. The broker cannot detect that its clock was set back if it was paused for longer than the clock was set
-    /// back by. Leases that were requested before this reading last longer than the configuration allows.
+    /// none. The jump is undetectable if the clock is set back during a pause by less than the length of the pause.
+    /// Leases that were requested before this reading last longer than the configuration allows.
     pub hidden_clock_jump: Option<f64>,
     /// Whether the broker crashes during its next write to the folder, which leaves a torn record.
     pub tears_next_record: bool,
@@ -68,8 +68,8 @@
     pub log: Vec<String>,
     /// Traffic and processor time since the start of the fleet.
     pub load: BrokerLoad,
-    /// Configuration in the broker's file; at a start, [`crate::fleet::Fleet::lease_seconds`] replaces its length of a
-    /// lease.
+    /// Configuration in the broker's file. When the broker starts, [`crate::fleet::Fleet::lease_seconds`] replaces the
+    /// length of a lease in it.
     pub config: ConsensusConfig,
 }
 
@@ -122,8 +122,8 @@
         self.persisted_leases = PersistedState::default();
     }
 
-    /// Records the reading of the broker's clock in the current turn. If the clock was set back, but not to before its
-    /// reading in the last turn, the broker cannot detect that, and `hidden_clock_jump` is set.
+    /// Records the reading of the broker's clock in the current turn. If the clock was set back but still reads later
+    /// than in the last turn, the broker cannot detect that, and `hidden_clock_jump` is set.
     pub(super) fn observe_clock(&mut self, clock: f64) {
         if std::mem::take(&mut self.clock_went_back) && clock >= self.last_clock {
             self.hidden_clock_jump = Some(clock);
--- a/crates/dunepond-simulation/src/fleet/mod.rs
+++ b/crates/dunepond-simulation/src/fleet/mod.rs
@@ -23,7 +23,7 @@
 pub use broker::{Broker, BrokerLoad};
 pub use network::LinkConditions;
 
-/// Default of [`Fleet::turn_seconds`].
+/// Default of [`Fleet::turn_seconds`], the length of a simulation step, in seconds.
 pub const DEFAULT_TURN_SECONDS: f64 = 0.01;
 /// Longest time in seconds that a new fleet may take until all brokers have leases. The activation of its first version
 /// may take as long again.
@@ -42,7 +42,7 @@
 
 /// A simulated fleet of brokers with its network.
 pub struct Fleet {
-    /// Current true time.
+    /// Current true time: the simulated time in seconds, from which the brokers' clocks deviate.
     pub now: f64,
     /// Length of a simulation step in seconds. In each step, each broker that is neither down nor paused takes one
     /// turn: its voter and lease client run once, as in an iteration of a real broker's event loop. Messages that
@@ -66,7 +66,7 @@
     pub links: LinkConditions,
     /// Index of a broker whose links are all slow and lose messages; `None` if there is no such broker.
     pub slow_broker: Option<usize>,
-    /// Length of a lease in seconds, in the configuration of brokers that are started from now on.
+    /// Length of a lease in seconds, for brokers that are started after this is set.
     pub lease_seconds: f64,
     /// Segments that are checked for conflicting owners. At each step, each broker that is neither down nor paused is
     /// assumed to send a non-idempotent part of a query for each of these segments to any node that it considers the
--- a/crates/dunepond-simulation/src/scenario/faults.rs
+++ b/crates/dunepond-simulation/src/scenario/faults.rs
@@ -257,7 +257,7 @@
             self.fleet.brokers[n].clock_offset += seconds;
         } else {
             self.fleet.set_clock_back(n, seconds);
-            // The broker's supervisor restarts it.
+            // Simulates that the broker's supervisor restarts the broker.
             self.schedule(MAX_FAULT_SECONDS, ScheduledEvent::Restart(vec![n]));
         }
     }
--- a/crates/dunepond-simulation/tests/seeds.rs
+++ b/crates/dunepond-simulation/tests/seeds.rs
@@ -3,10 +3,10 @@
 
 use dunepond_simulation::scenario::{Scenario, ScenarioConfig, ScenarioReport};
 
-/// Number of brokers in most runs.
+/// Number of brokers in runs that do not set another number.
 const BROKER_COUNT: usize = 8;
 
-/// Runs a scenario with 10 s of faults.
+/// Runs a scenario with [`BROKER_COUNT`] brokers and 10 s of faults.
 fn run(seed: u64) -> ScenarioReport {
     let config = ScenarioConfig { fault_seconds: 10.0, ..ScenarioConfig::with_brokers(BROKER_COUNT, seed) };
     Scenario::new(config).run()
@@ -41,8 +41,8 @@
     assert_ne!(first.trace, other.trace);
 }
 
-/// Runs one seed and prints the run's measurements: `SEED=7 cargo test -p dunepond-simulation --test seeds -- --ignored
-/// --nocapture run_one_seed`.
+/// Runs one seed and prints the run's measurements:
+/// `SEED=7 cargo test -p dunepond-simulation --test seeds -- --ignored --nocapture run_one_seed`.
 #[test]
 #[ignore = "by hand"]
 fn run_one_seed() {
