--- a/crates/dunepond-simulation/tests/seeds.rs
+++ b/crates/dunepond-simulation/tests/seeds.rs
@@ -1,12 +1,12 @@
-//! Runs of small fleets with all kinds of faults, by seed. Invariants are checked at each step. Seeds that failed once
-//! are kept as tests.
+//! Runs of small fleets with all kinds of faults, determined by a seed. Invariants are checked at each step. Seeds that
+//! failed once are kept as tests.
 
 use dunepond_simulation::scenario::{Scenario, ScenarioConfig, ScenarioReport};
 
-/// Number of brokers in most runs.
+/// Number of brokers in runs that do not set another number.
 const BROKER_COUNT: usize = 8;
 
-/// Runs a scenario with 10 s of faults.
+/// Runs a scenario with [`BROKER_COUNT`] brokers and 10 s of faults.
 fn run(seed: u64) -> ScenarioReport {
     let config = ScenarioConfig { fault_seconds: 10.0, ..ScenarioConfig::with_brokers(BROKER_COUNT, seed) };
     Scenario::new(config).run()
@@ -41,7 +41,7 @@
     assert_ne!(first.trace, other.trace);
 }
 
-/// Runs one seed and prints its figures:
+/// Runs one seed and prints the run's measurements:
 /// `SEED=7 cargo test -p dunepond-simulation --test seeds -- --ignored --nocapture run_one_seed`.
 #[test]
 #[ignore = "by hand"]
@@ -66,9 +66,9 @@
     assert!(failed.is_empty(), "{} of {} failed: {failed:?}", failed.len(), seeds.len());
 }
 
-/// Guards against clocks set back undetectably during a pause. They led to two owners at once, as a lease lasted too
-/// long (first three seeds), and to a broker without a lease at the end of the run, before its supervisor had restarted
-/// it.
+/// Guards against failures after a clock was set back undetectably during a pause. With the first three seeds, a lease
+/// lasted too long, so that a segment had two owners at once. With the other two, a broker had no lease at the end of
+/// the run, because its supervisor had not restarted it yet.
 #[test]
 fn formerly_failed_seeds_pass() {
     for seed in [1049, 3052, 4966, 8497, 8670] {
