--- a/crates/dunepond-background/src/budget.rs
+++ b/crates/dunepond-background/src/budget.rs
@@ -1,17 +1,18 @@
 //! The resource budget of background jobs, and the token buckets that enforce it.
 
-/// Longest time for which unused budget accumulates. A longer one would allow bursts that delay queries.
+/// Unused budget accumulates for at most this time. A longer time would allow bursts of background work that delay
+/// queries.
 const MAX_ACCUMULATED_SECONDS: f64 = 0.5;
 /// Lower limit of a bucket's rate in [`TokenBucket::opens_at`], which avoids a division by 0 for a budget of 0.
 const MIN_RATE: f64 = 1e-9;
-/// Added to the computed time at which a bucket's level rises above 0, so that tokens may be taken again: with
-/// rounding, the level could still be 0 at the exact time.
+/// Margin that [`TokenBucket::opens_at`] adds to the computed time. Without the margin, rounding could leave the
+/// bucket's level at exactly 0 at that time, and no tokens could be taken.
 const OPENING_MARGIN_SECONDS: f64 = 1e-6;
 
 /// Resources that all background jobs together may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
-    /// Share (0 to 1) of the caller's thread time that steps may use.
+    /// Share (0 to 1) of the caller's thread time that [`crate::JobKind::Step`] jobs may use.
     pub time_ratio: f64,
     /// Bytes that jobs may write to the disk per second.
     pub bytes_per_second: f64,
@@ -19,8 +20,8 @@
     pub max_blocking_jobs: usize,
 }
 
-/// A token bucket that may go into debt: tokens may be taken while the level is above 0, even if that makes the level
-/// negative. Nothing more may be taken until it has refilled above 0.
+/// A token bucket whose level may become negative: while the level is above 0, any number of tokens may be taken. Then
+/// nothing more may be taken until refilling has raised the level above 0 again.
 pub(crate) struct TokenBucket {
     /// Tokens added per second.
     rate: f64,
@@ -53,12 +54,12 @@
         self.level -= amount;
     }
 
-    /// Returns tokens that were taken and not used; a negative amount takes more.
+    /// Puts back tokens that were taken but not used. A negative `amount` takes more tokens.
     pub(crate) fn give_back(&mut self, amount: f64) {
         self.level += amount;
     }
 
-    /// Time from which tokens may be taken: `now` if the bucket is open.
+    /// Earliest time at which tokens may be taken: `now` if the level is above 0 already.
     pub(crate) fn opens_at(&self, now: f64) -> f64 {
         if self.is_open() { now } else { now - self.level / self.rate.max(MIN_RATE) + OPENING_MARGIN_SECONDS }
     }
--- a/crates/dunepond-background/src/job.rs
+++ b/crates/dunepond-background/src/job.rs
@@ -1,4 +1,4 @@
-//! Types that describe a job before, during and after its runs.
+//! Types that describe background jobs: their specifications, their results and their counters.
 
 /// Number of a job, unique within a [`crate::Scheduler`].
 pub type JobId = u64;
@@ -11,7 +11,7 @@
     Idle,
     /// For jobs that should run soon.
     Normal,
-    /// Highest priority, for jobs without which a guarantee could not be kept.
+    /// Highest priority, for jobs that must not be delayed if a guarantee is to be kept.
     Urgent,
 }
 
@@ -24,14 +24,14 @@
     Blocking,
 }
 
-/// How a failed job is retried. The back-off doubles with each failure up to its maximum.
+/// How a failed job is retried. Each retry starts after a back-off, which doubles with each failure up to its maximum.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryPolicy {
     /// Back-off after the first failure.
     pub initial_backoff_seconds: f64,
     /// Upper limit of the back-off.
     pub max_backoff_seconds: f64,
-    /// Maximum number of runs, the first one included; `None` for no limit.
+    /// Number of failed runs after which the job is dropped; `None` for no limit.
     pub max_attempts: Option<u32>,
 }
 
@@ -45,7 +45,7 @@
 /// Specification of a job to be added to the scheduler.
 #[derive(Clone, Debug)]
 pub struct JobSpec {
-    /// Name under which the job is counted; several jobs may share it.
+    /// Name under which [`JobCounters`] are kept for the job; several jobs may share a name.
     pub name: &'static str,
     /// Priority among the jobs that may run.
     pub priority: Priority,
@@ -55,7 +55,8 @@
     pub cost: JobCost,
     /// Earliest time at which the job may start.
     pub not_before: f64,
-    /// Time from which the job is useless: it is dropped instead of being started. `None` for no deadline.
+    /// Time from which the job is useless. A waiting job is dropped at that time; a run that has started is not
+    /// interrupted. `None` for no deadline.
     pub deadline: Option<f64>,
     /// How failures are retried; `None` if the first failure is final.
     pub retry: Option<RetryPolicy>,
@@ -94,7 +95,7 @@
     pub bytes: u64,
 }
 
-/// A job that was dropped because its deadline passed or its last permitted run failed.
+/// A job that was dropped because its deadline passed, or because it failed and may not be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DroppedJob {
     /// Number of the job.
@@ -112,12 +113,12 @@
     pub failed: u64,
     /// Jobs that were dropped because their deadline passed.
     pub expired: u64,
-    /// Jobs that were dropped after their last permitted run failed.
+    /// Jobs that were dropped because they failed and may not be retried.
     pub abandoned: u64,
     /// Seconds of the caller's thread time that the jobs used.
     pub seconds: f64,
     /// Bytes written to the disk.
     pub bytes: u64,
-    /// Longest time that a job waited for its first run after it became due.
+    /// Longest time from when a job became due until its first run started.
     pub longest_wait_seconds: f64,
 }
--- a/crates/dunepond-background/src/pool.rs
+++ b/crates/dunepond-background/src/pool.rs
@@ -41,7 +41,8 @@
 }
 
 impl Pool {
-    /// Starts the threads, at least one, named `name` with a number. They call `report` with the result of each job.
+    /// Starts `threads` threads, but at least one; each is named after `name` and its number. The threads call `report`
+    /// with the result of each job.
     ///
     /// # Errors
     /// A thread cannot be started.
@@ -66,7 +67,8 @@
     /// Queues the work of a job, which returns its outcome and the bytes written. The queue has no limit of its own:
     /// the scheduler limits the number of blocking jobs.
     pub fn run(&self, id: JobId, work: impl FnOnce() -> (Outcome, u64) + Send + 'static) {
-        // Sending cannot fail: the threads live as long as the queue.
+        // Sending cannot fail: the threads keep the receiving end open until the pool, and with it `self.queue`, is
+        // dropped.
         let _ = self.queue.send(QueuedJob { id, work: Box::new(work) });
     }
 }
--- a/crates/dunepond-background/src/scheduler.rs
+++ b/crates/dunepond-background/src/scheduler.rs
@@ -1,5 +1,5 @@
-//! Decides which job runs next. Jobs run by priority and age, within the budget, before their deadline, and after a
-//! failure not before their back-off ends.
+//! Decides which job runs next, by priority and waiting time. A job starts only within the budget and before its
+//! deadline. A failed job is retried only after its back-off.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
     DroppedJob, JobCounters, JobId, JobKind, JobSpec, Outcome, ResourceUse, RetryPolicy, StartedJob,
 };
 
-/// Waiting time that outweighs one level of priority, so that jobs of the lowest priority are not starved.
+/// Waiting time that counts as much as one level of priority, so that jobs of the lowest priority are not starved.
 const SECONDS_PER_PRIORITY: f64 = 2.0;
-/// Largest share of a back-off by which a retry is randomly brought forward, so that jobs that failed together are not
-/// all retried at the same time.
+/// Largest share of a back-off by which random jitter shortens it, so that jobs that failed together are not all
+/// retried at the same time.
 const BACKOFF_JITTER_RATIO: f64 = 0.5;
 /// Limit on the number of doublings of a back-off, which keeps the computed value finite.
 const MAX_BACKOFF_DOUBLINGS: u32 = 62;
@@ -22,7 +22,7 @@
 /// A job that is waiting or running.
 struct Job {
     spec: JobSpec,
-    /// Time from which the job may run; its age counts from then.
+    /// Time from which the job may run. The waiting time that counts towards its rank also starts here.
     due_at: f64,
     failed_attempts: u32,
     running: bool,
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Starts the next job, if any may run, and returns it. `caller_idle` states that nothing else waits on the
-    /// caller's thread; otherwise no [`JobKind::Step`] job is started.
+    /// Starts the next job that may run, and returns it; `None` if there is none. `caller_idle` says whether nothing
+    /// else waits on the caller's thread; if it is false, no [`JobKind::Step`] job is started.
     pub fn next(&mut self, now: f64, caller_idle: bool) -> Option<StartedJob> {
         self.expire(now);
         self.time.refill(now);
@@ -100,8 +100,8 @@
         if job.spec.kind == JobKind::Blocking {
             self.blocking_jobs += 1;
         }
-        // The estimated bytes are taken now and corrected when the run ends, so that several jobs cannot start on the
-        // same budget.
+        // The estimated bytes are taken when the job starts, so that no second job starts on the same budget. They are
+        // corrected when the run ends.
         self.bytes.take(job.spec.cost.bytes as f64);
         Some(StartedJob {
             id,
@@ -111,7 +111,8 @@
         })
     }
 
-    /// Of the jobs that may run, the one with the highest rank of priority and age; among equals the one added first.
+    /// Returns the job to start next: of the jobs that may run, the one with the highest rank, which combines priority
+    /// and waiting time. Of jobs with equal ranks, the one that was added first comes first.
     fn best_runnable(&self, now: f64, caller_idle: bool) -> Option<JobId> {
         let rank = |job: &Job| job.spec.priority as u8 as f64 + (now - job.due_at) / SECONDS_PER_PRIORITY;
         let mut best: Option<(f64, JobId)> = None;
@@ -156,7 +157,8 @@
                 counters.done += 1;
                 self.jobs.remove(&id);
             }
-            // Its age restarts with each step; otherwise a job of many steps would come to outrank all others.
+            // The job's waiting time restarts after each step. Otherwise a job of many steps would come to outrank all
+            // other jobs.
             Outcome::Yielded if !job.cancelled => job.due_at = now,
             Outcome::Yielded => drop(self.jobs.remove(&id)),
             Outcome::Failed => self.retry_or_drop(now, id),
@@ -200,13 +202,14 @@
         }
     }
 
-    /// Returns the jobs that were dropped since the last call because they expired or failed for the last time.
+    /// Returns the jobs that were dropped since the last call because their deadline passed, or because they failed and
+    /// may not be retried.
     pub fn drain_dropped(&mut self) -> Vec<DroppedJob> {
         std::mem::take(&mut self.dropped)
     }
 
-    /// Earliest time at which a waiting job may run, at or after `now`. `None` if there is no waiting job, or if all of
-    /// them wait for a running one to end.
+    /// Earliest time, at or after `now`, at which a waiting job may run. `None` if no job is waiting, or if each
+    /// waiting job can only start after a running blocking job has ended.
     pub fn next_wakeup(&self, now: f64) -> Option<f64> {
         let waiting = self.jobs.values().filter(|job| !job.running);
         waiting.filter_map(|job| self.may_run_at(job, now)).min_by(f64::total_cmp)
--- a/crates/dunepond-background/tests/scheduler.rs
+++ b/crates/dunepond-background/tests/scheduler.rs
@@ -24,8 +24,8 @@
     ResourceUse { seconds, bytes }
 }
 
-/// Runs steps of 5 ms one after the other, and returns how many ran of each name. `is_endless`: each step yields
-/// instead of completing its job.
+/// Runs steps of 5 ms each from time `from` to time `to`, and returns the number of steps by job name. If `is_endless`
+/// is true, each step yields instead of completing its job.
 fn run(scheduler: &mut Scheduler, from: f64, to: f64, is_endless: bool) -> BTreeMap<&'static str, usize> {
     let (mut now, mut ran) = (from, BTreeMap::new());
     while now < to {
@@ -69,7 +69,7 @@
     assert_eq!(scheduler.next(0.0, true).map(|started| started.name), Some("step"));
 }
 
-/// Jobs that never end, all of the highest priority, use exactly the budgeted share of the time.
+/// Jobs that never end, all of the highest priority, use about the budgeted share of the time: neither more nor less.
 #[test]
 fn steps_stay_within_time_ratio() {
     let mut scheduler = Scheduler::new(budget(), 1);
@@ -174,7 +174,7 @@
             now,
             JobSpec { cost, deadline: Some(now + 0.005), ..spec("disk", Priority::Idle, JobKind::Blocking) },
         );
-        // Two jobs must not start on the budget for one.
+        // The second call comes at the same time: no second job may start on the budget that the first job has taken.
         let started = [scheduler.next(now, true), scheduler.next(now, true)];
         for started in started.into_iter().flatten() {
             written_bytes += 400;
@@ -237,10 +237,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the order of calls to the scheduler: no more blocking jobs run at once than allowed. No job starts too
-    /// early, after its deadline or after it has ended, and no `JobKind::Step` job starts while the caller is busy.
-    /// Time and bytes stay within their budgets. If no job runs and an idle caller can start none, the next wakeup, if
-    /// any, lies in the future.
+    /// Properties for any order of calls to the scheduler: at most two blocking jobs run at the same time. No job
+    /// starts too early, after its deadline or after it has ended, and no `JobKind::Step` job starts while the caller
+    /// is busy. Time and bytes stay within their budgets. If no job runs and an idle caller can start none, the next
+    /// wakeup, if any, lies in the future.
     #[test]
     fn limits_hold_for_any_steps(all in prop::collection::vec(steps(), 1..300)) {
         let mut scheduler = Scheduler::new(budget(), 3);
@@ -298,7 +298,7 @@
                 _ => {}
             }
             ended.extend(scheduler.drain_dropped().into_iter().map(|job| job.id));
-            // Runs that started within the budget may end after it is used up.
+            // A run that starts within the budget may end after the budget is used up, so some excess is allowed.
             prop_assert!(seconds <= 0.1 * (now + 0.5) + 0.02 * 9.0 + 1e-9);
             prop_assert!(bytes <= 1000.0 * (now + 0.5) + 500.0 * 9.0);
         }
--- a/crates/dunepond-body-buffer/src/folder.rs
+++ b/crates/dunepond-body-buffer/src/folder.rs
@@ -24,10 +24,10 @@
     fn read_at(&mut self, offset: u64, bytes: &mut [u8]) -> io::Result<usize>;
 }
 
-/// First part of all file names. A body's file is named `dunepond-MARK-NUMBER.body`, the lock file of the process that
-/// owns it `dunepond-MARK.owner`.
+/// Prefix of all file names. A spill file is named `dunepond-MARK-NUMBER.body`, and the lock file of the process that
+/// created it `dunepond-MARK.owner`.
 const FILE_PREFIX: &str = "dunepond-";
-/// Suffix of the lock file that a process holds while it is alive.
+/// Suffix of the lock file. A process holds a lock on its lock file while it runs.
 const OWNER_SUFFIX: &str = ".owner";
 /// Suffix of a spill file.
 const BODY_SUFFIX: &str = ".body";
@@ -35,7 +35,7 @@
 const FILE_MODE: u32 = 0o600;
 
 /// A spill folder on a file system. Several brokers may share it: each process holds a lock on its `.owner` file while
-/// it is alive, so that no process removes the files of another one that still runs.
+/// it runs, so that no other process removes its files.
 pub struct DiskFolder {
     folder: PathBuf,
     /// Unique name of this process within the folder; part of its file names.
@@ -48,8 +48,8 @@
 }
 
 impl DiskFolder {
-    /// Opens an existing folder, and removes files of processes that have ended. `mark` names this process in its file
-    /// names and must differ at each start.
+    /// Opens an existing folder, and removes the files of processes that have ended. `mark` identifies this process in
+    /// the names of its files; it must be different at each start of a process.
     ///
     /// # Errors
     /// The folder cannot be read or written, or another process uses the same `mark`.
@@ -117,8 +117,8 @@
         let path = self.folder.join(format!("{FILE_PREFIX}{}-{number}{BODY_SUFFIX}", self.mark));
         let mut options = OpenOptions::new();
         let file = options.read(true).write(true).create_new(true).mode(FILE_MODE).open(&path)?;
-        // If the file system cannot unlink an open file, it is removed on drop, or by the next process that opens the
-        // folder.
+        // If the file system cannot unlink an open file, the file is removed on drop, or by the next process that opens
+        // the folder.
         let linked_path = std::fs::remove_file(&path).is_err().then_some(path);
         Ok(Box::new(UnlinkedFile { file, linked_path }))
     }
@@ -128,7 +128,7 @@
     }
 }
 
-/// An open spill file that normally has no name in the folder any more.
+/// An open spill file. Normally its name was already removed from the folder when the file was created.
 struct UnlinkedFile {
     file: File,
     /// Path of the file if it could not be unlinked while open; removed on drop.
--- a/crates/dunepond-body-buffer/src/lib.rs
+++ b/crates/dunepond-body-buffer/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! [`BufferManager`] performs no I/O: it decides whether a body is buffered in memory, spilled to a file or passed
 //! through. [`Spool`] performs the disk I/O on a fixed number of threads that read and write files in a
-//! [`SpillFolder`]. The host owns the bytes, asks the manager and carries out its decisions.
+//! [`SpillFolder`]. The host, which is the program that uses this crate, owns the bytes, asks the manager and carries
+//! out its decisions.
 //!
 //! Times are seconds on the host's clock; sizes are bytes.
 
--- a/crates/dunepond-body-buffer/src/limits.rs
+++ b/crates/dunepond-body-buffer/src/limits.rs
@@ -1,7 +1,8 @@
 //! The operator's limits on buffering and spilling.
 
-/// Share of the memory limit that buffered bodies may use. The rest is reserved for windows, so that bodies that are
-/// not buffered can still be streamed. Each tenant's and query class's share of the memory is reduced in the same way.
+/// Share of the memory limit that buffered bodies may use. The rest is reserved for windows, the memory through which
+/// spilled and passed-through bodies are streamed, so that these can still be streamed when no more bodies can be
+/// buffered. The same ratio limits buffered bodies within each tenant's and each query class's share of the memory.
 pub const MAX_BUFFERED_RATIO: f64 = 0.75;
 
 /// Limits on spilling bodies to files.
@@ -24,17 +25,18 @@
     pub max_body_bytes: u64,
     /// Longest body that is buffered in memory, in bytes.
     pub max_body_in_memory_bytes: u64,
-    /// Maximum memory of all requests in bytes: bodies, read buffers, queued disk writes and values that nodes
-    /// returned.
+    /// Maximum memory of all requests together, in bytes: bodies, read buffers, queued disk writes and values that
+    /// nodes returned.
     pub max_memory_bytes: u64,
     /// Limits on spilling; `None` disables it.
     pub spill: Option<SpillLimits>,
-    /// Share of each tier (0 to 1) that one tenant may use.
+    /// Share (0 to 1) that one tenant may use of the memory, and of the file space.
     pub tenant_ratio: f64,
-    /// Share of each tier (0 to 1) that one query class may use.
+    /// Share (0 to 1) that one query class may use of the memory, and of the file space.
     pub query_class_ratio: f64,
-    /// Memory in bytes for the window of a body that is in a file or passed through.
+    /// Size of a window in bytes: the memory through which a body is streamed that is in a file or passed through.
     pub window_bytes: u64,
-    /// Seconds without progress after which a node that reads nothing, or a disk job, is treated as failed.
+    /// Seconds without progress after which a disk job is treated as failed, and so is a node that does not read what
+    /// is sent to it.
     pub io_timeout_seconds: f64,
 }
--- a/crates/dunepond-body-buffer/src/manager/admission.rs
+++ b/crates/dunepond-body-buffer/src/manager/admission.rs
@@ -1,4 +1,4 @@
-//! Admission, growth, completion and release of bodies.
+//! Admits bodies, reserves more space as they grow, and completes and releases them.
 
 use super::{Body, BufferManager};
 use crate::limits::MAX_BUFFERED_RATIO;
@@ -7,7 +7,7 @@
 /// The tier chosen for a new body, and the bytes to reserve for it.
 struct Reservation {
     tier: Tier,
-    /// Why no better tier was chosen.
+    /// Why the body is not in the next better tier; `None` for [`Tier::Memory`].
     fallback_reason: Option<FallbackReason>,
     memory_bytes: u64,
     file_bytes: u64,
@@ -17,7 +17,7 @@
     /// Admits a body, chooses its tier and reserves space for its stated length.
     ///
     /// # Errors
-    /// The reason why the body is not accepted. It is counted under [`Tier::PassThrough`].
+    /// Returns why the body is not accepted. [`Self::fallback_counts`] counts the body under [`Tier::PassThrough`].
     pub fn admit(&mut self, now: f64, incoming: IncomingBody) -> Result<Placement, FallbackReason> {
         let IncomingBody { tenant, query_class, stated_length } = incoming;
         let owner = Owner { tenant, query_class };
@@ -50,7 +50,7 @@
         Ok(Placement { id, tier, fallback_reason })
     }
 
-    /// Chooses the first tier, best one first, that has room for a new body, and counts the tiers that were full.
+    /// Chooses the best tier that has room for a new body, and counts a fallback for each better tier.
     ///
     /// # Errors
     /// No tier can hold the body: its length is unknown and neither memory nor files have room.
@@ -63,8 +63,8 @@
     ) -> Result<Reservation, FallbackReason> {
         let known_length = stated_length.unwrap_or(0);
         let window = self.limits.window_bytes.min(stated_length.unwrap_or(u64::MAX));
-        // A body of unknown length starts with one window: few bodies need the memory that reserving the maximum would
-        // take.
+        // Only one window is reserved for a body of unknown length at first. Reserving the maximum would take memory
+        // that few bodies need.
         let initial = stated_length.unwrap_or(window);
         let Err(memory_reason) = self.check_buffered(owner, known_length, initial) else {
             return Ok(Reservation {
@@ -95,11 +95,11 @@
         })
     }
 
-    /// Records that `received_bytes` in total have arrived of a body of unknown length, and reserves space for them.
-    /// Returns the body's tier from now on: a body that no longer fits in memory moves to a file.
+    /// Records that `received_bytes` bytes in total have arrived of a body of unknown length, and reserves space for
+    /// them. Returns the body's tier from now on: a body that no longer fits in memory moves to a file.
     ///
     /// # Errors
-    /// The reason why the body can no longer be buffered; the host should release it.
+    /// Returns why the body can no longer be buffered. The host should then release the body.
     pub fn grow(&mut self, now: f64, id: BodyId, received_bytes: u64) -> Result<Tier, FallbackReason> {
         let Some(body) = self.bodies.get_mut(&id) else { return Err(FallbackReason::LengthUnknown) };
         let owner = body.owner;
@@ -151,8 +151,8 @@
         Ok(Tier::File)
     }
 
-    /// Records that a body has arrived completely and, if it is in a file, has been written. Releases what was reserved
-    /// beyond its length.
+    /// Records that all bytes of a body have arrived and, if the body is in a file, have been written to it. Releases
+    /// the reserved memory that the body does not need any more.
     pub fn complete(&mut self, now: f64, id: BodyId) {
         let Some(body) = self.bodies.get_mut(&id) else { return };
         body.complete = true;
@@ -168,14 +168,15 @@
         }
     }
 
-    /// Records that an attempt has read a body, which makes it the most recently used one.
+    /// Records that an attempt has read a body, so that the body becomes the most recently used one.
     pub fn touch(&mut self, now: f64, id: BodyId) {
         if let Some(body) = self.bodies.get_mut(&id) {
             body.last_used_at = now;
         }
     }
 
-    /// Releases a body. No attempt may need it again, and none of its frames may be partly written.
+    /// Releases a body. The host must ensure that no attempt needs the body any more, and that none of its frames is
+    /// partly written.
     pub fn release(&mut self, id: BodyId) {
         self.reserve(id, 0, 0);
         self.bodies.remove(&id);
--- a/crates/dunepond-body-buffer/src/manager/mod.rs
+++ b/crates/dunepond-body-buffer/src/manager/mod.rs
@@ -10,8 +10,8 @@
 use crate::spill_state::SpillState;
 use crate::usage::{BufferUsage, OtherUsage, TierUsage};
 
-/// Memory in bytes counted for the read buffer of each incomplete body. It counts from admission on: hundreds of bodies
-/// may be admitted before any of their connections has filled its buffer.
+/// Memory in bytes that is counted for the read buffer of each incomplete body, even while the buffer is smaller:
+/// hundreds of bodies may be admitted before any of their connections has filled its buffer.
 const READ_BUFFER_BYTES: u64 = 64 * 1024;
 
 /// Tracks the memory and file space of all buffered bodies, and decides which tier holds each body. Performs no I/O.
@@ -33,16 +33,16 @@
     owner: Owner,
     /// Length in bytes, if the client stated it.
     stated_length: Option<u64>,
-    /// Whether the whole body has arrived and, in [`Tier::File`], been written.
+    /// Whether all bytes of the body have arrived and, in [`Tier::File`], have been written to the file.
     complete: bool,
     tier: Tier,
-    /// Whether the body is being written to a file while it still counts as held in memory.
+    /// Whether the body is being written to a file. Its tier remains [`Tier::Memory`] until the write is finished.
     spilling: bool,
     /// When the body was admitted, completed or last read.
     last_used_at: f64,
-    /// Reserved memory.
+    /// Memory reserved for the body, in bytes.
     memory_bytes: u64,
-    /// Reserved file space.
+    /// File space reserved for the body, in bytes.
     file_bytes: u64,
     /// Bytes that have arrived, as last reported to [`BufferManager::grow`].
     received_bytes: u64,
@@ -56,10 +56,10 @@
     query_class: usize,
 }
 
-/// Usage and limits of one tier, checked before more is reserved in it.
+/// Usage and limits of one tier, to check whether more bytes may be reserved in the tier.
 struct TierLoad<'a> {
     usage: &'a TierUsage,
-    /// Bytes in use that count against `max_bytes`; for memory this includes other usage than bodies.
+    /// Bytes in use that count against `max_bytes`. For memory they include all uses, not only bodies.
     used_bytes: u64,
     max_bytes: u64,
     reasons: &'a FullReasons,
@@ -85,7 +85,7 @@
 };
 
 impl BufferManager {
-    /// Creates an empty buffer.
+    /// Creates a manager without bodies.
     pub fn new(limits: BufferLimits) -> Self {
         Self {
             limits,
@@ -132,8 +132,8 @@
         }
     }
 
-    /// How often bodies were not held in a tier, by tier, reason and query class. [`Tier::PassThrough`] counts bodies
-    /// that were not accepted.
+    /// Number of times that a body could not be placed in a tier, by tier, reason and query class. Under
+    /// [`Tier::PassThrough`], bodies are counted that were not accepted.
     pub fn fallback_counts(&self) -> impl Iterator<Item = FallbackCount> {
         self.fallback_counts.iter().map(|(key, count)| FallbackCount {
             tier: key.tier,
@@ -177,8 +177,8 @@
         self.update_peak();
     }
 
-    /// Checks whether a body of this length may be buffered in memory if that takes `additional_bytes` more than the
-    /// body has reserved.
+    /// Checks whether a body of `length` bytes may be buffered in memory, for which `additional_bytes` must be reserved
+    /// in addition to the memory that is already reserved for the body.
     fn check_buffered(&self, owner: Owner, length: u64, additional_bytes: u64) -> Result<(), FallbackReason> {
         if length > self.limits.max_body_in_memory_bytes {
             return Err(FallbackReason::TooLongForMemory);
@@ -186,8 +186,8 @@
         self.check_memory(MAX_BUFFERED_RATIO, owner, additional_bytes)
     }
 
-    /// Checks whether memory has room for a window. Windows may use the whole memory limit, so that bodies can still be
-    /// streamed when buffered bodies have used up their part of it.
+    /// Checks whether the memory has room for `additional_bytes` of a body's window. Windows may use the entire memory
+    /// limit, so that bodies can still be streamed when buffered bodies have used up their share of it.
     fn check_window(&self, owner: Owner, additional_bytes: u64) -> Result<(), FallbackReason> {
         self.check_memory(1.0, owner, additional_bytes)
     }
@@ -204,8 +204,8 @@
         self.check_load(&load, owner, additional_bytes)
     }
 
-    /// Checks whether a body of this length may be written to a file now if that takes `additional_bytes` more than the
-    /// body has reserved.
+    /// Checks whether a body of `length` bytes may be written to a file now, for which `additional_bytes` must be
+    /// reserved in addition to the file space that is already reserved for the body.
     fn check_spill(
         &self,
         now: f64,
@@ -230,7 +230,8 @@
         self.check_load(&load, owner, additional_bytes)
     }
 
-    /// Checks `additional_bytes` against the limits of a tier: in all, for the tenant and for the query class.
+    /// Checks whether `additional_bytes` fit into a tier: into its total limit, the tenant's share and the query
+    /// class's share.
     fn check_load(&self, load: &TierLoad, owner: Owner, additional_bytes: u64) -> Result<(), FallbackReason> {
         let share = |ratio: f64| (ratio * load.max_bytes as f64) as u64;
         let exceeds = |used: u64, max: u64| used.saturating_add(additional_bytes) > max;
--- a/crates/dunepond-body-buffer/src/manager/spilling.rs
+++ b/crates/dunepond-body-buffer/src/manager/spilling.rs
@@ -6,10 +6,10 @@
 use crate::DiskFault;
 use crate::placement::{BodyId, FallbackReason, Owner, Tier};
 
-/// Share of the memory limit in use at which spilling starts, least recently used body first. It is below 1 so that a
-/// new body need not wait for the disk.
+/// Spilling starts when this share of the memory limit is in use; the least recently used bodies are spilled first. The
+/// share is below 1 so that a new body need not wait for the disk.
 const SPILL_START_RATIO: f64 = 0.6;
-/// Share of the memory limit in use at which spilling stops.
+/// Spilling stops when less than this share of the memory limit will be in use after the spills in progress.
 const SPILL_STOP_RATIO: f64 = 0.4;
 
 /// A body that may be moved from memory to a file.
@@ -55,8 +55,8 @@
         spilling.map(|body| body.memory_bytes.saturating_sub(self.limits.window_bytes)).sum()
     }
 
-    /// Bodies that may be spilled, least recently used first. Incomplete bodies and those within one window are
-    /// excluded.
+    /// Bodies that may be spilled, least recently used first. A body may be spilled if it is complete, is not being
+    /// spilled already and uses more memory than a window.
     fn spill_candidates(&self) -> Vec<SpillCandidate> {
         let may_spill = |body: &Body| {
             body.tier == Tier::Memory
@@ -79,8 +79,8 @@
         candidates
     }
 
-    /// Records that a body that was being spilled has been written to its file completely, and frees its memory except
-    /// for a window.
+    /// Records that a spilled body has been written to its file completely, and frees the body's memory except for a
+    /// window.
     pub fn finish_spill(&mut self, id: BodyId) {
         let Some(body) = self.bodies.get_mut(&id).filter(|body| body.spilling) else { return };
         body.spilling = false;
@@ -90,9 +90,9 @@
         self.spill_state.on_written(id);
     }
 
-    /// Handles a failed disk job of a body, and returns the tier in which the body continues. A body that was being
-    /// spilled stays in memory; one that was still arriving is passed through. Bytes that are already in its file stay
-    /// readable, and stay counted.
+    /// Handles a failed disk job of a body, and returns the body's tier from now on. A body that was being spilled
+    /// stays in memory. A body of stated length that was still arriving is passed through; the bytes that are already
+    /// in its file remain readable, and its file space remains reserved.
     ///
     /// # Errors
     /// The body cannot be buffered or passed through any more.
--- a/crates/dunepond-body-buffer/src/placement.rs
+++ b/crates/dunepond-body-buffer/src/placement.rs
@@ -1,4 +1,4 @@
-//! Tiers that can hold a body, and the reasons why a body is not held in a better one.
+//! Tiers in which a body can be placed, and the reasons why a body is not placed in a better tier.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 /// Number of a body, unique within a [`crate::BufferManager`].
 pub type BodyId = u64;
 
-/// A body to be admitted, when its first bytes have arrived.
+/// A body that has begun to arrive and is to be admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct IncomingBody {
     /// Index of the tenant that sent the body.
@@ -25,14 +25,14 @@
     pub(crate) query_class: usize,
 }
 
-/// Where a body is held; the best tier comes first.
+/// Where the bytes of a body are. The best tier comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
     /// The whole body is in memory.
     Memory,
-    /// The body is in a file, with one window of it in memory.
+    /// The body is in a file, and at most one window of it in memory.
     File,
-    /// The body is not stored: it is forwarded once as it arrives, with one window of it in memory.
+    /// The body is not stored: it is forwarded once as it arrives, with at most one window of it in memory.
     PassThrough,
 }
 
@@ -41,18 +41,18 @@
 pub struct Placement {
     /// Number of the body.
     pub id: BodyId,
-    /// Tier that holds the body.
+    /// Tier in which the body is placed.
     pub tier: Tier,
-    /// Why the body is not held in the next better tier; `None` for [`Tier::Memory`].
+    /// Why the body is not placed in the next better tier; `None` for [`Tier::Memory`].
     pub fallback_reason: Option<FallbackReason>,
 }
 
-/// Why a body is not held in a tier, or not accepted.
+/// Why a body is not placed in a tier, or is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FallbackReason {
-    /// The body is longer than any body may be.
+    /// The body is longer than [`crate::BufferLimits::max_body_bytes`].
     TooLong,
-    /// The body is longer than a body in memory may be.
+    /// The body is longer than [`crate::BufferLimits::max_body_in_memory_bytes`].
     TooLongForMemory,
     /// The memory for buffered bodies is used up.
     MemoryFull,
@@ -60,11 +60,11 @@
     TenantMemoryFull,
     /// The query class's share of the memory is used up.
     QueryClassMemoryFull,
-    /// Spilling is disabled: the operator's file names no spill folder.
+    /// Spilling is disabled: the operator's configuration names no spill folder.
     SpillDisabled,
-    /// The disk failed, and the back-off has not ended.
+    /// The disk failed, and spilling is not available again yet.
     SpillBackingOff,
-    /// The body is longer than a body in a file may be.
+    /// The body is longer than [`crate::SpillLimits::max_body_bytes`].
     TooLongForSpill,
     /// The file space for spilled bodies is used up.
     SpillFull,
@@ -104,16 +104,16 @@
     }
 }
 
-/// How often bodies of one query class were not held in a tier for one reason. A count for [`Tier::PassThrough`]
-/// is of bodies that were not accepted at all.
+/// Number of times that bodies of one query class could not be placed in a tier for one reason. Under
+/// [`Tier::PassThrough`], bodies are counted that were not accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FallbackCount {
-    /// Tier that did not hold the bodies.
+    /// Tier in which the bodies could not be placed.
     pub tier: Tier,
-    /// Why the tier did not hold the bodies.
+    /// Why the bodies could not be placed in the tier.
     pub reason: FallbackReason,
     /// Index of the query class of the bodies.
     pub query_class: usize,
-    /// Number of such bodies since the process started.
+    /// Number of these fallbacks since the [`crate::BufferManager`] was created.
     pub count: u64,
 }
--- a/crates/dunepond-body-buffer/src/spill_state.rs
+++ b/crates/dunepond-body-buffer/src/spill_state.rs
@@ -11,7 +11,7 @@
 pub(crate) enum SpillState {
     /// Any body may be spilled.
     Available,
-    /// No body may be spilled before `until`, after the disk failed.
+    /// The disk failed, and no body may be spilled before `until`.
     BackingOff { until: f64, backoff_seconds: f64 },
     /// One body, the probe, is being written to find out whether the disk works again; no other may be spilled.
     Probing { body: BodyId, backoff_seconds: f64 },
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Records that a body that may be spilled is now being written. The first one after a back-off becomes the probe,
-    /// whose result shows whether the disk works again.
+    /// Records that writing a body to a file has started. The first body after a back-off becomes the probe, whose
+    /// result shows whether the disk works again.
     pub(crate) fn on_started(&mut self, body: BodyId) {
         if let Self::BackingOff { backoff_seconds, .. } = *self {
             *self = Self::Probing { body, backoff_seconds };
@@ -42,7 +42,9 @@
         }
     }
 
-    /// Records a disk failure for a body. Failures of bodies that were written at the same time count as one.
+    /// Records that a disk job of a body failed, and starts or lengthens the back-off. Failures during a back-off are
+    /// ignored, and so are those of other bodies than the probe, so that failures of bodies that were written at the
+    /// same time count as one.
     pub(crate) fn on_failed(&mut self, now: f64, body: BodyId, limits: &SpillLimits) {
         let backoff_seconds = match *self {
             Self::Available => limits.initial_backoff_seconds,
@@ -54,8 +56,8 @@
         *self = Self::BackingOff { until: now + backoff_seconds, backoff_seconds };
     }
 
-    /// Records that a body was released. If it was the probe and its result is not known, the next body becomes the
-    /// probe.
+    /// Records that a body was released. If the body was the probe and its result is not known yet, the next body that
+    /// is written becomes the probe.
     pub(crate) fn on_released(&mut self, body: BodyId) {
         if let Self::Probing { body: probe, backoff_seconds } = *self
             && probe == body
--- a/crates/dunepond-body-buffer/src/spool.rs
+++ b/crates/dunepond-body-buffer/src/spool.rs
@@ -72,7 +72,7 @@
         /// Bytes that were read.
         bytes: Bytes,
     },
-    /// A write or a read failed; a part of a write may have been done.
+    /// A write or a read failed. Part of the bytes of a failed write may have been written.
     Failed {
         /// Number of the file.
         file: FileId,
@@ -147,13 +147,14 @@
 #[derive(Default)]
 struct SpoolLoad {
     jobs: AtomicUsize,
-    /// Bytes of queued writes. They stay in memory until they are written, even if their body is released.
+    /// Bytes of the writes that are queued or running. They stay in memory until they are written, even if their body
+    /// is released before.
     write_bytes: AtomicU64,
 }
 
 impl Spool {
-    /// Starts the threads. They call `report` with the result of each write and read, in the order of the jobs of each
-    /// file.
+    /// Starts the threads. They call `report` with the result of each write and read. The results for one file are
+    /// reported in the order in which its jobs were queued.
     ///
     /// # Errors
     /// A thread cannot be started.
@@ -209,7 +210,7 @@
         if let DiskJob::Write { bytes, .. } = &job {
             self.load.write_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         }
-        // Sending cannot fail: the threads live as long as the queues.
+        // Sending cannot fail: each thread keeps the receiving end of its queue open until the spool is dropped.
         let _ = self.queues[job.file() as usize % self.queues.len()].send(job);
     }
 }
@@ -237,7 +238,8 @@
     fn write(&mut self, file: FileId, offset: u64, bytes: Bytes) {
         let length = bytes.len();
         let outcome = self.open(file).and_then(|open| write_all(open, offset, &bytes));
-        // Subtracted before the event, so that the load never counts bytes whose write was already reported.
+        // The bytes are subtracted before the event is reported, so that the load never includes a write that was
+        // already reported.
         drop(bytes);
         self.load.write_bytes.fetch_sub(length as u64, Ordering::Relaxed);
         (self.report)(match outcome {
@@ -257,7 +259,7 @@
         });
     }
 
-    /// Returns the open file, and creates it if there is none.
+    /// Returns the open file with this number, and creates the file if there is none.
     fn open(&mut self, file: FileId) -> io::Result<&mut dyn SpillFile> {
         let open = match self.files.entry(file) {
             Entry::Occupied(known) => known.into_mut(),
--- a/crates/dunepond-body-buffer/src/usage.rs
+++ b/crates/dunepond-body-buffer/src/usage.rs
@@ -7,7 +7,8 @@
 /// Purposes other than buffered bodies for which requests use memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OtherUsage {
-    /// Bytes that were read but are not part of a body yet, and bytes framed for sending that no body shares.
+    /// Read and write buffers: bytes that were read but are not part of a body yet, and bytes that are framed for
+    /// sending and not shared with a body.
     Buffers,
     /// Values that nodes returned in their responses.
     NodeValues,
@@ -26,7 +27,7 @@
     pub memory_bytes: u64,
     /// File space reserved for bodies, in bytes.
     pub spill_bytes: u64,
-    /// Highest value of `memory_bytes` since the start.
+    /// Highest value of `memory_bytes` since the [`crate::BufferManager`] was created.
     pub peak_memory_bytes: u64,
 }
 
@@ -64,8 +65,8 @@
     }
 }
 
-/// Subtracts `bytes` from an entry and removes the entry when it reaches 0. Clients choose their own names, so entries
-/// of idle ones would accumulate.
+/// Subtracts `bytes` from the entry of a tenant or a query class. An entry that reaches 0 is removed; otherwise entries
+/// of idle tenants and query classes would accumulate.
 fn subtract_entry(usage: &mut BTreeMap<usize, u64>, key: usize, bytes: u64) {
     let remaining = usage.get(&key).map_or(0, |used| used - bytes);
     if remaining == 0 {
--- a/crates/dunepond-body-buffer/tests/manager.rs
+++ b/crates/dunepond-body-buffer/tests/manager.rs
@@ -64,8 +64,8 @@
     assert_eq!(manager.admit(0.0, body(2, 2 * MIB)).unwrap().tier, Tier::Memory);
 }
 
-/// A body of unknown length moves from memory to a file, and is refused once the file is full: it cannot be passed
-/// through.
+/// A body of unknown length moves from memory to a file when it becomes too long for memory. When it becomes too long
+/// for a file as well, it is rejected: it cannot be passed through.
 #[test]
 fn growing_body_changes_tier() {
     let mut manager = BufferManager::new(limits());
@@ -211,7 +211,8 @@
     fn limits_hold_for_any_steps(steps in prop::collection::vec(step(), 1..200)) {
         let limits = BufferLimits { query_class_ratio: 0.75, ..limits() };
         let mut manager = BufferManager::new(limits.clone());
-        // Of each body: its number, its tenant, the bytes that have arrived, and whether it may still grow.
+        // For each body that is not released: its number, its tenant, the bytes that have arrived, and whether it may
+        // still grow.
         let mut live: Vec<(BodyId, usize, u64, bool)> = Vec::new();
         let mut now = 0.0;
         for step in steps {
@@ -253,7 +254,7 @@
             }
             let usage = manager.usage();
             prop_assert_eq!(usage.bodies, live.len());
-            // Other usage is only reported to the manager, so just the bodies' part is limited.
+            // Other usage is reported to the manager, which cannot limit it. So only the memory of bodies is checked.
             prop_assert!(usage.body_memory_bytes <= limits.max_memory_bytes);
             prop_assert!(usage.spill_bytes <= limits.spill.as_ref().unwrap().max_total_bytes);
         }
--- a/crates/dunepond-body-buffer/tests/spool.rs
+++ b/crates/dunepond-body-buffer/tests/spool.rs
@@ -87,7 +87,7 @@
     assert_eq!(DiskFault::from_io(&io::Error::from_raw_os_error(code)), fault);
 }
 
-/// Blocks each creation of a file until the flag is set, then fails with a full disk.
+/// A folder in which the creation of a file blocks until the flag is set, and then fails because the disk is full.
 struct Stalled(Arc<(Mutex<bool>, Condvar)>);
 
 impl SpillFolder for Stalled {
@@ -98,7 +98,7 @@
     }
 }
 
-/// A full queue refuses jobs without blocking the caller; closing a file is still possible.
+/// A full queue rejects jobs without blocking the caller, but files can still be closed.
 #[test]
 fn stalled_disk_does_not_block() {
     let release = Arc::new((Mutex::new(false), Condvar::new()));
