--- a/crates/dunepond-background/tests/scheduler.rs
+++ b/crates/dunepond-background/tests/scheduler.rs
@@ -69,7 +69,7 @@
     assert_eq!(scheduler.next(0.0, true).map(|started| started.name), Some("step"));
 }
 
-/// Jobs that never end, all of the highest priority, use about the budgeted share of the time: neither more nor less.
+/// Jobs that never end, all of the highest priority, use about the budgeted share of the time.
 #[test]
 fn steps_stay_within_time_ratio() {
     let mut scheduler = Scheduler::new(budget(), 1);
--- a/crates/dunepond-prefilter/src/audit_budget.rs
+++ b/crates/dunepond-prefilter/src/audit_budget.rs
@@ -1,16 +1,16 @@
-//! Limits audits to a configured ratio of the pruned segments.
+//! Limits audits, which search a pruned segment to check its denials, to a configured ratio of the pruned segments.
 
 #[cfg(test)]
 mod tests;
 
-/// Budget of audits. Each pruned segment adds a fraction of an audit, and each audit takes one.
+/// Budget of audits. Each pruned segment adds a fraction of an audit to the budget, and each audit takes one from it.
 pub struct AuditBudget {
     /// Audits added for each pruned segment.
     ratio: f64,
-    /// Maximum number of audits that the budget saves up. A burst of saved audits after an hour without any would load
-    /// the nodes noticeably.
+    /// Maximum number of audits that the budget accumulates. Without a maximum, a burst of audits after an hour without
+    /// any would load the nodes noticeably.
     max: f64,
-    /// Audits that may be taken now; whole ones count.
+    /// Number of audits that may be taken now. Fractions add up; an audit can be taken only if this is at least 1.
     available: f64,
 }
 
--- a/crates/dunepond-prefilter/src/audit_budget/tests/mod.rs
+++ b/crates/dunepond-prefilter/src/audit_budget/tests/mod.rs
@@ -9,7 +9,7 @@
         audits += usize::from(budget.try_take()) + usize::from(budget.try_take());
     }
     assert!((190..=200).contains(&audits), "{audits}");
-    // What accumulates over a long time without audits is capped.
+    // The audits that accumulate over a long time without any are limited to the maximum of 4.
     budget.deposit(1_000_000);
     assert_eq!((0..100).filter(|_| budget.try_take()).count(), 4);
 }
--- a/crates/dunepond-prefilter/src/backoff.rs
+++ b/crates/dunepond-prefilter/src/backoff.rs
@@ -1,6 +1,6 @@
-//! Back-off from nodes that do not answer can-match requests. A node that does not support the request, cannot be
-//! reached or does not answer in time delays every query that asks it. So it is not asked for a while, which grows with
-//! each consecutive failure.
+//! Back-off from nodes that do not answer can-match requests, which ask in which segments a query can match. A node
+//! that does not support such requests, cannot be reached or does not answer in time delays every query that asks it.
+//! It is not asked again until its back-off has ended. The back-off grows with each consecutive failure.
 
 use std::collections::BTreeMap;
 
@@ -13,13 +13,14 @@
 const INITIAL_BACKOFF_SECONDS: f64 = 0.5;
 /// Upper limit of a node's back-off.
 const MAX_BACKOFF_SECONDS: f64 = 64.0;
-/// Factor on the initial back-off of a node that does not support the request, as it is unlikely to do so soon.
+/// Factor by which the first back-off is longer for a node that does not support can-match requests, as the node is
+/// unlikely to support them soon.
 const UNSUPPORTED_FACTOR: f64 = 8.0;
 
 /// Why a can-match request got no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestFailure {
-    /// The node does not know the request: it rejected it, or closed the connection on receiving it.
+    /// The node does not support can-match requests: it rejected the request, or closed the connection on receiving it.
     Unsupported,
     /// No connection to the node could be used.
     NoConnection,
@@ -38,11 +39,12 @@
     until: f64,
     /// Length of the back-off.
     seconds: f64,
-    /// Number of the one request that was sent after the back-off; no other is sent before it has ended.
+    /// Number of the probe, a request that was sent after `until`; `None` if no probe is in flight. While the probe is
+    /// in flight, the node is not chosen for further requests.
     probe: Option<u64>,
 }
 
-/// The nodes whose last request failed, with their back-offs.
+/// The back-offs of all nodes whose latest request failed.
 #[derive(Default)]
 pub struct NodeBackoffs {
     by_node: BTreeMap<NodeId, Backoff>,
@@ -66,8 +68,8 @@
         self.by_node.remove(&node);
     }
 
-    /// Records a failed request and starts or lengthens the node's back-off. Requests that were already in flight when
-    /// the back-off began do not lengthen it, so failures at the same time count once.
+    /// Records a failed request and starts or lengthens the node's back-off. Failures of requests that were already in
+    /// flight when the back-off began do not lengthen it, so failures at the same time count once.
     pub fn on_failure(&mut self, now: f64, node: NodeId, request: u64, failure: RequestFailure) {
         if failure == RequestFailure::NodeGone {
             return self.remove_node(node);
--- a/crates/dunepond-prefilter/src/benefit.rs
+++ b/crates/dunepond-prefilter/src/benefit.rs
@@ -1,14 +1,16 @@
-//! Learns for one query class whether prefiltering is beneficial, from the latest queries that were prefiltered and the
-//! latest that were searched directly. Occasional trials of the alternative that is not in use detect changes.
+//! Learns for one query class whether prefiltering is beneficial, by comparing the latest prefiltered queries with the
+//! latest queries that were searched directly. Occasionally a query is handled in the way that is not in use, as a
+//! trial, to detect changes.
 
 use std::collections::VecDeque;
 
 #[cfg(test)]
 mod tests;
 
-/// Number of the latest samples that are kept of prefiltered queries, and of direct searches.
+/// Maximum number of samples that are kept of prefiltered queries, and the same of direct searches.
 const MAX_SAMPLES: usize = 32;
-/// Samples of prefiltered queries, and as many of direct searches, that are needed before either way is preferred.
+/// Number of samples of prefiltered queries, and the same of direct searches, that are needed before they decide
+/// whether queries are prefiltered.
 const MIN_SAMPLES: usize = 4;
 /// Initial number of queries per trial while prefiltering is not beneficial: one query in this many is prefiltered as a
 /// trial. Each unsuccessful trial doubles the number up to [`MAX_TRIAL_INTERVAL`], and a successful one resets it.
@@ -19,9 +21,11 @@
 const DIRECT_INTERVAL: u32 = 32;
 /// Prefiltering is beneficial only if it prunes at least this ratio of the segments.
 const MIN_PRUNED_RATIO: f64 = 0.1;
-/// Prefiltering is beneficial only if a whole query takes at most this multiple of the time of a direct search.
+/// Prefiltering is beneficial only if the median total time of prefiltered queries is at most this multiple of the
+/// median time of direct searches.
 const MAX_SLOWDOWN_RATIO: f64 = 1.25;
-/// Lower limit of the time for which answers are awaited: with a shorter one, a brief delay would end the wait.
+/// Lower limit of the time that a query waits for answers to can-match requests. With a shorter one, a brief delay
+/// would end the wait.
 const MIN_REQUEST_TIMEOUT_SECONDS: f64 = 0.01;
 
 /// Measurements of one prefiltered query.
@@ -50,11 +54,11 @@
     prefiltered: VecDeque<PrefilterSample>,
     /// Durations of direct searches, in seconds.
     direct: VecDeque<f64>,
-    /// Queries since the last one that was handled the other way as a trial.
+    /// Number of queries since the last trial. A trial handles a query in the way that is not in use.
     queries_since_trial: u32,
     /// Number of queries per trial while prefiltering is not beneficial.
     trial_interval: u32,
-    /// Prefiltered queries that have not ended, so that their samples are missing.
+    /// Number of prefiltered queries that have not ended, so that there are no samples of them yet.
     in_flight: usize,
 }
 
@@ -78,7 +82,7 @@
     }
 }
 
-/// The median; the upper one of an even number of samples. `None` without samples.
+/// Median of the samples; `None` without samples. Of an even number of samples, the upper one of the two in the middle.
 fn median(samples: impl Iterator<Item = f64>) -> Option<f64> {
     let mut sorted: Vec<f64> = samples.collect();
     sorted.sort_unstable_by(f64::total_cmp);
@@ -89,8 +93,9 @@
     /// Decides whether the next query is to be prefiltered, and counts it towards the next trial.
     pub fn should_prefilter(&mut self) -> bool {
         self.queries_since_trial += 1;
-        // Until there are enough samples, prefiltered and direct queries alternate, with one prefiltered query at a
-        // time: if a burst came before the first sample, all of it could be prefiltered and slow.
+        // Until there are enough samples, a query is prefiltered only if the prefiltered queries, those in flight
+        // included, do not outnumber the samples of direct searches. If those in flight did not count, all queries of a
+        // burst before the first sample could be prefiltered, and slow.
         if self.prefiltered.len() < MIN_SAMPLES || self.direct.len() < MIN_SAMPLES {
             return self.prefiltered.len() + self.in_flight <= self.direct.len();
         }
@@ -125,8 +130,8 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// How long a query may wait for answers before it is searched: the median time of a direct search, but not less
-    /// than the minimum. `None` without samples of direct searches.
+    /// How long a query may wait for answers before it is searched: the median time of a direct search, but at least
+    /// `MIN_REQUEST_TIMEOUT_SECONDS`. `None` without samples of direct searches.
     pub fn request_timeout_seconds(&self) -> Option<f64> {
         self.direct_seconds().map(|seconds| seconds.max(MIN_REQUEST_TIMEOUT_SECONDS))
     }
--- a/crates/dunepond-prefilter/src/evidence.rs
+++ b/crates/dunepond-prefilter/src/evidence.rs
@@ -1,10 +1,11 @@
 //! Evidence for pruning: which nodes denied that a query text matches in a segment. The table is bounded, and answers
-//! about earlier versions than the latest are dropped.
+//! about earlier versions than the latest are ignored.
 //!
 //! An answer is about one version of a segment, and only the replicas know which version is the latest. A replica that
 //! lags behind may deny a match that a later version has. Together with a correct denial from before that version, this
-//! would look like two replicas that agree. So both denials must be fresh. An answer counts as being as old as its
-//! request: an answer that was in flight when a query arrived may have been decided before it arrived.
+//! would look like two replicas that agree. So a query uses only denials that are recent enough. The age of an answer
+//! is counted from when its request was sent: an answer that was in flight when a query arrived may have been decided
+//! before the query arrived.
 
 use std::collections::VecDeque;
 
@@ -33,13 +34,14 @@
     pub time: f64,
 }
 
-/// The moment after which requests must have been sent for their answers to count: later than a sequence number, or
-/// later than a time. The sequence number distinguishes requests that were sent within one reading of the clock.
+/// Tells which requests and searches are recent enough for a query to use their results: those with a higher sequence
+/// number than `sequence`, and those sent after `time`. The sequence number distinguishes requests that were sent
+/// within one reading of the clock.
 #[derive(Clone, Copy, Debug)]
 pub struct CountsSince {
-    /// Sequence number of the last request that was sent before.
+    /// Sequence number of the last request that was sent before the query arrived. Later requests count.
     pub sequence: u64,
-    /// Time after which requests count whatever their sequence number, in seconds.
+    /// Time in seconds. Requests and searches that were sent later count, whatever their sequence number.
     pub time: f64,
 }
 
@@ -58,7 +60,8 @@
 }
 
 impl Denial {
-    /// Sort key by the time of asking; an empty place sorts before all denials.
+    /// Sort key of a place in [`Entry::denials`], by the time at which the node was asked. An empty place sorts before
+    /// all denials.
     fn order(denial: &Option<Denial>) -> (f64, u64) {
         denial.map_or((f64::MIN, 0), |denial| (denial.sent.time, denial.sent.sequence))
     }
@@ -70,11 +73,13 @@
     version: Version,
     /// The latest denials, each by a different node. At most two are kept, as two are enough for pruning.
     denials: [Option<Denial>; 2],
-    /// When the last search of this process began, if it found nothing in this version.
+    /// When this process last began to search this version of the segment for the text; `None` if it did not, or if
+    /// that search found a match.
     own_search: Option<SentAt>,
 }
 
-/// Table of evidence by query text and segment. A clone shares the memory of the maps until one of the two is changed.
+/// Table of evidence by query text and segment. A clone shares the memory of the maps with the original until one of
+/// them is changed.
 #[derive(Clone)]
 pub struct Evidence {
     entries: HashMap<(QueryKey, SegmentIndex), Entry>,
@@ -101,8 +106,8 @@
         self.max_entries = max_entries.max(1);
     }
 
-    /// Records a version that a replica stated of a segment. Returns whether it is the latest version; otherwise the
-    /// replica lags behind.
+    /// Records the version that a replica stated for a segment. Returns whether no later version is known; otherwise
+    /// the replica lags behind.
     fn advance_version(&mut self, segment: SegmentIndex, version: Version) -> bool {
         let latest = self.versions.get(&segment).copied();
         if latest.is_none_or(|latest| version > latest) {
@@ -111,8 +116,8 @@
         latest.is_none_or(|latest| version >= latest)
     }
 
-    /// Returns the entry of a text and a segment in `version`. An entry of another version is reset, and a missing one
-    /// is added in place of the oldest if the table is full.
+    /// Returns the entry of a text and a segment in `version`. An entry of another version is reset. A missing entry is
+    /// added; if the table is full, the oldest entry is removed first.
     fn entry(&mut self, key: QueryKey, segment: SegmentIndex, version: Version) -> &mut Entry {
         if !self.entries.contains_key(&(key, segment)) {
             while self.entries.len() >= self.max_entries
@@ -180,8 +185,8 @@
         (self.versions.get(&segment) == Some(&entry.version)).then_some(entry)
     }
 
-    /// Returns why a segment may be pruned, from requests and searches sent after `since`; `None` if the segment must
-    /// be searched. `is_trusted` tells which nodes' denials count.
+    /// Returns the evidence by which a segment may be pruned, from requests and searches that are recent enough by
+    /// `since`; `None` if the segment must be searched. `is_trusted` tells which nodes' denials count.
     pub fn basis(
         &self,
         key: QueryKey,
@@ -199,8 +204,8 @@
         nodes.next().map(|second| PruningBasis::TwoReplicas(first, second))
     }
 
-    /// The nodes that denied a match in the latest version when asked after `since`. Only the denial of another node
-    /// can complete the evidence.
+    /// The nodes that denied a match in the latest version and were asked recently enough by `since`. Asking them again
+    /// is useless: only a denial by another node can complete the evidence.
     pub fn denied_since(
         &self,
         key: QueryKey,
--- a/crates/dunepond-prefilter/src/evidence/tests/mod.rs
+++ b/crates/dunepond-prefilter/src/evidence/tests/mod.rs
@@ -24,8 +24,8 @@
     assert_eq!(evidence.basis(1, 0, since(-0.5), |node| node != 8), None);
 }
 
-/// Answers to old requests do not count: the content may have changed since, and a faulty replica could state the old
-/// version.
+/// Answers to old requests do not count: the content may have changed after the request, and a faulty replica could
+/// state the old version.
 #[test]
 fn stale_answers_do_not_count() {
     let mut evidence = Evidence::new(10);
@@ -58,7 +58,7 @@
     evidence.record_answer(at(0.0), 1, 0, 8, CanMatch::CannotMatch, 3);
     record_new_version(&mut evidence);
     assert_eq!(evidence.basis(1, 0, since(-0.5), ALL_TRUSTED), None);
-    // A replica that lags behind cannot restore them.
+    // An answer by a replica that lags behind does not restore the denials.
     evidence.record_answer(at(0.0), 1, 0, 7, CanMatch::CannotMatch, 3);
     assert_eq!(evidence.basis(1, 0, since(-0.5), ALL_TRUSTED), None);
 }
--- a/crates/dunepond-prefilter/src/lib.rs
+++ b/crates/dunepond-prefilter/src/lib.rs
@@ -2,11 +2,12 @@
 //! searched.
 //!
 //! Most segments of such a query cannot match. Asking first saves the nodes most of the work, provided that asking is
-//! cheap and that no segment is pruned that might match.
+//! cheap. No segment may be pruned that might match.
 //!
-//! The crate performs no I/O. The host calls [`Prefilter::open`] for a query, sends the requests that
-//! [`Prefilter::flush`] returns, reports their results, and receives a [`SearchPlan`]. Times are in seconds on a
-//! monotonic clock; nodes, segments and query classes are small indices; a query's text is identified by a hash.
+//! The crate performs no I/O. The host, which is the program that calls the prefilter, calls [`Prefilter::open`] for a
+//! query, sends the requests that [`Prefilter::flush`] returns, reports their results, and receives a [`SearchPlan`].
+//! Times are in seconds on a monotonic clock; nodes, segments and query classes are small indices; a query's text is
+//! identified by a hash.
 //!
 //! A segment is pruned on evidence (`evidence`): two replicas deny a match in the same version, or one replica does and
 //! the last search by this process found nothing in that version. If a search refutes a node's denial, the node's
--- a/crates/dunepond-prefilter/src/model.rs
+++ b/crates/dunepond-prefilter/src/model.rs
@@ -13,7 +13,7 @@
 /// Number of a query, assigned by the host.
 pub type QueryId = u64;
 
-/// Whether a segment can match a query text, by a node's answer.
+/// A node's answer to whether a segment can match a query text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CanMatch {
     /// The segment may have matches.
@@ -42,9 +42,9 @@
     pub min_segments: usize,
     /// Maximum ratio of the query's remaining time that may be spent waiting for answers.
     pub time_ratio: f64,
-    /// Maximum age of an answer when a query that uses it arrives, counted from when its request was sent. At 0,
-    /// each query needs answers to requests that were sent after the query arrived, so a complete answer is current as
-    /// of its arrival. Otherwise a complete answer may be out of date by this time.
+    /// Maximum age of a node's answer when a query that uses it arrives, counted from when the node was asked. At 0,
+    /// each query needs answers to requests that were sent after the query arrived, so its result, if complete, is
+    /// current as of its arrival. Otherwise a complete result may be out of date by up to this time.
     pub max_age_seconds: f64,
     /// Maximum number of pairs of a text and a segment for which evidence is kept.
     pub max_entries: usize,
@@ -61,10 +61,10 @@
     pub query_class: usize,
     /// Identifies the query's text.
     pub key: QueryKey,
-    /// Whether the query may be run twice; others are searched directly.
+    /// Whether the query may be run twice. A query that may not is searched directly.
     pub idempotent: bool,
-    /// Ratio of the query's segments that suffices for a complete answer. Below 1 the query is searched directly,
-    /// because only segments that were searched count towards such an answer.
+    /// Ratio of the query's segments that must be searched for a complete result. If it is below 1, the query is
+    /// searched directly, because pruned segments do not count towards this ratio.
     pub complete_at: f64,
     /// Time left until the query's deadline.
     pub time_left_seconds: f64,
@@ -74,11 +74,11 @@
 
 /// What the host, the program that calls the prefilter, currently knows about the nodes.
 pub trait NodeView {
-    /// Nodes with a replica of the segment that may receive new work.
+    /// Nodes that have a replica of the segment and may receive new work.
     fn replicas(&self, segment: SegmentIndex) -> Vec<NodeId>;
     /// Number of requests that the host has sent to a node and that are not answered yet.
     fn outstanding(&self, node: NodeId) -> usize;
-    /// Whether the nodes are near their limits, so that nothing may be sent that is not necessary.
+    /// Whether the nodes are near their limits. If so, only necessary requests may be sent to them.
     fn is_congested(&self) -> bool;
 }
 
@@ -104,8 +104,8 @@
     pub basis: PruningBasis,
 }
 
-/// Tells which segments of a query to search. Each opened query that does not end before gets one plan, at its opening
-/// or later.
+/// Tells which segments of a query to search. Each query gets one plan, when it is opened or later, unless it ends
+/// before.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SearchPlan {
     /// Number of the query.
@@ -139,7 +139,7 @@
 pub struct Counters {
     /// Queries that were prefiltered.
     pub prefiltered: u64,
-    /// Eligible queries that were searched directly.
+    /// Queries that could have been prefiltered but were searched directly.
     pub searched_directly: u64,
     /// Can-match requests sent.
     pub requests: u64,
@@ -153,7 +153,7 @@
     pub audits: u64,
     /// Denials that a search refuted by finding a match.
     pub false_denials: u64,
-    /// Pruned segments that had to be searched after all.
+    /// Pruned segments that had to be searched after all, because their evidence no longer counted.
     pub revoked: u64,
 }
 
--- a/crates/dunepond-prefilter/src/prefilter/mod.rs
+++ b/crates/dunepond-prefilter/src/prefilter/mod.rs
@@ -30,7 +30,7 @@
     counts_since: CountsSince,
     /// Time at which the query stops waiting for answers and its plan is made.
     deadline: f64,
-    /// Number of the request that each undecided segment waits for.
+    /// For each undecided segment, the number of the request whose answer it waits for.
     waiting: BTreeMap<SegmentIndex, u64>,
     /// Segments for which a second replica was asked after a first one denied.
     second_requested: BTreeSet<SegmentIndex>,
@@ -45,7 +45,7 @@
     /// Time at which the plan of a prefiltered query was made; `None` if the query was searched directly.
     planned_at: Option<f64>,
     segment_count: usize,
-    /// Pruned segments that were not revoked.
+    /// Pruned segments, except those that had to be searched after all.
     pruned: Vec<PrunedSegment>,
 }
 
@@ -70,8 +70,7 @@
     open: BTreeMap<QueryId, OpenQuery>,
     /// Queries that have a plan and have not ended.
     searching: BTreeMap<QueryId, SearchingQuery>,
-    /// Requests that the next [`Prefilter::flush`] returns; queries of the same text that are opened before then share
-    /// them.
+    /// Requests that the next [`Prefilter::flush`] returns. Until then, queries of the same text can still share them.
     unsent: BTreeMap<(NodeId, QueryKey), CanMatchRequest>,
     /// Requests that were sent and not answered yet, by number.
     sent: BTreeMap<u64, SentRequest>,
@@ -132,14 +131,14 @@
         !self.audits.is_empty()
     }
 
-    /// Forgets a node, because it left, was restarted or was replaced.
+    /// Forgets everything that was learned about a node, because it left, was restarted or was replaced.
     pub fn remove_node(&mut self, node: NodeId) {
         self.trust.remove_node(node);
         self.backoffs.remove_node(node);
         self.evidence.remove_node(node);
     }
 
-    /// Counters since the start.
+    /// Counters since the prefilter was created.
     pub fn counters(&self) -> Counters {
         self.counters
     }
@@ -164,12 +163,12 @@
         self.benefits.get(&query_class).is_some_and(Benefit::is_beneficial)
     }
 
-    /// The moment after which requests must have been sent for their answers to count for a query that arrives now.
+    /// Returns which requests and searches are recent enough for a query that arrives now to use their results.
     fn counts_since(&self, now: f64) -> CountsSince {
         CountsSince { sequence: self.requests_sent, time: now - self.config.max_age_seconds }
     }
 
-    /// The samples of a query class, which start empty.
+    /// The samples of a query class. A new class has none yet.
     fn benefit(&mut self, query_class: usize) -> &mut Benefit {
         self.benefits.entry(query_class).or_default()
     }
--- a/crates/dunepond-prefilter/src/prefilter/outcome.rs
+++ b/crates/dunepond-prefilter/src/prefilter/outcome.rs
@@ -6,9 +6,10 @@
 use crate::model::{QueryId, QueryKey, SegmentIndex, Version};
 
 impl Prefilter {
-    /// Records that a segment was searched, for a query or as an audit, in the version that its replica stated.
-    /// `started` is the time at which the search was sent, `found` tells whether it found a match. Every denial in that
-    /// version is compared with the result. Returns whether this refuted the denial of a trusted node.
+    /// Records the result of searching a segment, for a query or as an audit. `started` is the time at which the search
+    /// was sent, `version` the version that the segment's replica stated, and `found` tells whether the search found a
+    /// match. Compares all denials in that version with the result. Returns whether the result refuted the denial of a
+    /// trusted node.
     pub fn record_search(
         &mut self,
         started: f64,
@@ -32,7 +33,8 @@
         refuted_trusted
     }
 
-    /// Records that a query ended, with an answer or without. Only answered queries count as samples.
+    /// Records that a query ended. `answered` tells whether it ended with an answer: only answered queries count as
+    /// samples of whether prefiltering is beneficial.
     pub fn on_query_end(&mut self, now: f64, id: QueryId, answered: bool) {
         if let Some(open) = self.open.remove(&id) {
             self.benefit(open.query.query_class).on_end();
--- a/crates/dunepond-prefilter/src/prefilter/planning.rs
+++ b/crates/dunepond-prefilter/src/prefilter/planning.rs
@@ -12,8 +12,8 @@
         if is_answered { self.plan(now, id) } else { None }
     }
 
-    /// Returns the search plan of a query by the evidence so far. The query stops waiting for answers. `None` if the
-    /// query is not open.
+    /// Makes the search plan of a query from the evidence so far, and returns it. The query no longer waits for answers
+    /// then. `None` if the query is not waiting for answers.
     pub(super) fn plan(&mut self, now: f64, id: QueryId) -> Option<Action> {
         let OpenQuery { query, opened_at, counts_since, .. } = self.open.remove(&id)?;
         let (mut search, mut pruned) = (Vec::new(), Vec::new());
@@ -48,8 +48,9 @@
         }
     }
 
-    /// Returns the pruned segments of a query whose evidence no longer counts, because their content changed or a
-    /// denial was refuted. They must be searched before the query's answer can be complete. Each is returned once.
+    /// Returns the pruned segments of a query whose evidence no longer counts, for example because their content
+    /// changed or a denial was refuted. They must be searched before the query's answer can be complete. Each segment
+    /// is returned only once.
     pub fn take_revoked(&mut self, id: QueryId) -> Vec<SegmentIndex> {
         let Some(searching) = self.searching.get_mut(&id) else { return Vec::new() };
         let (evidence, trust) = (&self.evidence, &self.trust);
--- a/crates/dunepond-prefilter/src/prefilter/requests.rs
+++ b/crates/dunepond-prefilter/src/prefilter/requests.rs
@@ -14,14 +14,16 @@
 
 /// Margin on the search time: after waiting for answers, at least this multiple of the median search time must be left.
 const SEARCH_TIME_MARGIN_RATIO: f64 = 1.5;
-/// Ratio of choices in which distrusted nodes may be asked. Searches then show whether their denials are correct again.
+/// Of the choices of a node to ask, the ratio in which distrusted nodes are candidates too. Searches then show whether
+/// their denials are correct again.
 const PROBATION_RATIO: f64 = 1.0 / 16.0;
-/// Time after which a request that no query waits for is forgotten.
+/// Time in seconds after which a sent request is forgotten if no query waits for its answer.
 const UNAWAITED_RETENTION_SECONDS: f64 = 10.0;
 
 impl Prefilter {
-    /// Opens a query that has arrived. Returns its search plan if it is searched directly or nothing need be asked.
-    /// Otherwise the next [`Prefilter::flush`] returns its requests, and the plan follows later.
+    /// Opens a query that has arrived. Returns its search plan if the query is searched directly or no node needs to be
+    /// asked. Otherwise the next [`Prefilter::flush`] returns its requests, and the plan is returned when they are
+    /// answered, when they fail, or at the query's deadline for answers.
     pub fn open(&mut self, now: f64, nodes: &dyn NodeView, query: PrefilterQuery) -> Vec<Action> {
         let Some(deadline) = self.request_deadline(now, nodes, &query) else {
             return vec![self.search_directly(now, query)];
@@ -43,11 +45,11 @@
         self.plan_if_answered(now, id).into_iter().collect()
     }
 
-    /// Returns the requests to send, one for each node and text, and records them as sent. The host calls this once in
-    /// each iteration of its event loop.
+    /// Returns the requests to send, at most one for each node and text, and records them as sent. The host calls this
+    /// once in each iteration of its event loop.
     pub fn flush(&mut self, now: f64) -> Vec<Action> {
         let mut unsent = std::mem::take(&mut self.unsent);
-        // A query may have ended before its requests were sent.
+        // Requests that no query waits for are dropped: a query may have ended before its requests were sent.
         let awaited = self.awaited_requests();
         unsent.retain(|_, request| awaited.contains(&request.id));
         let mut actions = Vec::new();
@@ -76,8 +78,8 @@
         let mut max_seconds = self.config.time_ratio * time_left;
         let benefit = self.benefits.entry(query.query_class).or_default();
         if let Some(median) = benefit.median_times() {
-            // A direct search may take longer than one after pruning. If little is pruned, it must fit into the time
-            // too.
+            // If little is pruned, the search may take as long as a direct one, which may be longer than the median
+            // search of prefiltered queries. The time left must suffice for that, too.
             let search_seconds = median.search_seconds.max(benefit.direct_seconds().unwrap_or(0.0));
             max_seconds = max_seconds.min(time_left - SEARCH_TIME_MARGIN_RATIO * search_seconds);
             if max_seconds < median.request_seconds {
@@ -107,8 +109,8 @@
         Action::Search(SearchPlan { query: id, search: segments, pruned: Vec::new() })
     }
 
-    /// Assigns a request to each of the segments that lacks evidence: an existing one that can be shared, or a new one.
-    /// Segments without a node to ask get none.
+    /// Assigns a request to each of the segments that lacks evidence: an existing request that can be shared, or a new
+    /// one. Segments for which no node can be asked get none.
     fn assign_requests(&mut self, now: f64, nodes: &dyn NodeView, id: QueryId, segments: &[SegmentIndex]) {
         let Some(open) = self.open.get(&id) else { return };
         let (key, since) = (open.query.key, open.counts_since);
@@ -131,8 +133,8 @@
         }
     }
 
-    /// Number of an existing request that asks about the same text and segment. It must not be sent yet, or be sent
-    /// recently enough for its answer to count.
+    /// Returns the number of an existing request that asks another node than those in `denied_by` about the query's
+    /// text and this segment. The request is not sent yet, or was sent recently enough for its answer to count.
     fn shared_request(&self, id: QueryId, segment: SegmentIndex, denied_by: &[NodeId]) -> Option<u64> {
         let open = self.open.get(&id)?;
         let (key, since) = (open.query.key, open.counts_since);
@@ -143,8 +145,8 @@
         self.unsent.values().chain(fresh).find(asks_the_same).map(|request| request.id)
     }
 
-    /// Chooses the less loaded of two random replicas, among those that may be asked and have not denied already.
-    /// `None` if there is no such replica.
+    /// Chooses the less loaded of two random replicas, among those that may be asked and have not denied a match
+    /// already. `None` if there is no such replica.
     fn choose_node(
         &mut self,
         now: f64,
@@ -171,7 +173,8 @@
         }
     }
 
-    /// Prefers the node to which a request on this text is waiting to be sent, then the one with less work in flight.
+    /// Of two nodes, returns the one to which a request on this text is waiting to be sent. If that does not
+    /// distinguish them, returns the one with fewer requests in flight.
     fn less_loaded(&self, nodes: &dyn NodeView, key: QueryKey, a: NodeId, b: NodeId) -> NodeId {
         // One more segment in a request that is sent anyway adds hardly any cost.
         let is_asked = |node| self.unsent.contains_key(&(node, key));
@@ -194,8 +197,8 @@
         request.id
     }
 
-    /// Records a node's answers to a request, late or in time, and returns the plans of queries that wait for nothing
-    /// more. Answers about segments that were not asked about are ignored.
+    /// Records a node's answers to a request, late or in time. Returns the plans of the queries that now have no more
+    /// answers to wait for. Answers about segments that the request did not ask about are ignored.
     pub fn on_response(
         &mut self,
         now: f64,
@@ -218,8 +221,8 @@
         self.end_request(now, nodes, &request, &denied)
     }
 
-    /// Records that a request failed, and returns the plans of queries that wait for nothing more. The request's
-    /// segments are searched unless other evidence permits pruning.
+    /// Records that a request failed. Returns the plans of the queries that now have no more answers to wait for. In
+    /// these plans, the request's segments are searched unless other evidence permits pruning.
     pub fn on_failure(
         &mut self,
         now: f64,
@@ -233,8 +236,8 @@
         self.end_request(now, nodes, &request, &BTreeSet::new())
     }
 
-    /// Ends a request. A second replica is asked about each segment that the first one denied, and plans are returned
-    /// for the queries that wait for nothing more.
+    /// Handles the end of a request. A second replica is asked about each segment for which the first one denied a
+    /// match. Returns the plans of the queries that now have no more answers to wait for.
     fn end_request(
         &mut self,
         now: f64,
@@ -250,7 +253,7 @@
             let mut to_confirm = Vec::new();
             open.waiting.retain(|segment, waited| {
                 let ended = *waited == request.id;
-                // Only one further replica is asked.
+                // For each segment of a query, only one further replica is asked.
                 if ended && denied.contains(segment) && open.second_requested.insert(*segment) {
                     to_confirm.push(*segment);
                 }
@@ -264,12 +267,13 @@
         actions
     }
 
-    /// Earliest deadline of the queries that wait for answers; `None` if no query waits.
+    /// Earliest time at which a query stops waiting for answers; `None` if no query waits.
     pub fn next_deadline(&self) -> Option<f64> {
         self.open.values().map(|open| open.deadline).min_by(f64::total_cmp)
     }
 
-    /// Returns the plans of the queries whose deadline has passed. Segments without enough evidence are searched.
+    /// Returns the plans of the queries whose time to wait for answers is over. Segments without enough evidence are
+    /// searched.
     pub fn on_deadline(&mut self, now: f64) -> Vec<Action> {
         let due: Vec<_> =
             self.open.iter().filter(|(_, open)| open.deadline <= now).map(|(id, _)| *id).collect();
--- a/crates/dunepond-prefilter/src/trust.rs
+++ b/crates/dunepond-prefilter/src/trust.rs
@@ -30,12 +30,12 @@
 
 impl Trust {
     /// Whether a node's denials count. Every node is trusted until one of its denials is refuted; this is safe because
-    /// pruning needs a second confirmation anyway.
+    /// a segment is never pruned on the denial of one node alone.
     pub fn is_trusted(&self, node: NodeId) -> bool {
         self.records.get(&node).is_none_or(|record| record.needed == 0)
     }
 
-    /// Records that a search refuted a node's denial. Returns whether the node was trusted until now.
+    /// Records that a search refuted a node's denial. Returns whether the node was trusted before.
     pub fn record_false_denial(&mut self, node: NodeId) -> bool {
         let was_trusted = self.is_trusted(node);
         let record = self.records.entry(node).or_insert(Record { needed: 0, next: INITIAL_CONFIRMATIONS });
--- a/crates/dunepond-prefilter/tests/prefilter/cluster_model.rs
+++ b/crates/dunepond-prefilter/tests/prefilter/cluster_model.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// A query on these segments that may be prefiltered, with 4 s left.
+/// A query on these segments that may be prefiltered, with 4 s left until its deadline.
 pub fn query(id: QueryId, segments: std::ops::Range<usize>) -> PrefilterQuery {
     PrefilterQuery {
         id,
--- a/crates/dunepond-prefilter/tests/prefilter/main.rs
+++ b/crates/dunepond-prefilter/tests/prefilter/main.rs
@@ -67,12 +67,14 @@
     assert_eq!(requests.iter().map(|request| request.segments.len()).sum::<usize>(), 24);
 }
 
-/// Queries of the same text in one iteration share requests. A query that comes after these were sent asks again,
-/// because an answer in flight may have been decided before the query arrived.
+/// Queries of the same text that are opened in the same iteration of the event loop share requests. A query that is
+/// opened after these requests were sent asks again, because an answer in flight may have been decided before the query
+/// arrived.
 #[test]
 fn shares_requests_within_iteration() {
     let (mut prefilter, cluster) = (Prefilter::new(config(), 1), ClusterModel::default());
-    // Prefiltering must first prove beneficial; otherwise only one query at a time would be prefiltered.
+    // These queries provide the samples that show prefiltering to be beneficial. Without them, only one query at a time
+    // would be prefiltered.
     for id in 100..120 {
         let actions = open_and_flush(&mut prefilter, 0.0, &cluster, query(id, 0..8));
         if !requests(&actions).is_empty() {
@@ -180,7 +182,8 @@
     assert_eq!(prefilter.take_revoked(1), []);
 }
 
-/// After one refuted denial, the nodes that made it are distrusted and the pruning is revoked.
+/// After a search finds a match in a pruned segment, the two nodes that denied it are distrusted and the pruning is
+/// revoked.
 #[test]
 fn refuted_nodes_are_distrusted() {
     let (mut prefilter, cluster) =
--- a/crates/dunepond-prefilter/tests/prefilter/properties.rs
+++ b/crates/dunepond-prefilter/tests/prefilter/properties.rs
@@ -48,7 +48,7 @@
     ]
 }
 
-/// A node's answers according to the current content. Each third node is faulty: it denies all matches, and states a
+/// A node's answers according to the current content. Every third node is faulty: it denies all matches, and states a
 /// version that may be `version_lag` too low. So at most one of the three replicas of a segment is on a faulty node.
 fn answers(cluster: &ClusterModel, request: &CanMatchRequest, version_lag: u64) -> Vec<SegmentAnswer> {
     let answer = |segment: SegmentIndex| {
@@ -73,9 +73,9 @@
 proptest! {
     #![proptest_config(proptest_config())]
 
-    /// With one faulty replica of each segment, which denies matches and states old versions, no segment is pruned that
-    /// matched in every version it had from the query's arrival to its plan. Each query has one plan, in time, over all
-    /// its segments.
+    /// With one faulty replica of each segment, which denies matches and states old versions, a segment is pruned only
+    /// if one of its versions from the query's arrival to its plan has no match. Each plan is made in time and covers
+    /// all segments of its query, and no query gets a second plan.
     #[test]
     fn one_faulty_replica_is_tolerated(
         steps in prop::collection::vec(step(), 1..300),
@@ -86,7 +86,7 @@
         let (mut now, mut last_id) = (0.0, 0);
         let mut requests: Vec<CanMatchRequest> = Vec::new();
         let mut decided_answers: BTreeMap<u64, Vec<SegmentAnswer>> = BTreeMap::new();
-        // Queries without a plan, with their arrival time and all versions of their segments since then.
+        // Queries without a plan, each with its arrival time and all versions that its segments have had since then.
         type Waiting = (PrefilterQuery, f64, BTreeMap<SegmentIndex, BTreeSet<Version>>);
         let mut waiting: BTreeMap<QueryId, Waiting> = BTreeMap::new();
         let mut planned: Vec<QueryId> = Vec::new();
