--- a/crates/dunepond-broker/src/body_store.rs
+++ b/crates/dunepond-broker/src/body_store.rs
@@ -180,8 +180,9 @@
         }
     }
 
-    /// Hands blocks of a body to the disk threads, up to the window size. Returns `false` if none of the
-    /// body could be handed over and this was handled as a disk fault.
+    /// Hands blocks of a body to the disk threads, until the blocks being written reach the window size. Returns
+    /// `false` only after a disk fault: this function calls `on_disk_fault` if the disk threads accept no block, no
+    /// write of the body is pending and the body cannot stay in memory.
     fn submit_writes(&mut self, now: f64, id: BodyId, body: &Rc<Body>) -> bool {
         let window = self.limits().window_bytes;
         let (Some(spool), Some(tracked)) = (&self.spool, self.tracked.get_mut(&id)) else { return true };
--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -111,7 +111,7 @@
             changes.rules = Some(rules);
         }
         let applied = AppliedConfig { config: config.clone(), lease_was_valid };
-        // At the first call there is no endpoint list yet.
+        // The first call comes before the first endpoint list is received, so it has no endpoints to report.
         if let Some(previous) = self.last_applied.replace(applied) {
             changes.endpoints = self.endpoints_changed_since(&previous.config, &config);
         }
--- a/crates/dunepond-broker/src/search_api.rs
+++ b/crates/dunepond-broker/src/search_api.rs
@@ -63,8 +63,8 @@
         Self { limits, settings, query_classes: classes.collect() }
     }
 
-    /// Parses a request whose first byte arrived at `received_at`. Non-idempotent query classes can only be updated,
-    /// and all others can only be searched.
+    /// Parses a request whose first byte arrived at `received_at`. An index whose query class is non-idempotent can
+    /// only be updated (by query), and any other index can only be searched.
     pub fn parse_request(
         &self,
         head: &Head,
--- a/crates/dunepond-routing/src/policy/retry_budget.rs
+++ b/crates/dunepond-routing/src/policy/retry_budget.rs
@@ -11,8 +11,9 @@
 use crate::{QuotaDemand, RetryBudget, Rules};
 
 impl Router {
-    /// Counts queries and parts on their arrival, and drops records that are older than the window of any retry
-    /// budget. Called before [`Router::admit`], so a query that is rejected on arrival counts as well.
+    /// Counts queries and parts on their arrival, and drops the records that are older than the longest window
+    /// that a retry budget has had so far. Called before [`Router::admit`], so a query that is rejected on
+    /// arrival counts as well.
     pub(super) fn record_arrival(&mut self, queries_and_parts: f64) {
         let since = self.now - self.retries.window_seconds - self.deployment.tick;
         let sent = &mut self.retries.retries_sent;
--- a/crates/dunepond-routing/src/policy/warm_restart.rs
+++ b/crates/dunepond-routing/src/policy/warm_restart.rs
@@ -45,8 +45,8 @@
         self.measure_latency();
     }
 
-    /// Returns what this router has spent of its budgets (the retries, and the parts sent to nodes in slow
-    /// start), and the arrivals of queries and parts, with whose number the retry budget grows.
+    /// Returns what this router has spent of its budgets: the retries, and the parts sent to nodes in slow
+    /// start. Also returns the arrivals of queries and parts, because the retry budget grows with their number.
     pub fn spent_budgets(&mut self, transport: &dyn Transport) -> SpentBudgets {
         self.sync_clock(transport);
         let now = self.now;
--- a/crates/dunepond-routing/src/query.rs
+++ b/crates/dunepond-routing/src/query.rs
@@ -8,9 +8,9 @@
 /// A part of a query: its work on one segment, which one replica of the segment serves.
 #[derive(Clone, Debug, Default)]
 pub struct Part {
-    /// The segment that the part reads or writes. The segment's replicas are the nodes of the replica group
-    /// with this number and of the groups that follow it, [`Deployment::replicas`](crate::Deployment::replicas)
-    /// groups in all.
+    /// Number of the segment that the part reads or writes. The segment's replicas are the nodes of
+    /// [`Deployment::replicas`](crate::Deployment::replicas) consecutive replica groups. The first of these has
+    /// the segment's number, modulo the number of groups; after the last group, group 0 follows.
     pub segment: usize,
     /// Weight of the part relative to the other parts of its step (the first or second step of its query).
     pub weight: f64,
--- a/crates/dunepond-routing/src/state/mod.rs
+++ b/crates/dunepond-routing/src/state/mod.rs
@@ -76,12 +76,13 @@
 }
 
 impl IdleReset {
-    /// Converts the outcome to the stored form, with an age instead of an instant.
+    /// Converts the outcome of the attempt to the stored form, with an age instead of an instant.
     pub fn to_record(self, now: f64) -> IdleResetRecord {
         IdleResetRecord { ago: age(self.at, now), idle_seconds: self.idle_seconds, broke: self.broke }
     }
 
-    /// Converts a stored outcome to an instant on this process's clock.
+    /// Converts the stored outcome of an attempt on an idle connection; the stored age of the outcome becomes an
+    /// instant on this process's clock.
     pub fn from_record(record: &IdleResetRecord, now: f64) -> Self {
         let &IdleResetRecord { ago, idle_seconds, broke } = record;
         Self { at: now - ago, idle_seconds, broke }
--- a/crates/dunepond-routing/tests/fleet/slow_start.rs
+++ b/crates/dunepond-routing/tests/fleet/slow_start.rs
@@ -5,8 +5,9 @@
 use crate::harness::Fleet;
 use crate::nodes::{SecondOfLoad, Sent, overload_limit};
 
-/// Nodes with successive ids start, so that some segments have only cold replicas. The brokers have known their nodes for six
-/// seconds or, if they are new, for 0.8 s, in which each has had less than one query on average.
+/// Nodes with successive ids start, so that some segments have only cold replicas. Before this, the brokers have known their
+/// nodes for six seconds. New brokers have known them for 0.8 s only, during which each broker received less than one query on
+/// average.
 #[rstest]
 #[case::few_brokers_at_60_percent_load(6, 90.0, 6.0)]
 #[case::many_brokers_at_40_percent_load(150, 60.0, 6.0)]
--- a/crates/dunepond-routing/tests/idle_reset.rs
+++ b/crates/dunepond-routing/tests/idle_reset.rs
@@ -21,7 +21,8 @@
     cluster.transport.closed.clear();
     let query = cluster.query(NON_IDEMPOTENT, &[0]);
     assert_eq!(cluster.sent(query).first().is_some_and(|s| cluster.transport.closed == [s.node]), reconnects);
-    // Breaks that are not idle resets count as faults, so in the other cases a replica that lost two attempts may be ejected.
+    // If the lost connections were idle resets (`reconnects`), no node may be ejected. In the other two cases they count as
+    // faults of their nodes, so a replica that lost two attempts may be ejected.
     assert!(!reconnects || (0..6).all(|n| !cluster.is_ejected(n)));
 }
 
