--- a/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/mod.rs
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Runs the planner of the scheduler of this kind, with the fraction of all limits that this scheduler may use
-    /// (`capacity_ratio`).
+    /// Runs the planner for fills of this kind, with the fraction of the fleet's limits that this broker may use for
+    /// them (`capacity_ratio`).
     fn run_planner(&mut self, kind: FillKind, demands: &[FillDemand], now: f64) -> FillPlan {
         let capacity_ratio = self.capacity_ratio(kind);
         let slow_start = self.slow_start_capacity(now, kind);
--- a/crates/dunepond-control-plane/src/control_loop/fills/own.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/own.rs
@@ -48,9 +48,11 @@
         }
     }
 
-    /// Fraction of the limits for all brokers together that this broker's scheduler of this kind may use. If brokers
-    /// plan own fills, half of each limit is for the fills that the leader plans for the proposed configuration
-    /// version, and the brokers share the other half evenly. Otherwise the leader may use the full limits.
+    /// Fraction of the fleet's limits that this broker may use for fills of this kind: the limits on transfer rates, on
+    /// carried bytes, on the change of debts, and on fills of nodes in slow start. If the brokers plan own fills (fills
+    /// of nodes in slow start, each planned by the broker that is responsible for it), they share half of each limit
+    /// evenly for these. The other half is for the fills that the leader plans for the proposed configuration version.
+    /// If the brokers plan no own fills, the leader may use the full limits.
     pub(super) fn capacity_ratio(&self, kind: FillKind) -> f64 {
         match kind {
             FillKind::Version if self.settlement.fill_started_nodes => 0.5,
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -58,7 +58,8 @@
 }
 
 impl ControlLoop {
-    /// Offers the operator's plan to the leader, if there is one and an offer is due.
+    /// If the operator has given a plan, an offer is due and this broker's lease is valid, offers the plan to the
+    /// leader, or to the next voter in turn if no leader is known.
     pub(super) fn offer_plan(&mut self) {
         let now = monotonic_seconds();
         if now < self.rebalancing.next_offer_at || now >= self.lease_client.active_config().lease_expires_at()
--- a/crates/dunepond-control-plane/src/control_loop/settlements/shares.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/shares.rs
@@ -57,8 +57,8 @@
         if let Err(e) = self.settlement.commitments.shares.release(&ledger, &debtor, &creditor, bytes) {
             debug!("fleet: {e} ({})", e.help());
         }
-        // The release of the share is stored before it is sent to the leader: otherwise this broker could promise the
-        // released bytes to a fill after a restart.
+        // The release of this part of the broker's share of the debt is stored before it is sent to the leader:
+        // otherwise this broker could promise the released bytes to a fill after a restart.
         self.save_commitments();
     }
 
--- a/crates/dunepond-control-plane/src/explain/mod.rs
+++ b/crates/dunepond-control-plane/src/explain/mod.rs
@@ -121,7 +121,8 @@
         Self::new(Subject::Refused, &entry.what, &entry.authority, &why.to_string(), &alternatives)
     }
 
-    /// Explains a planned fill: its source, and the other sources in its demand.
+    /// Explains a planned fill: the source that was chosen for it, and the other sources that could have been chosen
+    /// (the sources that `demand` lists).
     pub fn for_fill(fill: &Fill, demand: Option<&FillDemand>, balances: &Balances) -> Self {
         let settles = fill.settles.as_ref().map_or(0, |settlement| settlement.bytes);
         let what =
--- a/crates/dunepond-membership/src/core/liveness.rs
+++ b/crates/dunepond-membership/src/core/liveness.rs
@@ -15,8 +15,8 @@
 use std::net::SocketAddr;
 
 /// Fraction of the suspicion timeout within which the first check is sent, at a random time. If all members sent their
-/// checks at once, they would overload the suspected member, although the response to a single check reaches all
-/// members by gossip.
+/// checks at once, they would overload the suspected member. At random times, the checks that are still to be sent
+/// become unnecessary once the response to a single check has reached all members by gossip.
 const FIRST_CHECK_RATIO: f64 = 0.5;
 /// Timeout of one check, as a fraction of the suspicion timeout. The next check is sent this long after the previous
 /// one ended.
--- a/crates/dunepond-membership/src/core/mod.rs
+++ b/crates/dunepond-membership/src/core/mod.rs
@@ -51,8 +51,8 @@
 /// Range of the random factor on announcement intervals, so that brokers that started at the same time do not keep
 /// announcing at the same times.
 const ANNOUNCE_JITTER: std::ops::Range<f64> = 0.75..1.25;
-/// Time after the last message of a broker's later incarnation for which messages of its earlier incarnations are
-/// rejected, as a multiple of the suspicion timeout.
+/// Messages of a broker's earlier incarnations are rejected at least until this time has passed since the last message
+/// of its latest known incarnation. A multiple of the suspicion timeout.
 const STALE_RETENTION_TIMEOUTS: f64 = 2.0;
 
 /// What the event loop must do after a call to [`Core`].
@@ -101,10 +101,10 @@
     members_stale: bool,
 }
 
-/// A timer of the gossip library. Due timers run in the order of their due times, then in the library's own order, then
-/// in the order in which they were scheduled.
+/// A timer of the gossip library. Due timers are handled in the order of their due times, then in the library's own
+/// order, then in the order in which they were scheduled.
 struct ScheduledTimer {
-    /// Time at which the timer runs, in seconds on the core's clock.
+    /// Time at which the timer expires, in seconds on the core's clock.
     due: f64,
     /// Position in the order in which timers were scheduled.
     order: u64,
@@ -218,13 +218,13 @@
         first.clamp(self.now, self.now + MAX_TICK_INTERVAL_SECONDS)
     }
 
-    /// Runs the timers that are due, and prepares the due announcements to configured peers that are not members, and
+    /// Handles the timers that are due, and prepares the due announcements to configured peers that are not members, and
     /// the due hellos to peers of version 1. The returned actions contain the datagrams to send.
     pub fn tick(&mut self, now: f64) -> Actions {
         self.advance_clock(now);
         let mut actions = Actions::default();
-        // A timer that is scheduled in this loop runs at the next tick, even if it is due at once, so that the loop
-        // ends.
+        // A timer that is scheduled in this loop is handled at the next tick, even if it is due at once, so that the
+        // loop ends.
         for timer in self.take_due_timers() {
             // The error is ignored: a late timer may belong to a probe cycle that is over, for which the library
             // reports an error and begins the next cycle.
@@ -291,7 +291,7 @@
         self.now = self.now.max(now);
     }
 
-    /// Removes the timers that are due, and returns them in the order in which they must run.
+    /// Removes the timers that are due, and returns them in the order in which they must be handled.
     fn take_due_timers(&mut self) -> Vec<Timer<PeerId>> {
         let now = self.now;
         let (mut due, later): (Vec<_>, Vec<_>) = self.timers.drain(..).partition(|timer| timer.due <= now);
--- a/crates/dunepond-membership/src/incarnations.rs
+++ b/crates/dunepond-membership/src/incarnations.rs
@@ -58,8 +58,8 @@
 pub(crate) struct Incarnations {
     /// Secret from which this broker's address tokens are derived.
     token_secret: [u8; 32],
-    /// Time after the last message of a broker's later incarnation for which messages of its earlier incarnations are
-    /// rejected, in seconds.
+    /// Messages of a broker's earlier incarnations are rejected at least until this time has passed since the last
+    /// message of its latest known incarnation. In seconds.
     retention_seconds: f64,
     /// Largest number of tracked names that are not configured.
     max_unknown_names: usize,
--- a/crates/dunepond-membership/src/options.rs
+++ b/crates/dunepond-membership/src/options.rs
@@ -25,9 +25,11 @@
     pub max_connections_per_peer: usize,
     /// Largest number of connections from peers.
     pub max_incoming_connections: usize,
-    /// Largest number of requests of peers that the caller has not responded to, over all peers.
+    /// Largest number of requests of all peers together that were passed to the caller (the code that uses this crate)
+    /// and that it has not answered yet.
     pub max_pending_requests: usize,
-    /// Largest number of requests of one peer that the caller has not responded to.
+    /// Largest number of requests of one peer that were passed to the caller (the code that uses this crate) and that it
+    /// has not answered yet.
     pub max_pending_requests_per_peer: usize,
     /// Largest number of events that wait for the caller.
     pub max_queued_events: usize,
--- a/crates/dunepond-membership/src/server/mod.rs
+++ b/crates/dunepond-membership/src/server/mod.rs
@@ -36,7 +36,8 @@
     context: Rc<Context>,
     /// Open connections by number, in the order in which they were accepted.
     connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
-    /// Number of requests that the caller has not responded to, by the peer's name.
+    /// Number of requests that were passed to the caller (the code that uses this crate) and that it has not answered
+    /// yet, by the name of the peer that sent them.
     pending: RefCell<BTreeMap<String, usize>>,
 }
 
--- a/crates/dunepond-membership/src/server/request.rs
+++ b/crates/dunepond-membership/src/server/request.rs
@@ -232,7 +232,8 @@
         Ok(receiver)
     }
 
-    /// Waits for the caller's response until the request's deadline.
+    /// Waits until the request's deadline for the response to the peer, which the caller (the code that uses this
+    /// crate) gives.
     async fn await_response(
         &self,
         response: oneshot::Receiver<Result<Vec<u8>, RefusalReason>>,
--- a/crates/dunepond-membership/tests/requests.rs
+++ b/crates/dunepond-membership/tests/requests.rs
@@ -145,7 +145,9 @@
     assert!(matches!(broker.call("n2", b"", 2.0), Err(PeerError::Unreachable { .. })));
     let started = Instant::now();
     let (mut backed_off, mut attempts) = (0, 0);
-    // On an idle machine, 50 backed-off requests take a quarter of a second, since they are sent 5 ms apart.
+    // The loop goes on until 50 requests have been rejected because `broker` backs off, and for at least one second. Since
+    // requests are sent 5 ms apart, 50 of them take only a quarter of a second on an idle machine; there the loop lasts one
+    // second.
     while backed_off < 50 || started.elapsed() < Duration::from_secs(1) {
         assert!(started.elapsed() < TEST_TIMEOUT, "{backed_off} backed_off, {attempts} attempts");
         match broker.call("n2", b"", 2.0).unwrap_err() {
@@ -299,7 +301,7 @@
             .wait_until("the requests to be received", |peers| peers.counters().requests_received == count)
     };
     let drop_events = || while fleet[0].events.try_recv().is_ok() {};
-    // The first limit is on the bytes of events that the caller has not read.
+    // The first limit (`max_receive_bytes`) is on the bytes of n1's events that this test has not read.
     let ids = [request("n1", large()).unwrap(), request("n1", large()).unwrap()];
     wait_for_requests(2);
     let third = n2.call("n1", &large(), 20.0);
@@ -308,17 +310,19 @@
     fleet[0].wait_until("the refusal of the third request", |peers| peers.counters().requests_shed == 1);
     drop_events();
     assert!(!n2.wait_for_responses(&ids).iter().any(busy));
-    // The second limit is on the number of requests that the caller has not responded to.
+    // The second limit (`max_pending_requests_per_peer`) is on the number of n2's requests to n1 that this test has not
+    // answered.
     let ids: Vec<u64> = (0..4).map(|_| request("n1", vec![]).unwrap()).collect();
     wait_for_requests(4);
     fleet[0].wait_until("the refusal of the other requests", |peers| peers.counters().requests_shed == 3);
     drop_events();
     assert_eq!(n2.wait_for_responses(&ids).iter().filter(|result| busy(result)).count(), 2);
-    // The third limit is on the bytes of a broker's own requests in flight.
+    // The third limit (`max_send_bytes`) is on the bytes of a broker's own requests in flight.
     let accepted: Vec<bool> = (0..4).map(|_| request("silent", large()).is_ok()).collect();
     assert_eq!(accepted, [true, true, true, false]);
-    // The fourth limit is on the bytes of bodies that are being received. Each request states the length of its body
-    // but never sends the body, so two bodies reserve the whole limit, and the third request is refused.
+    // The fourth limit (also `max_receive_bytes`) is on the bytes of bodies that are being received. Each request states
+    // the length of its body but never sends the body, so two bodies reserve the whole limit, and the third request is
+    // refused.
     let request_head = b"POST /raft HTTP/1.1\r\nhost: x\r\ncontent-length: 4194304\r\n\r\n";
     let streams: Vec<TcpStream> =
         (0..3).map(|_| TcpStream::connect(fleet[0].peers.local_addr()).unwrap()).collect();
