--- a/crates/dunepond-consensus/src/active_config.rs
+++ b/crates/dunepond-consensus/src/active_config.rs
@@ -18,7 +18,7 @@
 pub enum ConfigPhase {
     /// The broker knows no configuration version.
     Unconfigured,
-    /// The broker acts on the version of this number alone.
+    /// The broker acts only on the version of this number.
     Active(u64),
     /// The broker acts on the stricter values of the active and the proposed version, field by field. The first number
     /// is that of the active version, the second that of the proposed one.
@@ -55,11 +55,11 @@
 /// The version or versions that a broker acts on while it has a valid lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RolloutSide {
-    /// The active version alone.
+    /// Only the active version.
     Active,
     /// The joint configuration: the stricter values of the active and the proposed version, field by field.
     Joint,
-    /// The proposed version alone.
+    /// Only the proposed version.
     Proposed,
 }
 
@@ -247,7 +247,7 @@
     }
 
     /// The shard map whose segments the parts of a query have to cover at `now`: the proposed version's map if the
-    /// broker acts on that version alone or the active version has no map, otherwise the active version's map. `None`
+    /// broker acts only on that version or if the active version has no map, otherwise the active version's map. `None`
     /// if no known version has a map.
     pub fn map(&self, now: f64) -> Option<&VerifiedMap> {
         let snapshot = &self.snapshot;
--- a/crates/dunepond-consensus/src/command.rs
+++ b/crates/dunepond-consensus/src/command.rs
@@ -37,8 +37,8 @@
         /// Reason for the withdrawal; only shown to people.
         why: String,
     },
-    /// Changes the ledger of transfer debts between partners: allots or releases a share of a debt, settles the part of
-    /// a debt that a fill has paid off, or records the start of a fill.
+    /// Changes the ledger of transfer debts between partners (organisations that run nodes): allots or releases a share
+    /// of a debt, settles the part of a debt that a fill has paid off, or records the start of a fill.
     #[serde(rename = "Debt")]
     Settlement(dunepond_settlement::SettlementEntry),
     /// Changes brokers' shares of fleet-wide quotas.
--- a/crates/dunepond-consensus/src/config_version.rs
+++ b/crates/dunepond-consensus/src/config_version.rs
@@ -55,7 +55,7 @@
     #[serde(default)]
     #[serde(rename = "follows")]
     pub based_on: Option<u64>,
-    /// Ratio of the brokers that act on the version alone in a first stage, while the others act on the joint
+    /// Ratio of the brokers that act only on this version in a first stage, while the others act on the joint
     /// configuration until the version is activated or withdrawn; `None` if there is no first stage.
     #[serde(default)]
     #[serde(rename = "stage")]
--- a/crates/dunepond-consensus/src/consensus_config.rs
+++ b/crates/dunepond-consensus/src/consensus_config.rs
@@ -25,7 +25,7 @@
     #[serde(rename = "drift")]
     pub drift_ratio: f64,
     /// The switch bound T, in seconds: once this time has passed since a proposed version was committed, no broker acts
-    /// on the previously active version alone.
+    /// only on the previously active version any more.
     #[serde(rename = "bound")]
     pub switch_bound_seconds: f64,
     /// Longest timeout of a query, in seconds.
--- a/crates/dunepond-consensus/src/lease_client/adoption.rs
+++ b/crates/dunepond-consensus/src/lease_client/adoption.rs
@@ -145,7 +145,7 @@
     a.as_ref().map(|known| &known.digest) == b.as_ref().map(|known| &known.digest)
 }
 
-/// Whether the broker acts on configuration version `number` alone during that version's first stage. A hash of the
+/// Whether the broker acts only on configuration version `number` during that version's first stage. A hash of the
 /// broker's name and the number selects the given ratio of the brokers, so the selection differs from version to
 /// version.
 fn is_in_first_stage(broker: &str, number: u64, ratio: f64) -> bool {
--- a/crates/dunepond-consensus/src/lease_messages.rs
+++ b/crates/dunepond-consensus/src/lease_messages.rs
@@ -21,8 +21,8 @@
     /// Number and digest of each configuration version that the broker has, so that the reply can omit its document.
     #[serde(rename = "knows")]
     pub known_versions: Vec<(u64, String)>,
-    /// Number of the proposed version, if the broker has adopted it and therefore no longer acts on the active version
-    /// alone.
+    /// Number of the proposed version, if the broker has adopted it and therefore no longer acts only on the active
+    /// version.
     #[serde(rename = "joint")]
     pub joint_version: Option<u64>,
     /// Random number that the broker drew when its process started.
--- a/crates/dunepond-consensus/src/rejection.rs
+++ b/crates/dunepond-consensus/src/rejection.rs
@@ -112,7 +112,7 @@
     /// The log entry was already applied.
     #[error("the entry was already applied")]
     AlreadyApplied,
-    /// The ledger of transfer debts between partners rejected the entry.
+    /// The ledger of transfer debts between partners (organisations that run nodes) rejected the entry.
     #[error("{0}")]
     Settlement(SettlementError),
     /// The ledger of brokers' quota shares rejected the entry.
@@ -239,9 +239,9 @@
     /// The monotonic clock of this broker went back.
     #[error("the monotonic clock went from {from} back to {to}")]
     ClockWentBack {
-        /// The earlier reading, in seconds.
+        /// The clock's reading before it went back, in seconds.
         from: f64,
-        /// The later reading, in seconds.
+        /// The clock's reading after it went back, in seconds; lower than `from`.
         to: f64,
     },
     /// The clock of this broker is slower than the leader's by more than the configured drift allows.
--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -64,7 +64,8 @@
     pub highest_number: u64,
     /// The configuration versions that were activated or withdrawn most recently, the oldest one first.
     pub history: VecDeque<PastChange>,
-    /// The ledger of transfer debts between partners and of the fills that paid them off, and its most recent entries.
+    /// The ledger of transfer debts between partners (organisations that run nodes) and of the fills that paid off these
+    /// debts, and its most recent entries.
     #[serde(rename = "debts")]
     pub settlements: SettlementLog,
     /// The list of voters in force, and the pending list.
--- a/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
@@ -1,7 +1,7 @@
-//! The ledger of transfer debts between partners, and its most recent entries. Partners transfer traffic for each
-//! other, and the transferred bytes are a debt. A fill copies a segment to a replica; if a node of the debtor sends the
-//! copy, the fill pays off a part of the debt, which a settlement records. A broker that lacks only some of the most
-//! recent entries receives these entries instead of the complete ledger.
+//! The ledger of transfer debts between partners, and its most recent entries. Partners are organisations that run
+//! nodes. They transfer traffic for each other, and the transferred bytes are a debt. A fill copies a segment to a
+//! replica; if a node of the debtor sends the copy, the fill pays off a part of the debt, which a settlement records. A
+//! broker that lacks only some of the most recent entries receives these entries instead of the complete ledger.
 
 #[cfg(test)]
 mod tests;
@@ -49,7 +49,8 @@
     pub entries: Vec<SettlementRecord>,
 }
 
-/// The ledger of transfer debts between partners and of the fills that paid them off, and its most recent entries.
+/// The ledger of transfer debts between partners (organisations that run nodes) and of the fills that paid off these
+/// debts, and its most recent entries.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SettlementLog {
     /// The ledger with all committed entries applied.
--- a/crates/dunepond-consensus/src/replicated_state/state_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/state_change.rs
@@ -25,7 +25,7 @@
     RollingBack(u64),
     /// The version of this number was withdrawn.
     Withdrawn(u64),
-    /// This entry changed the ledger of transfer debts between partners.
+    /// This entry changed the ledger of transfer debts between partners (organisations that run nodes).
     Settlement(SettlementEntry),
     /// Shares of fleet-wide quotas changed; the value is the quota ledger's new generation.
     Quota(u64),
--- a/crates/dunepond-consensus/src/replicated_state/version_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -18,10 +18,10 @@
 pub enum RolloutStep {
     /// Brokers act on the joint configuration: the stricter values of the active and the proposed version.
     Joint,
-    /// This ratio of the brokers acts on the proposed version alone; the others act on the joint configuration.
+    /// This ratio of the brokers acts only on the proposed version; the others act on the joint configuration.
     Staged(f64),
-    /// The version is being withdrawn from its first stage: brokers that act on it alone return to the joint
-    /// configuration. Once no broker acts on the proposed version alone any more, the version is withdrawn.
+    /// The version is being withdrawn from its first stage: brokers that act only on it return to the joint
+    /// configuration. Once no broker acts only on the proposed version any more, the version is withdrawn.
     #[serde(rename = "Returning")]
     RollingBack,
 }
@@ -262,7 +262,7 @@
         StateChange::Activated(number)
     }
 
-    /// Withdraws the version, or begins its rollback if some brokers may already act on it alone.
+    /// Withdraws the version, or begins its rollback if some brokers may already act only on it.
     pub(super) fn withdraw_or_roll_back(&mut self, number: u64, reason: String) -> StateChange {
         let open = self.open_mut();
         if matches!(open.step, RolloutStep::Staged(_)) {
--- a/crates/dunepond-consensus/src/routing_rules.rs
+++ b/crates/dunepond-consensus/src/routing_rules.rs
@@ -9,28 +9,28 @@
 /// value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoutingRules {
-    /// Minimum share of a query's value that has to be served, as a ratio, by query class; the greater one is stricter.
+    /// Minimum share of a query's value that has to be served, as a ratio, by query class; a greater ratio is stricter.
     #[serde(rename = "least")]
     pub minimum_shares: Vec<f64>,
-    /// Share of a query's value from which an answer counts as complete, as a ratio, by query class; the greater one is
+    /// Share of a query's value from which an answer counts as complete, as a ratio, by query class; a greater ratio is
     /// stricter.
     #[serde(rename = "whole_at")]
     pub complete_at: Vec<f64>,
-    /// Number of retries and hedged attempts per admitted request; the smaller one is stricter.
+    /// Number of retries and hedged attempts per admitted request; a smaller number is stricter.
     #[serde(rename = "budget_share")]
     pub retry_budget_ratio: f64,
     /// Number of retries and hedged attempts that are allowed in each window of the retry budget regardless of the
-    /// ratio; the smaller one is stricter.
+    /// ratio; a smaller number is stricter.
     #[serde(rename = "budget_free")]
     pub retry_budget_min: f64,
-    /// Time in seconds after which no new attempt may go to a draining or removed node; the smaller one is stricter.
+    /// Time in seconds after which no new attempt may go to a draining or removed node; a shorter time is stricter.
     #[serde(rename = "drain_grace")]
     pub drain_grace_seconds: f64,
-    /// Number of attempts that a node in slow start may be sent, as a multiple of those it completed; the smaller one is
-    /// stricter.
+    /// Rate at which attempts may be sent to a node in slow start, as a multiple of the node's present capacity, which is
+    /// estimated from the attempts that warm nodes complete; a smaller multiple is stricter.
     #[serde(rename = "cold_multiple")]
     pub slow_start_multiple: f64,
-    /// Largest number of attempts of one part; the smaller one is stricter.
+    /// Largest number of attempts of one part; a smaller number is stricter.
     #[serde(rename = "dispatch_cap")]
     pub max_attempts: usize,
     /// Whether hedged attempts are allowed; the combination of two sets of rules allows them only if both sets do.
@@ -40,7 +40,7 @@
     /// it only if both sets do.
     #[serde(rename = "repeats")]
     pub keyed_retries_enabled: bool,
-    /// Largest Retry-After of a rejection, in seconds; the smaller one is stricter.
+    /// Largest Retry-After of a rejection, in seconds; a shorter time is stricter.
     #[serde(rename = "longest_wait")]
     pub max_retry_after_seconds: f64,
 }
--- a/crates/dunepond-consensus/src/voter/envelope.rs
+++ b/crates/dunepond-consensus/src/voter/envelope.rs
@@ -34,7 +34,8 @@
 /// The content of a message between voters.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Body {
-    /// Introduces the sender, and asks the receiver what it knows about the sender's folder.
+    /// Introduces the sender, and asks the receiver two questions: whether the sender runs on the latest of its data folders
+    /// that the receiver knows of, and whether the sender is still a voter.
     Hello {
         /// Whether the sender's folder contains no state of the fleet.
         #[serde(rename = "blank")]
@@ -61,7 +62,8 @@
     },
 }
 
-/// What the sender knows about the receiver's folder and the list of voters.
+/// What the sender has recorded about the receiver's data folder and about the list of voters, which may no longer
+/// include the receiver.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct HelloReply {
     /// Whether the sender's folder contains no state of the fleet.
--- a/crates/dunepond-consensus/src/voter/handshake.rs
+++ b/crates/dunepond-consensus/src/voter/handshake.rs
@@ -2,11 +2,11 @@
 //! still a voter.
 //!
 //! The raft library treats each folder as a separate voter. A voter that restarts with an empty folder is a new one,
-//! whose votes do not count until the others have committed a change that replaces the old folder. A folder that was
-//! restored from a copy does not record what the voter voted for and acknowledged after the copy was made. Therefore
-//! each folder counts the process starts on it, and peers remember the latest start that they know of. If a voter
-//! reports an earlier start of the same folder, a peer replies with the later one, and the voter discards its folder
-//! and continues with an empty one.
+//! whose votes do not count until the others have committed a membership change by which the new folder's id replaces
+//! the old one's. A folder that was restored from a copy does not record what the voter voted for and acknowledged
+//! after the copy was made. Therefore each folder counts the process starts on it, and peers remember the latest start
+//! that they know of. If a voter reports an earlier start of the same folder, a peer replies with the later one, and the
+//! voter discards its folder and continues with an empty one.
 
 use std::collections::BTreeMap;
 
@@ -113,7 +113,7 @@
         let from = &envelope.from;
         let to_this_folder = envelope.to_folder == self.folder.id;
         let accepted = match &envelope.body {
-            // A reply to a hello of this folder is accepted from any peer.
+            // A hello reply that is addressed to this voter's present data folder is accepted from any peer.
             Body::HelloReply(_) if to_this_folder => true,
             _ if self.has_state => {
                 self.state.voters.contains_or_joining(from) || self.is_member(envelope.slot.folder_id)
@@ -287,8 +287,9 @@
         Some(slots)
     }
 
-    /// Discards this voter's folder because its content is obsolete. This broker continues as a new voter with an empty
-    /// folder. The other voters then replace the old folder with the new one.
+    /// Discards this voter's data folder because its content is obsolete. This broker continues as a new voter with an
+    /// empty folder, which has a new id. The other voters, if their list includes this broker, then commit a membership
+    /// change of the raft group by which the new id replaces the old one.
     pub(super) fn discard_folder(&mut self, reason: &str) {
         if self.has_stopped() {
             return;
--- a/crates/dunepond-consensus/src/voter/housekeeping.rs
+++ b/crates/dunepond-consensus/src/voter/housekeeping.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The time on this leader's clock from which no broker acts on the active version alone any more, and all queries
+    /// The time on this leader's clock from which no broker acts only on the active version any more, and all queries
     /// that were sent by brokers that did so have ended. `seen_at` is when this leader saw the proposal committed.
     fn all_joint_from(&self, seen_at: f64, number: u64) -> f64 {
         let latest = seen_at + self.state.quiescence_seconds(&self.config);
--- a/crates/dunepond-consensus/src/voter/lease_requests.rs
+++ b/crates/dunepond-consensus/src/voter/lease_requests.rs
@@ -64,8 +64,8 @@
     /// Latest time at which the lease can end, which is when the broker's clock is as slow as the configured drift
     /// allows.
     pub over_at: f64,
-    /// The proposed version that the broker reported to have adopted, if any. The broker then no longer acts on the
-    /// active version alone.
+    /// The proposed version that the broker reported to have adopted, if any. The broker then no longer acts only on
+    /// the active version.
     pub joint: Option<Acknowledged>,
     /// Generation of the last shrink of the broker's quota shares that it reported to have adopted.
     pub shrink: Acknowledged,
--- a/crates/dunepond-consensus/tests/model.rs
+++ b/crates/dunepond-consensus/tests/model.rs
@@ -62,7 +62,8 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Broker {
-    /// Whether the broker acts on a proposed version alone during its first stage.
+    /// Whether the broker, during a proposed version's first stage, acts only on that version; otherwise it acts on the
+    /// joint configuration of the active and the proposed version.
     in_first_stage: bool,
     /// The last state that the broker adopted.
     known: Committed,
@@ -75,8 +76,8 @@
     /// A non-idempotent part in flight: the version by whose shard map its owner was chosen, and the remaining time of
     /// its query in units of the broker's clock.
     in_flight: Option<(u8, u8)>,
-    /// Remaining time, in units of the leader's clock, after which the leader knows that the broker no longer acts on
-    /// the active version alone, and that the queries which the broker sent while it did so have ended.
+    /// Remaining time, in units of the leader's clock, after which the leader knows that the broker no longer acts
+    /// only on the active version, and that the queries which the broker sent while it did so have ended.
     done_after: u8,
 }
 
@@ -133,7 +134,7 @@
 }
 
 impl Broker {
-    /// The version on which the broker acts alone; `None` if it has no lease or acts on the joint configuration.
+    /// The only version that the broker acts on; `None` if it has no lease or acts on the joint configuration.
     fn sole_version(&self) -> Option<u8> {
         match (self.lease_left, self.known.proposed, self.known.step) {
             (0, ..) => None,
--- a/crates/dunepond-consensus/tests/scenarios/pauses.rs
+++ b/crates/dunepond-consensus/tests/scenarios/pauses.rs
@@ -25,8 +25,8 @@
 /// clock when the broker resumes, in seconds relative to the last reading before the pause.
 fn fleet_with_clock_set_back(offset: f64, seed: u64) -> Fleet {
     let mut fleet = Fleet::with_map(5, 2, seed);
-    // Waits until the lease's request was sent long enough ago that even the clock that was set back reads a later
-    // time.
+    // Waits until the request for the present lease is old enough: when broker 6 resumes, its clock must read a later
+    // time than when that request was sent, although the clock was set back.
     fleet.run_until(2.0, |fleet| {
         fleet.brokers[6].lease_client.as_ref().unwrap().active_config().lease_expires_at() - fleet.clock(6)
             < 0.8
--- a/crates/dunepond-consensus/tests/scenarios/rollout.rs
+++ b/crates/dunepond-consensus/tests/scenarios/rollout.rs
@@ -133,7 +133,7 @@
         active_count(&fleet, 2)
     );
     assert_eq!(active_count(&fleet, 1), 0, "a broker outside the first stage acts on version 1 alone");
-    // During the rollback no broker may act on version 1 alone while another one still acts on version 2 alone.
+    // During the rollback no broker may act only on version 1 while another one still acts only on version 2.
     fleet.propose(Command::Withdraw { number: 2, why: String::from("worse") }).unwrap();
     assert!(fleet.run_until(8.0, |fleet| fleet.all_in_phase(&ConfigPhase::Active(1))));
     fleet.propose(propose_staged(3)).unwrap();
--- a/crates/dunepond-consensus/tests/scenarios/support.rs
+++ b/crates/dunepond-consensus/tests/scenarios/support.rs
@@ -19,7 +19,7 @@
     Command::FillCompleted { number, segment: 0, holder: format!("cold{number}") }
 }
 
-/// A command that proposes a version on which half of the brokers act alone in a first stage.
+/// A command that proposes a version with a first stage, in which half of the brokers act only on this version.
 pub fn propose_staged(number: u64) -> Command {
     let mut version = config_version(number, Some(shard_map(number, false)));
     version.first_stage_ratio = Some(0.5);
@@ -31,7 +31,7 @@
     fleet.all_in_phase(&ConfigPhase::Joint(1, 2))
 }
 
-/// Asserts that version 2 becomes active at all brokers within `seconds`, and that no broker acted on version 1 alone
+/// Asserts that version 2 becomes active at all brokers within `seconds`, and that no broker acted only on version 1
 /// after the switch bound had passed.
 pub fn assert_activated_within(fleet: &mut Fleet, seconds: f64) {
     assert!(
--- a/crates/dunepond-consensus/tests/upgrades.rs
+++ b/crates/dunepond-consensus/tests/upgrades.rs
@@ -120,7 +120,8 @@
         fleet.all_have_leases() && fleet.all_in_phase(&ConfigPhase::Active(1)),
         "all brokers continue with version 1"
     );
-    // Once that leader is down, the two voters that do not know the key continue without the entry.
+    // Once the leader that proposed this version is down, the two voters that do not know its required key continue without
+    // its log entry: they elect a leader, and accept another version 2 that does not contain the key.
     fleet.kill(leader);
     assert!(fleet.run_until(5.0, |fleet| fleet.leader().is_some()));
     fleet.propose(propose(&config_version(2, Some(shard_map(2, false))))).unwrap();
