--- a/crates/dunepond-simulation/src/invariants.rs
+++ b/crates/dunepond-simulation/src/invariants.rs
@@ -17,7 +17,7 @@
 }
 
 /// The numbers of the configuration versions that a broker acts on: both versions of a joint configuration, or the same
-/// number twice if the broker acts on one version alone. 0 stands for no version.
+/// number twice if the broker acts on only one version. 0 stands for no version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ActingVersions {
     from: u64,
@@ -52,9 +52,9 @@
     }
 }
 
-/// The activity of one broker in one step.
+/// What one broker may do in one step of the simulation: its configuration, and the parts that it may send.
 pub struct BrokerActivity<'a> {
-    /// True time of the activity.
+    /// True time of the step.
     pub now: f64,
     /// Index of the broker.
     pub broker: usize,
@@ -62,13 +62,13 @@
     pub config: &'a ActiveConfig,
     /// Reading of the broker's clock.
     pub clock: f64,
-    /// Segments for each of which the broker is assumed to send a part of a non-idempotent query if its configuration
-    /// allows that.
+    /// Ids of the segments that are checked. The checker assumes that the broker sends a part of a non-idempotent query to
+    /// the owner of each of them, unless the broker's configuration names no owner to which it may send the part.
     pub segments: &'a [u64],
     /// Longest time in true seconds for which a part of a non-idempotent query may run.
     pub part_seconds: f64,
-    /// Longest time in seconds that a broker may still act on the previous configuration version alone, counted from
-    /// when the first voter applied the proposal of the next version.
+    /// Longest time in seconds that a broker may still act only on the previous configuration version, counted from when
+    /// the first voter applied the proposal of the next version.
     pub switch_bound_seconds: f64,
 }
 
@@ -89,11 +89,11 @@
     pub settled_at: BTreeMap<String, f64>,
     /// Numbers of the configuration versions that were withdrawn.
     pub withdrawn: BTreeSet<u64>,
-    /// Latest time at which some broker acted on each configuration version alone, by version number.
+    /// For each configuration version, by number, the latest time at which some broker acted only on that version.
     pub last_alone_at: BTreeMap<u64, f64>,
     /// The versions that brokers act on in the current step, each with the first broker that acts on them.
     acting: BTreeMap<ActingVersions, usize>,
-    /// Longest time in seconds that a broker still acted on the previous configuration version alone, counted from when
+    /// Longest time in seconds that a broker still acted only on the previous configuration version, counted from when
     /// the first voter applied the proposal of the next version.
     pub longest_alone_seconds: f64,
 }
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Checks that the broker does not act on version `number` alone for longer than the switch bound, counted from
+    /// Checks that the broker does not act only on version `number` for longer than the switch bound, counted from
     /// when the first voter applied the proposal of the next version. Versions that were withdrawn are skipped.
     fn check_alone(&mut self, number: u64, activity: &BrokerActivity<'_>) {
         let (now, broker) = (activity.now, activity.broker + 1);
--- a/crates/dunepond-simulation/src/scenario/config.rs
+++ b/crates/dunepond-simulation/src/scenario/config.rs
@@ -20,8 +20,8 @@
     pub zone_count: usize,
     /// Length of the part of the run in which faults are injected, in seconds; 0 for no faults.
     pub fault_seconds: f64,
-    /// Length of the steady part of the run, before the faults, in seconds. It is measured; nothing fails in it, and a
-    /// configuration version is proposed every few lease lengths.
+    /// Length of the steady part of the run, before the faults, in seconds. In this part the brokers' load is
+    /// measured, nothing fails, and a configuration version is proposed every few lease lengths.
     pub steady_seconds: f64,
     /// Length of a lease, in seconds.
     pub lease_seconds: f64,
--- a/crates/dunepond-simulation/src/scenario/faults.rs
+++ b/crates/dunepond-simulation/src/scenario/faults.rs
@@ -299,8 +299,8 @@
         }
     }
 
-    /// Proposes a version with a first stage, in which only some brokers act on the version alone. Schedules the end of
-    /// the stage.
+    /// Proposes a version with a first stage, in which some brokers act only on this version, and the others on the joint
+    /// configuration. Schedules the end of the stage.
     fn propose_staged_version(&mut self) {
         self.propose_next_version(STAGED_FILL_RATIO, 1.0);
         let activate = self.rng.random::<bool>();
@@ -340,14 +340,16 @@
         }
     }
 
-    /// Ends all faults, restarts the brokers whose clocks were set back, and starts all brokers that are down.
+    /// Ends all faults, restarts the brokers whose clocks were set back or that have found a clock faulty, and starts all
+    /// brokers that are down.
     pub(super) fn heal(&mut self) {
         self.fleet.heal();
         self.fleet.links = LinkConditions::default();
         for n in 0..self.config.broker_count {
             self.fleet.brokers[n].tears_next_record = false;
-            // A broker that has detected that its clock was set back, or will detect it, does not trust the clock until
-            // the broker's supervisor restarts it.
+            // A broker that finds its own or the leader's clock faulty rejects leases; if its own clock went back, it does
+            // so until its process is restarted, which on a real host its supervisor does. Therefore the loop
+            // restarts each broker that has found a clock faulty, or whose clock was set back and that has not noticed it.
             let client = self.fleet.brokers[n].lease_client.as_ref();
             let distrusts_clock = client.is_some_and(distrusts_clock);
             if self.fleet.has_clock_gone_back(n) || distrusts_clock {
--- a/crates/dunepond-simulation/src/scenario/fill_simulation.rs
+++ b/crates/dunepond-simulation/src/scenario/fill_simulation.rs
@@ -34,13 +34,13 @@
 const MAX_FILL_SECONDS: f64 = 1.5;
 /// Probability that a fill fails.
 const FILL_FAILURE_RATIO: f64 = 0.1;
-/// Number of brokers that count the transfers between partners that pass through them.
+/// Number of brokers through which partners transfer (carry) traffic for each other. Each counts what passes through it.
 const COUNTING_BROKERS: usize = 8;
-/// Number of transfers between partners in each [`CARRY_INTERVAL_SECONDS`].
+/// Number of transfers of traffic between partners in each round; the rounds are [`CARRY_INTERVAL_SECONDS`] apart.
 const TRANSFERS_PER_INTERVAL: usize = 6;
-/// Upper limit of the size of one transfer between partners, in bytes.
+/// Upper limit of the traffic that one partner carries for another in one transfer, in bytes.
 const MAX_CARRIED_BYTES: u64 = 1 << 20;
-/// Seconds between two rounds of transfers.
+/// Seconds between two rounds in which partners carry (transfer) traffic for each other, and owe each other for it.
 const CARRY_INTERVAL_SECONDS: f64 = 1.0;
 /// Number of readings of the transfer counts that are stored. The leader uses the oldest of them, because its counts
 /// lag behind the actual ones, as with gossip.
@@ -80,7 +80,7 @@
     /// Actual counts of the bytes that partners have transferred for each other, without the lag of the leader's
     /// counts.
     carried: CarriedCounts,
-    /// The transfer counts after each of the last [`COUNTS_LAG`] rounds of transfers, oldest first.
+    /// The counts of carried traffic after each of the last [`COUNTS_LAG`] rounds of transfers, oldest first.
     earlier_counts: Vec<CarriedCounts>,
     leader_state: Option<LeaderState>,
     next_plan_at: f64,
@@ -130,7 +130,8 @@
         self.end_fills(fleet);
     }
 
-    /// Simulates one round of random transfers between partners, each counted by one of a few brokers.
+    /// Simulates one round in which random partners carry traffic for each other. Each transfer is counted by one of a few
+    /// brokers.
     fn carry_traffic(&mut self, topology: &Topology) {
         let partner_count = topology.partner_count();
         for _ in 0..TRANSFERS_PER_INTERVAL {
--- a/crates/dunepond-simulation/src/scenario/mod.rs
+++ b/crates/dunepond-simulation/src/scenario/mod.rs
@@ -32,8 +32,8 @@
 const MAX_RECOVERY_SECONDS: f64 = 30.0;
 /// Number of turns (runs of its voter and lease client) that each broker takes during a lease, as on a real host.
 const TURNS_PER_LEASE: f64 = 100.0;
-/// Length of the warm-up before the steady part of a run (the part without faults) is measured, as a multiple of the
-/// length of a lease.
+/// Length of the warm-up before the load is measured in the steady part of a run (the part without faults), as a
+/// multiple of the length of a lease.
 const WARM_UP_LEASES: f64 = 2.0;
 /// Time between the proposals of two configuration versions in the steady part of a run (the part without faults), as a
 /// multiple of the length of a lease.
@@ -128,7 +128,8 @@
         self.finish()
     }
 
-    /// Runs the steady part, which is measured. Nothing fails in it, and a version is proposed every few lease lengths.
+    /// Runs the steady part, in which the brokers' load is measured, nothing fails, and a version is proposed every few
+    /// lease lengths.
     fn run_steadily(&mut self) {
         if self.config.steady_seconds <= 0.0 {
             return;
--- a/crates/dunepond-simulation/src/scenario/report.rs
+++ b/crates/dunepond-simulation/src/scenario/report.rs
@@ -20,7 +20,7 @@
     /// Time from the commit of a version's proposal until all brokers that act on any version act only on this or later
     /// versions, for each version that requires fills or has a first stage.
     pub slow_rollout_seconds: Vec<f64>,
-    /// Longest time that a broker still acted on a version alone after the proposal of the next version was committed.
+    /// Longest time from the commit of a version's proposal until no broker acted only on the previous version any more.
     pub longest_alone_seconds: f64,
     /// The configured upper limit of `longest_alone_seconds`.
     pub switch_bound_seconds: f64,
@@ -40,7 +40,7 @@
     pub fills: usize,
     /// Number of faults by kind, in the order in which the kinds first occurred.
     pub faults: Vec<FaultCount>,
-    /// Length of the steady part of the run: the part without faults, which is measured.
+    /// Length of the steady part of the run (the part without faults), in which `loads` is measured.
     pub measured_seconds: f64,
     /// Load of each broker during the steady part of the run (the part without faults), by index of the broker.
     pub loads: Vec<BrokerLoad>,
--- a/crates/dunepond-simulation/src/scenario/versions.rs
+++ b/crates/dunepond-simulation/src/scenario/versions.rs
@@ -7,7 +7,7 @@
 
 /// Maximum number of fills of one version.
 const MAX_FILL_COUNT: usize = 3;
-/// Ratio of the brokers that act on a version alone in its first stage, if it has one.
+/// Ratio of the brokers that act only on the proposed version in its first stage, if it has one.
 const FIRST_STAGE_RATIO: f64 = 0.3;
 
 /// A version that was proposed and that not all brokers act on yet.
