--- a/crates/dunepond-rebalance/src/action.rs
+++ b/crates/dunepond-rebalance/src/action.rs
@@ -54,7 +54,7 @@
         /// Name of the node that becomes the owner.
         to: String,
     },
-    /// Removes a replica that a fill has added and that no switch has put into use.
+    /// Removes a replica that [`Self::Fill`] has added and that [`Self::Switch`] has not put into use.
     #[serde(rename = "Drop")]
     RemoveReplica {
         /// Id of the segment.
--- a/crates/dunepond-rebalance/src/layout/mod.rs
+++ b/crates/dunepond-rebalance/src/layout/mod.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Whether a segment has a replica that a fill has added and that no switch has put into use yet.
+/// Whether a segment has a replica that [`Action::Fill`] has added and that [`Action::Switch`] has not put into use yet.
 #[derive(Clone, Copy)]
 struct PendingFlag {
     segment: u64,
@@ -42,8 +42,8 @@
 struct Change {
     /// Segments that replace those that the action names.
     added: Vec<Segment>,
-    /// Whether the segment waits for the switch to a filled replica after the action; `None` if the action does not
-    /// change this.
+    /// Whether, after the action, the segment waits for the [`Action::Switch`] to a filled replica; `None` if the action
+    /// does not change this.
     pending: Option<PendingFlag>,
 }
 
@@ -64,8 +64,8 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Layout {
     segments: BTreeMap<u64, Arc<Segment>>,
-    /// Ids of the segments with a replica that a fill has added and that was neither put into use by a switch nor
-    /// removed yet.
+    /// Ids of the segments with a replica that [`Action::Fill`] has added and that was neither put into use by
+    /// [`Action::Switch`] nor removed yet.
     pending: BTreeSet<u64>,
 }
 
@@ -130,7 +130,8 @@
         })
     }
 
-    /// Partner of the segment's replica on the node, if there is one.
+    /// Name of the partner (organisation) that runs the node, according to the segment's replica on the node; `None` if the
+    /// node has no replica of the segment.
     pub fn partner(&self, segment: u64, node: &str) -> Option<String> {
         let replicas = &self.get(segment)?.replicas;
         replicas.iter().find(|replica| replica.node == node).map(|replica| replica.partner.clone())
--- a/crates/dunepond-rebalance/src/ordering/mod.rs
+++ b/crates/dunepond-rebalance/src/ordering/mod.rs
@@ -17,7 +17,7 @@
     /// Maximum number of actions in one step, and so of replicas that a step fills at once; 0 counts as 1.
     #[serde(rename = "at_once")]
     pub max_actions: usize,
-    /// Maximum ratio of the segments that one configuration version changes to all segments of the map, from 0 to 1.
+    /// Maximum fraction of the map's segments that one configuration version may change, from 0 to 1.
     #[serde(rename = "most_changed")]
     pub max_changed_ratio: f64,
 }
--- a/crates/dunepond-rebalance/src/progress/mod.rs
+++ b/crates/dunepond-rebalance/src/progress/mod.rs
@@ -48,7 +48,7 @@
     pub highest_version: u64,
     /// The active map; `None` before the first version with a map.
     pub active_map: Option<&'a VerifiedMap>,
-    /// Maximum ratio of the segments that one configuration version changes to all segments of the map, from 0 to 1.
+    /// Maximum fraction of the map's segments that one configuration version may change, from 0 to 1.
     pub max_changed_ratio: f64,
 }
 
--- a/crates/dunepond-rebalance/tests/model.rs
+++ b/crates/dunepond-rebalance/tests/model.rs
@@ -81,8 +81,9 @@
     expired_versions: u8,
     /// Steps whose versions were activated, in order.
     steps: Vec<ActivatedStep>,
-    /// Whether voters accepted a version that is not a step of the running plan: either one from an operator while a
-    /// plan was running, or one from the plan's leader.
+    /// Whether voters accepted a version that does not carry out the running plan's started step: either an operator
+    /// proposed it while a plan was running, or the plan's leader proposed it for a step that was no longer the started
+    /// one when the proposal was committed.
     has_foreign_version: bool,
     /// All other fields as text, for comparison and hashing.
     fingerprint: String,
@@ -212,7 +213,7 @@
                     (running.plan.id.clone(), batch, running.rollback.is_some())
                 });
                 state.has_foreign_version |= running.is_some() && step.is_none() && !is_from_leader;
-                // A version from the plan's leader that is not the plan's started step is foreign as well.
+                // A version that the plan's leader proposed for a step that is no longer the started one is foreign as well.
                 state.has_foreign_version |= is_from_leader && step.is_none();
                 state.highest = number;
                 if self.rules == RuleSet::DoneWhenProposed {
--- a/crates/dunepond-settlement/src/balances.rs
+++ b/crates/dunepond-settlement/src/balances.rs
@@ -304,9 +304,9 @@
         self.ledger.settled(debtor, creditor).min(self.gross(creditor, debtor))
     }
 
-    /// Returns the bytes by which the settlements of what `debtor` owes `creditor` exceed the known gross debt. There are such
-    /// bytes if counts of the debt have not arrived yet, or if the debt was never split into shares, so that the ledger does
-    /// not limit its settlements.
+    /// Returns the bytes by which the settlements of what `debtor` owes `creditor` exceed the gross debt that is known here.
+    /// There are such bytes if counts that raise the debt have not arrived here yet. There may also be such bytes if the debt
+    /// was never split into shares of brokers, because the ledger limits settlements only by these shares.
     pub fn settled_beyond_debt(&self, debtor: &str, creditor: &str) -> u64 {
         self.ledger.settled(debtor, creditor) - self.settled(debtor, creditor)
     }
--- a/crates/dunepond-settlement/src/error.rs
+++ b/crates/dunepond-settlement/src/error.rs
@@ -108,18 +108,18 @@
         /// Bytes of the debt.
         debt: u64,
     },
-    /// A broker would return more of its share than it has left.
+    /// A broker would release (give back) more of its share than it has left.
     #[error(
         "{broker} returns {bytes} bytes of its share of what {debtor} owes {creditor}, but has {remaining} left"
     )]
     ExceedsRemaining {
-        /// Broker that returns a part of its share.
+        /// Broker that gives back a part of its share.
         broker: String,
         /// Partner that owes the debt.
         debtor: String,
         /// Partner to which the debt is owed.
         creditor: String,
-        /// Bytes to return.
+        /// Bytes to give back.
         bytes: u64,
         /// Bytes left in the broker's share.
         remaining: u64,
--- a/crates/dunepond-settlement/src/ledger.rs
+++ b/crates/dunepond-settlement/src/ledger.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// Returns an unspent part of a broker's share of a debt, so that it can be allotted again. Only the broker itself may propose
+/// Gives back an unspent part of a broker's share of a debt, so that it can be allotted again. Only the broker itself may propose
 /// this, because no other broker knows what it promised while it was partitioned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShareRelease {
@@ -73,10 +73,10 @@
     pub debtor: String,
     /// Partner to which the debt is owed.
     pub creditor: String,
-    /// Broker that returns a part of its share.
+    /// Broker that gives back a part of its share.
     #[serde(rename = "by")]
     pub broker: String,
-    /// Bytes that the broker returns.
+    /// Bytes that the broker gives back.
     pub bytes: u64,
 }
 
--- a/crates/dunepond-settlement/src/planner/mod.rs
+++ b/crates/dunepond-settlement/src/planner/mod.rs
@@ -146,9 +146,9 @@
         }
     }
 
-    /// Returns the demands by partner without duplicates. For [`PlanningRule::Cheapest`] also returns their partners in the
-    /// order of the demands; for the other rules this list is empty. Demands whose fill is running are added to `plan` as
-    /// waiting.
+    /// Returns queues of the demands by partner, without duplicates. A demand whose fill is already running is not queued, but
+    /// added to `plan.waiting` with [`WaitReason::Running`], since no new fill starts for it. The second result contains the
+    /// partner of each queued demand, in the order of `demands`, for [`PlanningRule::Cheapest`]; for other rules it is empty.
     fn queue_demands<'a>(
         &self,
         demands: &'a [FillDemand],
--- a/crates/dunepond-settlement/src/promises.rs
+++ b/crates/dunepond-settlement/src/promises.rs
@@ -9,7 +9,9 @@
     ShareRelease, max_min,
 };
 
-/// Settlements that one broker has promised from its shares. A promise must be stored before its fill starts.
+/// Settlements that one broker has promised from its shares of debts. A promise sets aside a part of a share for the
+/// settlement of one fill, until the ledger has applied or rejected the settlement. The promise must be stored before the
+/// fill starts.
 ///
 /// A partitioned broker makes promises within its shares and proposes them once it reaches the log again. Even if stored
 /// promises are lost, the ledger accepts no settlement beyond a share.
@@ -19,7 +21,7 @@
     broker: String,
     /// Promised settlements that are not yet in the log, by id of the fill.
     promised: BTreeMap<String, Settlement>,
-    /// Entry that returns a part of the broker's share of a debt, kept until the consensus log contains it.
+    /// Entry that releases (gives back) a part of the broker's share of a debt, kept until the consensus log contains it.
     releasing: Option<ShareRelease>,
 }
 
@@ -37,7 +39,7 @@
     }
 
     /// Returns the bytes of what `debtor` owes `creditor` that the broker may still promise: its unspent share minus its
-    /// pending promises and the bytes that it is returning.
+    /// pending promises and the bytes that it is releasing.
     pub fn remaining(&self, ledger: &SettlementLedger, debtor: &str, creditor: &str) -> u64 {
         let is_pair = |d: &str, c: &str| d == debtor && c == creditor;
         let pending = self
@@ -87,7 +89,7 @@
         self.promised.get(fill)
     }
 
-    /// Returns the part of a share that the broker is returning, if any.
+    /// Returns the part of a share that the broker is releasing (giving back), if any.
     pub fn releasing(&self) -> Option<&ShareRelease> {
         self.releasing.as_ref()
     }
@@ -98,13 +100,15 @@
         settle.chain(self.releasing.clone().map(SettlementEntry::Release))
     }
 
-    /// Drops the promise of a fill that failed before its settlement was proposed.
+    /// Drops the promised settlement of a fill that failed before the settlement was proposed. The broker may promise the
+    /// bytes for other fills.
     pub fn cancel(&mut self, fill: &str) {
         self.promised.remove(fill);
     }
 
-    /// Starts to return an unspent part of the broker's share, and returns the entry to propose. These bytes can no longer be
-    /// promised. Only one such entry can be pending at a time: if there is one, it is returned again and nothing else changes.
+    /// Starts to release (give back) an unspent part of the broker's share, and returns the entry to propose. These bytes can
+    /// no longer be promised. Only one such entry can be pending at a time: if there is one, this method returns that entry
+    /// and changes nothing.
     ///
     /// # Errors
     /// Returns [`SettlementError::ExceedsRemaining`] if `bytes` is 0 or larger than what the broker may still promise.
@@ -140,7 +144,7 @@
             !ledger.is_settled(fill) && !rejected.contains(promise) && is_open(promise)
         });
         // The entry was applied, or another entry of the pair has used its number. In the second case the share is unchanged
-        // and can be returned again.
+        // and the broker can propose a new release of the same bytes.
         self.releasing
             .take_if(|release| ledger.next_number(&release.debtor, &release.creditor) > release.number);
     }
--- a/crates/dunepond-settlement/tests/balances.rs
+++ b/crates/dunepond-settlement/tests/balances.rs
@@ -153,7 +153,7 @@
     assert_eq!(balances.apply(&SettlementEntry::Allot(entry.clone())), Ok(ApplyOutcome::New));
     assert_eq!(balances.apply(&SettlementEntry::Allot(entry)), Ok(ApplyOutcome::Duplicate));
     assert_eq!(allot_evenly(&balances, "a", "b", &brokers), None);
-    // x is partitioned and promises settlements. y returns an unspent part of its share, which is allotted to z.
+    // x is partitioned and promises settlements. y releases an unspent part of its share, which is allotted to z.
     let (mut x, mut y) = (SharePromises::new("x").unwrap(), SharePromises::new("y").unwrap());
     x.promise(balances.ledger(), settlement("1/1/h", "x", 30)).unwrap();
     x.promise(balances.ledger(), settlement("1/1/h", "x", 30)).unwrap();
--- a/crates/dunepond-settlement/tests/model.rs
+++ b/crates/dunepond-settlement/tests/model.rs
@@ -23,7 +23,7 @@
 const LOSES_FOLDER: usize = 1;
 /// Index of the broker that may crash.
 const CRASHES: usize = 0;
-/// Index of the broker that may return a part of its share.
+/// Index of the broker that may release (give back) a part of its share.
 const RELEASES: usize = 0;
 /// Index of the broker that may receive the failed broker's counts.
 const RECEIVES_COUNTS: usize = 1;
