--- a/crates/dunepond-quota/src/entry.rs
+++ b/crates/dunepond-quota/src/entry.rs
@@ -12,13 +12,14 @@
     /// broker.
     #[serde(rename = "Bounds")]
     Configure(SharedQuotas),
-    /// Adds a broker, which may hold shares from then on.
+    /// Adds a broker to the ledger, so that it can be given shares.
     #[serde(rename = "Seat")]
     AddBroker {
         /// Name of the broker to add.
         broker: String,
     },
-    /// Removes a broker, which may no longer hold shares. Rejected while units are reserved for the broker.
+    /// Removes a broker from the ledger, so that it can no longer be given shares. Rejected while units are reserved for
+    /// the broker.
     #[serde(rename = "Free")]
     RemoveBroker {
         /// Name of the broker to remove.
@@ -38,7 +39,7 @@
     Release {
         /// Name of the broker whose share shrank.
         broker: String,
-        /// Ledger generation of the broker's last shrink.
+        /// Ledger generation of the last entry that shrank one of the broker's shares.
         generation: u64,
     },
 }
--- a/crates/dunepond-quota/src/error.rs
+++ b/crates/dunepond-quota/src/error.rs
@@ -111,7 +111,7 @@
     NotAwaited {
         /// Name of the broker whose units would be released.
         broker: String,
-        /// Ledger generation of the shrink, as stated in the entry.
+        /// Ledger generation that the entry names: that of the shrink whose units it would release.
         generation: u64,
     },
     /// A broker other than the leader proposed a release.
--- a/crates/dunepond-quota/src/ledger.rs
+++ b/crates/dunepond-quota/src/ledger.rs
@@ -61,7 +61,7 @@
     pub shared: Option<SharedQuotas>,
     /// Number of entries that have been applied; increases with each change.
     pub generation: u64,
-    /// Brokers that may hold shares, with their shares, by broker name.
+    /// Brokers that can be given shares, with their shares, by broker name.
     #[serde(rename = "seats")]
     pub brokers: BTreeMap<String, BrokerShares>,
 }
--- a/crates/dunepond-quota/tests/plan.rs
+++ b/crates/dunepond-quota/tests/plan.rs
@@ -30,8 +30,8 @@
         .collect()
 }
 
-/// Applies planned entries until the planner proposes none, releasing each shrink at once. Returns the number of entries
-/// that set shares.
+/// Applies planned entries until the planner proposes none. If an entry shrinks shares, the units that stay reserved for
+/// them are released immediately after it. Returns the number of entries that set shares.
 fn plan_until_stable(
     ledger: &mut QuotaLedger,
     received: &BTreeMap<String, ReceivedReport>,
--- a/crates/dunepond-shard-map/src/fault.rs
+++ b/crates/dunepond-shard-map/src/fault.rs
@@ -195,7 +195,7 @@
         #[serde(rename = "spot")]
         context: Box<SegmentContext>,
     },
-    /// The shares of a segment's replicas do not add up to 1.
+    /// The shares of a segment's replicas (the fractions of its reads that they serve) do not add up to 1.
     #[error("the shares of the segment's replicas add up to {sum} instead of 1: {context}")]
     #[serde(rename = "SharesDoNotAddUp")]
     ShareSumNotOne {
--- a/crates/dunepond-shard-map/src/model.rs
+++ b/crates/dunepond-shard-map/src/model.rs
@@ -10,7 +10,7 @@
 pub struct Replica {
     /// Name of the replica's node in discovery's endpoint list.
     pub node: String,
-    /// Name of the partner that runs the replica's node.
+    /// Name of the partner (the organisation) that runs the replica's node.
     pub partner: String,
     /// Whether the replica's data is complete; false if it has to be filled first.
     pub filled: bool,
@@ -52,7 +52,7 @@
     pub name: String,
     /// Zone of the node, which is its failure domain.
     pub zone: String,
-    /// Name of the partner that runs the node.
+    /// Name of the partner (the organisation) that runs the node.
     pub partner: String,
     /// Whether the node is shutting down; it may then have no replicas in a new map.
     pub draining: bool,
--- a/crates/dunepond-shard-map/src/segment_rules.rs
+++ b/crates/dunepond-shard-map/src/segment_rules.rs
@@ -6,8 +6,8 @@
 use crate::fault::{MapFault, SegmentContext, SegmentRef};
 use crate::{MapConstraints, Node, Replica, Segment};
 
-/// Largest accepted difference between 1 and the sum of a segment's shares. It is large enough for thirds that are
-/// written with seven digits, as in 0.3333333.
+/// Largest accepted difference between 1 and the sum of the shares of a segment's replicas (the fractions of the segment's
+/// reads that they serve). It is large enough for thirds that are written with seven digits, as in 0.3333333.
 const SHARE_SUM_TOLERANCE: f64 = 1e-6;
 
 /// The nodes and constraints that segments are checked against.
--- a/crates/dunepond-shard-map/src/transition.rs
+++ b/crates/dunepond-shard-map/src/transition.rs
@@ -37,9 +37,9 @@
     pub unchanged: usize,
 }
 
-/// Verifies the transition between two maps, or returns all its faults. Each new segment is compared with the old
-/// segments that have the same keys, not with the old segment of the same id: if an id has other keys than before,
-/// these keys were migrated.
+/// Verifies the transition between two maps, or returns all its faults. Each segment of the new map is compared with the
+/// old segments that contain its keys, not with the old segment of the same id: if that id has other keys in the new map,
+/// the data of these keys comes from old segments with other ids.
 pub fn verify_transition(from: &VerifiedMap, to: &VerifiedMap) -> Result<MapTransition, Vec<MapFault>> {
     // One pass along both maps, which are ordered by first key; identical segments have the same first key.
     let mut old_segments = from.by_key.values().peekable();
--- a/crates/dunepond-shard-map/tests/properties.rs
+++ b/crates/dunepond-shard-map/tests/properties.rs
@@ -382,8 +382,8 @@
         let verified_map = verified(&map);
         let queried: Vec<_> = queried.into_iter().map(|(from, to)| keys(from.min(to - 1), to)).collect();
         let mut parts = Vec::new();
-        // The parts of a correct answer: one for each queried range and each segment that overlaps it. Where queried ranges
-        // overlap, their common keys are covered twice.
+        // One part for each queried range and each segment that overlaps it. These parts are a complete answer, unless
+        // queried ranges overlap: the keys in both ranges are then covered twice, which must be reported as a fault.
         for range in &queried {
             for segment in verified_map.overlapping(*range) {
                 parts.push(AnsweredPart { segment: segment.id, keys: segment.keys.intersection(range).unwrap(), epoch: 1 });
