--- a/crates/dunepond-recovery/src/learned_state.rs
+++ b/crates/dunepond-recovery/src/learned_state.rs
@@ -57,8 +57,8 @@
     /// Fraction (0 to 1) of the snapshot's nodes that are unchanged: the endpoint list still names them with the same
     /// address, and their process was not restarted.
     pub unchanged_ratio: f64,
-    /// Fraction (0 to 1) of the snapshot's samples that is restored, of which the newest are taken; at 0, nothing is
-    /// restored.
+    /// Fraction (0 to 1) of the snapshot's samples that is restored. The newest samples are restored, and the older ones
+    /// are dropped. At 0, nothing is restored.
     pub weight: f64,
 }
 
--- a/crates/dunepond-recovery/src/lib.rs
+++ b/crates/dunepond-recovery/src/lib.rs
@@ -18,12 +18,14 @@
 /// Format version of the snapshots and journal records of this crate.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// Largest difference, in seconds, by which the Unix time of a later timestamp may lie before that of an earlier
-/// timestamp: the time between the two then counts as 0. If the difference is larger, the time between them is unknown.
+/// Largest tolerated setback of Unix time between two timestamps, in seconds. If Unix time went back by at most this much
+/// from the first timestamp to the second, the time between the two counts as 0. If it went back further, the time
+/// between them is unknown.
 const MAX_UNIX_SETBACK_SECONDS: f64 = 1.0;
-/// Largest difference, in seconds, by which the uptime of a later timestamp may lie below that of an earlier timestamp
-/// of the same boot: the time between the two then counts as 0. If the difference is larger, the time between them is
-/// unknown. The limit only has to allow for rounding, since the uptime clock is never set back.
+/// Largest tolerated setback of the uptime between two timestamps of the same boot, in seconds. If the uptime went back by
+/// at most this much from the first timestamp to the second, the time between the two counts as 0. If it went back
+/// further, the time between them is unknown. The limit only has to allow for rounding, since the uptime clock is never
+/// set back.
 const MAX_UPTIME_SETBACK_SECONDS: f64 = 0.1;
 
 /// A point in time by two clocks: Unix time, which may be set forward or back, and uptime, which restarts at 0 with
--- a/crates/dunepond-recovery/src/spent_budgets.rs
+++ b/crates/dunepond-recovery/src/spent_budgets.rs
@@ -38,7 +38,8 @@
 pub enum OutstandingCharges {
     /// The spending is not known: everything that could have been spent counts as spent just now.
     Unknown,
-    /// The spending is known exactly; it is empty if no broker has used the directory before.
+    /// The spending is known exactly. It is empty if the budget journal has no records, that is, if no broker has used the
+    /// journal's directory before.
     Known(SpentBudgets),
 }
 
@@ -103,8 +104,8 @@
         return OutstandingCharges::Unknown;
     }
     let (at, retries, admissions, slow_start_sends) = match records.last() {
-        // No broker has used this directory before, so nothing is charged. A broker that ran without a directory did
-        // not keep its spent budgets across restarts either.
+        // No broker has used the budget journal's directory before, so nothing is charged. A broker that ran without a
+        // directory did not keep its spent budgets across restarts either.
         None => return OutstandingCharges::Known(SpentBudgets::default()),
         Some(BudgetRecord::BrokerStarted { .. }) => return OutstandingCharges::Unknown,
         Some(BudgetRecord::BrokerStopped { at, retries, admissions, slow_start_sends }) => {
--- a/crates/dunepond-storage/src/journal.rs
+++ b/crates/dunepond-storage/src/journal.rs
@@ -41,8 +41,8 @@
     files: Arc<dyn FileStore>,
     name: String,
     version: u32,
-    /// The open journal file. `None` after a failed write or sync, since it is then unknown where the valid content of
-    /// the file ends, until the journal is rewritten to a new file.
+    /// The open journal file. A failed write or sync sets it to `None`, since it is then unknown where the valid content
+    /// of the file ends. It stays `None` until [`Journal::rewrite`] has written a new file.
     file: Option<Box<dyn WritableFile>>,
     next_number: u64,
     length_bytes: u64,
