--- a/crates/dunepond-config/src/migrate/known_keys.rs
+++ b/crates/dunepond-config/src/migrate/known_keys.rs
@@ -2,8 +2,8 @@
 
 use serde_json::{Map, Value};
 
-/// Known keys, separated by spaces, by the path of the object that contains them. An object whose path is not listed
-/// keeps all its keys.
+/// Pairs of an object's path and the object's known keys, which are separated by spaces. An object whose path is not
+/// listed keeps all its keys.
 const KNOWN_KEYS: [(&str, &str); 12] = [
     ("", "name listen discovery seed log limits known settings"),
     ("limits", "cores memory_mb sockets"),
--- a/crates/dunepond-config/src/migrate/mod.rs
+++ b/crates/dunepond-config/src/migrate/mod.rs
@@ -1,6 +1,7 @@
 //! Converts a configuration file from the earlier format to the current one, and reports each changed or removed key.
-//! In the earlier format, the replicas of a segment are in several neighbouring replica groups, and clients may be told
-//! when to retry.
+//! In the earlier format, the replica groups form a ring, the replicas of a segment may be in several groups that follow
+//! each other in the ring, and clients may be told when to retry. In the current format, all replicas of a segment are in
+//! one replica group, and clients are not told when to retry.
 
 mod known_keys;
 
@@ -74,8 +75,8 @@
 struct OldLayout {
     /// Number of replica groups.
     groups: usize,
-    /// Number of neighbouring replica groups that store the same segment. Unless [`MigrationOptions::replica_groups`]
-    /// is given, this many old groups are joined into one new group.
+    /// Number of consecutive replica groups in the ring of groups that store the same segment. Unless
+    /// [`MigrationOptions::replica_groups`] is given, this many old groups are joined into one new group.
     span: usize,
 }
 
--- a/crates/dunepond-config/src/operator/quotas.rs
+++ b/crates/dunepond-config/src/operator/quotas.rs
@@ -5,7 +5,7 @@
 use super::reader::Reader;
 
 /// Which quotas are shared, that is, divided among the brokers of a fleet by demand. A quota that the file doesn't name
-/// is not shared: each broker determines its part of it on its own.
+/// is not divided by demand: each broker determines by itself how much of the quota it may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaConfig {
     /// Ratio of each shared quota that brokers may use without a lease, split evenly among them. The rest of the quota
@@ -14,7 +14,8 @@
     /// Interval between two allocations of the shared quotas to the brokers, in seconds.
     pub interval_seconds: f64,
     /// Number of parts per second that one warm node (a node that is past its slow start) accepts from all brokers
-    /// together; it limits what the brokers send to a node in slow start. `None` if that limit is not shared.
+    /// together. The limit on the parts that all brokers together send to a node in slow start is proportional to this
+    /// number. `None` if that limit is not shared.
     pub slow_start_parts_per_second: Option<f64>,
     /// Whether the brokers share the minimum of the retry budget: the number of retries and hedged requests that are
     /// allowed regardless of the load.
--- a/crates/dunepond-search-api/src/hits/merger.rs
+++ b/crates/dunepond-search-api/src/hits/merger.rs
@@ -19,7 +19,7 @@
     pub total_is_exact: bool,
     /// The highest score of any hit; `None` if no part returned a score.
     pub max_score: Option<f64>,
-    /// Whether a node stopped searching for some part early, because of the search's `terminate_after`.
+    /// Whether a node ended the search of some part's segment early, because of the search's `terminate_after`.
     pub terminated_early: bool,
 }
 
--- a/crates/dunepond-search-api/src/hits/part_result.rs
+++ b/crates/dunepond-search-api/src/hits/part_result.rs
@@ -15,7 +15,7 @@
     pub max_score: Option<f64>,
     /// The first hits in sort order, as the node returned them.
     pub hits: Vec<Hit>,
-    /// Whether the node stopped searching early, because of the search's `terminate_after`.
+    /// Whether the node ended the search of the part's segment early, because of the search's `terminate_after`.
     pub terminated_early: bool,
 }
 
--- a/crates/dunepond-search-api/src/query/mod.rs
+++ b/crates/dunepond-search-api/src/query/mod.rs
@@ -74,9 +74,10 @@
     Bool(Box<BoolQuery>),
     QueryString {
         text: String,
-        /// `default_field`.
+        /// Field in which terms of `text` that name no field are searched (`default_field`); `None` if the client gives
+        /// none, which leaves the choice to the node.
         field: Option<String>,
-        /// `default_operator`.
+        /// How terms of `text` that have no operator between them are combined (`default_operator`).
         operator: Operator,
     },
 }
--- a/crates/dunepond-search-api/src/request/search.rs
+++ b/crates/dunepond-search-api/src/request/search.rs
@@ -64,7 +64,7 @@
     pub timeout_seconds: Option<f64>,
     /// How far the total number of hits is counted.
     pub track_total_hits: TrackTotalHits,
-    /// Number of hits after which a node may stop searching for a part; `None` for no limit.
+    /// Number of hits after which a node may end the search of a part's segment early; `None` for no limit.
     pub terminate_after: Option<u64>,
     /// Whether the client accepts a response that lacks the results of some parts.
     pub allow_partial_results: bool,
