--- a/crates/dunepond-broker/tests/agent/mod.rs
+++ b/crates/dunepond-broker/tests/agent/mod.rs
@@ -119,5 +119,5 @@
     for i in 0..3 {
         assert_eq!(client.request(&query_request("find", &format!("c{i}"), &[0, 1], "2.0")).status, 200);
     }
-    assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (0, 6));
+    assert_eq!((nodes[0].frames_of_type('A').len(), nodes[1].frames_of_type('A').len()), (0, 6));
 }
--- a/crates/dunepond-broker/tests/blocked_event_loop.rs
+++ b/crates/dunepond-broker/tests/blocked_event_loop.rs
@@ -26,7 +26,7 @@
 #[test]
 fn unreadable_config_does_not_block() {
     let nodes = [Node::start("s-0")];
-    let (mut broker, _list) = Broker::start_for_changed(&nodes, |_| {});
+    let (mut broker, _list) = Broker::start_with_config(&nodes, |_| {});
     let mut client = Client::connect(&broker);
     assert_eq!(status(&mut client, "c1"), Some(200));
     std::fs::remove_file(&broker.config_file).unwrap();
--- a/crates/dunepond-broker/tests/client_close/attempts.rs
+++ b/crates/dunepond-broker/tests/client_close/attempts.rs
@@ -34,7 +34,7 @@
     scenario.node.end_attempt("c1.0", "fault");
     scenario.node.wait(|received| received.frames.iter().filter(|f| f.is_of_part('A', "c1.0")).count() == 2);
     scenario.node.end_attempt("c1.0", "hit");
-    assert_eq!(client.read_answer().unwrap().status, 200);
+    assert_eq!(client.read_response().unwrap().status, 200);
 }
 
 /// The second request is read together with the first one and would be started when the first one is answered.
--- a/crates/dunepond-broker/tests/client_close/late_connection.rs
+++ b/crates/dunepond-broker/tests/client_close/late_connection.rs
@@ -60,7 +60,7 @@
     let list = DiscoveryServer::start(vec![node.endpoint()]);
     config["discovery"] = json!(list.address.to_string());
     let broker = Broker::start(&config);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("find", "c1", &[0], "2.9"));
     late.wait_connect_pending();
--- a/crates/dunepond-broker/tests/connection_close.rs
+++ b/crates/dunepond-broker/tests/connection_close.rs
@@ -103,7 +103,7 @@
     /// Answers the client's query and checks that the client receives the response.
     fn respond(&mut self, client: &mut Client, id: usize) {
         self.clients.reply(self.now, id, 200, "{}", 0.0, &mut self.timers);
-        assert_eq!(client.read_answer().unwrap().status, 200);
+        assert_eq!(client.read_response().unwrap().status, 200);
         self.clients.pending_clients.clear();
     }
 
@@ -288,7 +288,7 @@
     });
     assert_eq!(open_connections, [1; 3]);
     if reads {
-        assert_eq!(client.read_answer().unwrap().body, json!(answer));
+        assert_eq!(client.read_response().unwrap().body, json!(answer));
     }
     // Once the response is read or counts as lost, the connection is closed.
     harness.clients.on_timeout(harness.now + 3.6, id, &mut harness.timers);
@@ -322,9 +322,9 @@
     harness.clients.close_after_responses();
     harness.send(&mut client, id, &request());
     harness.clients.reply(harness.now, id, 200, "{}", 0.0, &mut harness.timers);
-    assert!(!client.read_answer().unwrap().head.contains("Connection: close"));
+    assert!(!client.read_response().unwrap().header.contains("Connection: close"));
     assert_eq!(harness.read_pending(), [id]);
     harness.clients.reply(harness.now, id, 200, "{}", 0.0, &mut harness.timers);
-    assert!(client.read_answer().unwrap().head.contains("Connection: close"));
+    assert!(client.read_response().unwrap().header.contains("Connection: close"));
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
 }
--- a/crates/dunepond-broker/tests/discovery/descriptors.rs
+++ b/crates/dunepond-broker/tests/discovery/descriptors.rs
@@ -51,5 +51,5 @@
     let nodes = nodes();
     let (_broker, _agent, _call, mut first, _idle_clients) = broker_without_descriptors(&nodes);
     assert_eq!(first.request(&query_request("fix", "c1", &[0], "2.0")).status, 200);
-    assert_eq!(nodes[0].frames('A').len(), 1);
+    assert_eq!(nodes[0].frames_of_type('A').len(), 1);
 }
--- a/crates/dunepond-broker/tests/discovery/first_list.rs
+++ b/crates/dunepond-broker/tests/discovery/first_list.rs
@@ -44,5 +44,5 @@
     call.answer(&first_node_draining(2, &nodes));
     assert!(call.read_request().contains("index=2&"));
     assert_eq!(client.request(&query_request("fix", "c2", &[0], "0.6")).status, 200);
-    assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (0, 1));
+    assert_eq!((nodes[0].frames_of_type('A').len(), nodes[1].frames_of_type('A').len()), (0, 1));
 }
--- a/crates/dunepond-broker/tests/discovery/full_list.rs
+++ b/crates/dunepond-broker/tests/discovery/full_list.rs
@@ -90,7 +90,7 @@
     }
     nodes[1].wait_for_frames('A', 1);
     list.publish(vec![nodes[1].endpoint("ready")]);
-    assert!(clients.iter_mut().all(|client| client.read_answer().unwrap().status == 200));
+    assert!(clients.iter_mut().all(|client| client.read_response().unwrap().status == 200));
     // Once the queue has room the connection is established by the next SYN, after a second.
     let mut accepted =
         std::iter::repeat_with(|| full.accept().unwrap()).find(|(_, peer)| !fill.contains(peer)).unwrap().0;
--- a/crates/dunepond-broker/tests/endpoint_list.rs
+++ b/crates/dunepond-broker/tests/endpoint_list.rs
@@ -113,8 +113,8 @@
     std::thread::sleep(Duration::from_millis(200));
     let _silent = silent_first.then(|| std::mem::replace(&mut call, agent.accept_request().0));
     call.answer(&first_node_draining(2, &nodes));
-    assert_eq!(client.read_answer().unwrap().status, 200);
-    assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (0, 1));
+    assert_eq!(client.read_response().unwrap().status, 200);
+    assert_eq!((nodes[0].frames_of_type('A').len(), nodes[1].frames_of_type('A').len()), (0, 1));
 }
 
 #[test]
--- a/crates/dunepond-broker/tests/fleet/harness.rs
+++ b/crates/dunepond-broker/tests/fleet/harness.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use dunepond_control_plane::{AuditEvent, AuditPhase, AuditRecord};
-use dunepond_testkit::stand_ins::{self, Answer, Broker, Client, DiscoveryServer, Node, query_request};
+use dunepond_testkit::stand_ins::{self, Broker, Client, DiscoveryServer, Node, Response, query_request};
 use serde_json::{Value, json};
 
 /// Longest wait for an expected audit record or fill request.
@@ -97,7 +97,7 @@
         config["settings"]["ceilings"]["connectTimeoutMs"] = json!(2500.0);
         let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
         command.arg("run").arg("--operator").arg(&kdl);
-        Broker::from_child(stand_ins::launch_command(command, &config))
+        Broker::wait_until_listening(stand_ins::launch_command(command, &config))
     }
 
     /// Writes the file from which this broker proposes a configuration version.
@@ -211,7 +211,7 @@
 }
 
 /// Sends a query on a new connection and returns its response.
-pub fn send_query(broker: &Broker, query_class: &str, id: &str, segments: &[usize]) -> Answer {
+pub fn send_query(broker: &Broker, query_class: &str, id: &str, segments: &[usize]) -> Response {
     Client::connect(broker).request(&query_request(query_class, id, segments, "2.5"))
 }
 
--- a/crates/dunepond-broker/tests/fleet/main.rs
+++ b/crates/dunepond-broker/tests/fleet/main.rs
@@ -55,7 +55,7 @@
     });
     let between = send_query(&broker, "fix", "b", &[0]);
     assert_eq!(between.status, 429, "{between:?}");
-    assert!(between.head.contains("Retry-After: "), "{between:?}");
+    assert!(between.header.contains("Retry-After: "), "{between:?}");
     // The query was rejected before it reached the router.
     fleet.wait(
         0,
@@ -63,15 +63,15 @@
         |line| matches!(&line.event, AuditEvent::Rejected { request_id, .. } if request_id == "b"),
     );
     // The excluded node gets nothing new in the joint phase.
-    let left = fleet.nodes[1].frames('A').len();
+    let left = fleet.nodes[1].frames_of_type('A').len();
     (0..6).for_each(|i| assert_eq!(send_query(&broker, "find", &format!("c{i}"), &[0, 1, 2]).status, 200));
-    assert_eq!(fleet.nodes[1].frames('A').len(), left);
+    assert_eq!(fleet.nodes[1].frames_of_type('A').len(), left);
     fleet.wait_active(0, 2);
     assert_eq!(send_query(&broker, "fix", "d", &[0]).status, 200);
     // It gets nothing new in the active phase either, although discovery lists it as ready.
-    let before = fleet.nodes[1].frames('A').len();
+    let before = fleet.nodes[1].frames_of_type('A').len();
     (0..12).for_each(|i| assert_eq!(send_query(&broker, "find", &format!("e{i}"), &[0, 1, 2]).status, 200));
-    assert_eq!(fleet.nodes[1].frames('A').len(), before);
+    assert_eq!(fleet.nodes[1].frames_of_type('A').len(), before);
     assert_eq!(
         non_idempotent_sent(fleet.audit_log(0)),
         [("s-0".to_string(), vec![1]), ("s-2".to_string(), vec![2])]
@@ -105,7 +105,7 @@
     clients[1].send(&query_request("find", "b", &[0, 1], "2.5"));
     thread::sleep(Duration::from_millis(800));
     broker.signal("CONT");
-    let answers = clients.map(|mut client| client.read_answer().unwrap());
+    let answers = clients.map(|mut client| client.read_response().unwrap());
     assert_eq!(answers.each_ref().map(|answer| answer.status), [429, 200], "{answers:?}");
     fleet.wait_lease_expired(0);
     assert_eq!(non_idempotent_sent(fleet.audit_log(0)), []);
@@ -159,7 +159,7 @@
     // First samples for the usual latency, then a query whose attempts all fail.
     (0..20).for_each(|i| drop(send_query(&broker, "find", &format!("a{i}"), &[0])));
     fleet.nodes.iter().for_each(|node| node.set_behavior(NodeBehavior::ReplyStatus("fault")));
-    let sent = || fleet.nodes.iter().map(|node| node.frames('A').len()).sum::<usize>();
+    let sent = || fleet.nodes.iter().map(|node| node.frames_of_type('A').len()).sum::<usize>();
     let before = sent();
     assert_ne!(send_query(&broker, "find", "b", &[0]).status, 200);
     let sent = sent() - before;
@@ -218,7 +218,7 @@
         thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(String::from_utf8_lossy(&received), "");
-    assert_ne!(client.read_answer().unwrap().status, 200);
+    assert_ne!(client.read_response().unwrap().status, 200);
     assert_eq!(non_idempotent_sent(fleet.audit_log(0)), []);
     broker.log_text().contains("the active configuration forbids it")
 }
@@ -254,7 +254,7 @@
         scan.replacen("X-Call-Id", "X-Caller: mill\r\nX-Call-Id", 1)
     };
     (0..10).for_each(|i| drop(Client::connect(&broker).request(&tenant_query(i))));
-    let max_bytes = fleet.nodes[2].frames('A').len() as u64 * "v-q1".len() as u64;
+    let max_bytes = fleet.nodes[2].frames_of_type('A').len() as u64 * "v-q1".len() as u64;
     assert!(max_bytes > 0, "south's node received no attempt");
     thread::sleep(Duration::from_millis(1700));
 
--- a/crates/dunepond-broker/tests/golden.rs
+++ b/crates/dunepond-broker/tests/golden.rs
@@ -134,7 +134,7 @@
     std::fs::write(&file, kdl).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
     command.arg("run").arg("--operator").arg(&file);
-    let broker = Broker::from_child(stand_ins::launch_command(command, &config));
+    let broker = Broker::wait_until_listening(stand_ins::launch_command(command, &config));
     std::fs::remove_file(&file).unwrap();
     (broker, list)
 }
@@ -148,7 +148,7 @@
 #[test]
 fn answers_to_served_queries() {
     let nodes = nodes(2);
-    let (broker, _list) = Broker::start_for(&nodes);
+    let (broker, _list) = Broker::start_with_nodes(&nodes);
     let (at, mut transcript) = (broker.address, Transcript::default());
     transcript.ask("whole", at, &query_request("find", "c1", &[3, 5], "2.0"));
     transcript.ask(
@@ -211,13 +211,13 @@
     ] {
         let nodes = nodes(1);
         nodes[0].set_behavior(behavior);
-        let (broker, _list) = Broker::start_for(&nodes);
+        let (broker, _list) = Broker::start_with_nodes(&nodes);
         transcript.put(
             label,
             &mask_retry_after(&exchange(broker.address, &query_request(query_class, "c1", &[2], "1.0"))),
         );
     }
-    let (broker, _list) = Broker::start_for(&[]);
+    let (broker, _list) = Broker::start_with_nodes(&[]);
     transcript.put(
         "rejected without nodes",
         &mask_retry_after(&exchange(broker.address, &query_request("find", "c1", &[0], "2.0"))),
@@ -225,7 +225,7 @@
     transcript.ask("not ready", broker.address, "GET /ready HTTP/1.1\r\n\r\n");
     let nodes = nodes(1);
     nodes[0].set_behavior(NodeBehavior::Hang);
-    let (broker, _list) = Broker::start_for_with(&nodes, "/settings/ceilings/mostHeld", json!(4));
+    let (broker, _list) = Broker::start_with_config_value(&nodes, "/settings/ceilings/mostHeld", json!(4));
     let mut first = Client::connect(&broker);
     first.send(&query_request("find", "c1", &[0, 1, 2], "2.0"));
     nodes[0].wait_for_frames('A', 3);
@@ -250,7 +250,7 @@
 #[test]
 fn answers_to_malformed_requests() {
     let nodes = nodes(1);
-    let (broker, _list) = Broker::start_for(&nodes);
+    let (broker, _list) = Broker::start_with_nodes(&nodes);
     let (at, mut transcript) = (broker.address, Transcript::default());
     let good = |id: &str| query_request("find", id, &[1], "2");
     let three = query_request("find", "c1", &[1, 2, 3], "2");
@@ -579,9 +579,13 @@
             search_cluster::SearchNodeBehavior::HangOddSegments,
             "/find/_search?timeout=800ms&size=1",
         ),
-        ("rejected", search_cluster::SearchNodeBehavior::Refuse, "/all/_search?timeout=1s"),
-        ("rejected update", search_cluster::SearchNodeBehavior::Refuse, "/fix/_update_by_query?timeout=1s"),
-        ("failed update", search_cluster::SearchNodeBehavior::Fault, "/fix/_update_by_query?timeout=1s"),
+        ("rejected", search_cluster::SearchNodeBehavior::Reject, "/all/_search?timeout=1s"),
+        ("rejected update", search_cluster::SearchNodeBehavior::Reject, "/fix/_update_by_query?timeout=1s"),
+        (
+            "failed update",
+            search_cluster::SearchNodeBehavior::ReportFailure,
+            "/fix/_update_by_query?timeout=1s",
+        ),
     ] {
         let cluster = start_cluster(&[NodeProtocol::Frames]);
         cluster.nodes.iter().for_each(|node| node.set_behavior(behavior));
--- a/crates/dunepond-broker/tests/migrate.rs
+++ b/crates/dunepond-broker/tests/migrate.rs
@@ -73,7 +73,7 @@
         let answer = client.request(&query_request("find", &format!("c{i}"), &[1, 4], "2.0"));
         assert_eq!(answer.status, 200);
     }
-    let attempts: Vec<_> = nodes.iter().map(|node| node.frames('A').len()).collect();
+    let attempts: Vec<_> = nodes.iter().map(|node| node.frames_of_type('A').len()).collect();
     assert!(attempts[1] > 0 && attempts[4] > 0, "{attempts:?}");
     assert_eq!(attempts[0] + attempts[2] + attempts[3] + attempts[5], 0, "{attempts:?}");
     [old, new].iter().for_each(|path| std::fs::remove_file(path).unwrap());
--- a/crates/dunepond-broker/tests/node_connections/answers.rs
+++ b/crates/dunepond-broker/tests/node_connections/answers.rs
@@ -16,7 +16,7 @@
 fn closed_idle_connection_not_reused(#[values(false, true)] resets: bool) {
     let node = ManualNode::start();
     let (broker, list) = start_broker(vec![node.row("s-0", "ready")], &[]);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let (mut client, mut connection) = serve_first_query(&broker, &node);
     stop_when_idle(&broker);
     send_unread(&mut client, &query_request("fix", "c2", &[0], "2.5"));
@@ -25,7 +25,7 @@
     connection = node.accept();
     let part = connection.read_part();
     connection.serve(&part);
-    assert_eq!(client.read_answer().unwrap().status, 200);
+    assert_eq!(client.read_response().unwrap().status, 200);
 }
 
 /// The connection's idle timeout has passed, but the broker handles a new request before the timeout.
@@ -34,7 +34,7 @@
     let node = ManualNode::start();
     let (broker, list) =
         start_broker(vec![node.row("s-0", "ready")], &[("/settings/ceilings/idleCloseMs", json!(400.0))]);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let (mut client, old) = serve_first_query(&broker, &node);
     stop_when_idle(&broker);
     send_unread(&mut client, &query_request("fix", "c2", &[0], "2.5"));
@@ -43,7 +43,7 @@
     let mut connection = node.accept();
     let part = connection.read_part();
     connection.serve(&part);
-    assert_eq!(client.read_answer().unwrap().status, 200);
+    assert_eq!(client.read_response().unwrap().status, 200);
     assert!(old.read_to_close().is_empty());
 }
 
@@ -54,7 +54,7 @@
 fn answer_before_reset_is_used(#[case] sends_next: bool) {
     let node = ManualNode::start();
     let (broker, list) = start_broker(vec![node.row("s-0", "ready")], &[]);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let (mut first, mut second) = (Client::connect(&broker), Client::connect(&broker));
     first.send(&query_request("fix", "c1", &[0], "2.5"));
     let mut connection = node.accept();
@@ -66,10 +66,10 @@
     connection.serve(&part);
     connection.close(true);
     broker.signal("CONT");
-    assert_eq!(first.read_answer().unwrap().status, 200);
+    assert_eq!(first.read_response().unwrap().status, 200);
     if sends_next {
         // The second part was not sent, and there is no other node.
-        assert_eq!(second.read_answer().unwrap().status, 429);
+        assert_eq!(second.read_response().unwrap().status, 429);
     }
 }
 
@@ -77,7 +77,7 @@
 fn partial_answer_before_reset_is_dropped() {
     let node = ManualNode::start();
     let (broker, list) = start_broker(vec![node.row("s-0", "ready")], &[]);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("fix", "c1", &[0], "2.5"));
     let mut connection = node.accept();
@@ -85,7 +85,7 @@
     let answer = answer_frame(&part.id, "hit");
     connection.write(&answer[..answer.len() - 1]);
     connection.reset();
-    assert_eq!(client.read_answer().unwrap().status, 502);
+    assert_eq!(client.read_response().unwrap().status, 502);
 }
 
 /// The first attempt's response arrives a second time after the retry was sent; it must not end the retry.
@@ -94,7 +94,7 @@
     let node = ManualNode::start();
     let keys = [("/settings/ceilings/secondCopies", json!(false))];
     let (broker, list) = start_broker(vec![node.row("s-0", "ready")], &keys);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("find", "c1", &[0], "2.8"));
     let mut connection = node.accept();
@@ -106,7 +106,7 @@
     connection.write(&answer_frame(&part.id, "fault"));
     wait_until_processed(&broker);
     other.serve(&again);
-    assert_eq!(client.read_answer().unwrap().status, 200);
+    assert_eq!(client.read_response().unwrap().status, 200);
     drop(broker);
     assert!(connection.read_to_close().is_empty() && other.read_to_close().is_empty());
 }
@@ -117,7 +117,7 @@
     let node = ManualNode::start();
     let keys = [("/settings/ceilings/connectTimeoutMs", json!(1000.0))];
     let (broker, list) = start_broker(vec![node.row("s-0", "ready")], &keys);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("fix", "c1", &[0, 1, 2], "2.8"));
     let mut connection = node.accept();
@@ -128,5 +128,5 @@
         connection.write(piece);
         std::thread::sleep(Duration::from_millis(600));
     }
-    assert_eq!(client.read_answer().unwrap().status, 200);
+    assert_eq!(client.read_response().unwrap().status, 200);
 }
--- a/crates/dunepond-broker/tests/node_connections/cancellation.rs
+++ b/crates/dunepond-broker/tests/node_connections/cancellation.rs
@@ -18,7 +18,7 @@
         ("/settings/ceilings/secondCopies", json!(false)),
     ];
     let (broker, list) = start_broker(vec![node.row("s-0", "ready")], &keys);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("find", "c1", &[0], "2.5"));
     let mut connection = node.accept();
@@ -34,7 +34,7 @@
     let mut on = if ended { connection } else { node.accept() };
     assert_eq!(on.read_part().id, "c2.1");
     on.write(&[answer_frame("c2.1", "hit"), answer_frame("c2.2", "hit")].concat());
-    assert_eq!(next.read_answer().unwrap().status, 200);
+    assert_eq!(next.read_response().unwrap().status, 200);
 }
 
 /// Guards against treating late responses to cancelled parts as protocol errors when there are more than a connection remembers.
@@ -49,7 +49,7 @@
         ("/settings/ceilings/secondCopies", json!(false)),
     ];
     let (broker, list) = start_broker(vec![node.row("s-0", "ready")], &keys);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let mut beside = Client::connect(&broker);
     beside.send(&query_request("fix", "c1", &[0], "2.9"));
     let mut connection = node.accept();
@@ -61,7 +61,7 @@
     let ends: Vec<_> = (0..800).map(|_| answer_frame(&connection.read_frame().1, "hit")).collect();
     connection.write(&ends.concat());
     connection.serve(&part);
-    assert_eq!(beside.read_answer().unwrap().status, 200);
+    assert_eq!(beside.read_response().unwrap().status, 200);
 }
 
 /// A connection whose streams are all occupied by cancelled parts can carry no further attempt.
@@ -70,7 +70,7 @@
     let node = ManualNode::start();
     let (broker, list) =
         start_broker(vec![node.row("s-0", "ready")], &[("/settings/ceilings/streamsPerConn", json!(1))]);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("find", "c1", &[0], "2.5"));
     let mut connection = node.accept();
--- a/crates/dunepond-broker/tests/node_connections/harness.rs
+++ b/crates/dunepond-broker/tests/node_connections/harness.rs
@@ -296,7 +296,7 @@
     let mut connection = manual.accept();
     let part = connection.read_part();
     connection.serve(&part);
-    assert_eq!(client.read_answer().unwrap().status, 200);
+    assert_eq!(client.read_response().unwrap().status, 200);
     (client, connection)
 }
 
@@ -319,7 +319,7 @@
     pub fn start_broker(query_class: &str, keys: &[(&str, Value)]) -> Self {
         let manual = ManualNode::with_small_buffers();
         let (broker, list) = start_broker(vec![manual.row("s-0", "ready")], keys);
-        list.wait_until_read();
+        list.wait_until_newest_version_polled();
         let (mut first, mut second) = (Client::connect(&broker), Client::connect(&broker));
         // Both queries arrive together, so that both parts wait for the connection.
         stop_when_idle(&broker);
@@ -336,7 +336,7 @@
     pub fn add_node(&self, health: &str) -> Node {
         let node = Node::start("s-1");
         self.list.publish(vec![self.manual.row("s-0", health), node.endpoint("ready")]);
-        self.list.wait_until_read();
+        self.list.wait_until_newest_version_polled();
         wait_until_processed(&self.broker);
         node
     }
--- a/crates/dunepond-broker/tests/node_connections/late_connect.rs
+++ b/crates/dunepond-broker/tests/node_connections/late_connect.rs
@@ -18,17 +18,17 @@
         ("/settings/ceilings/connectTimeoutMs", json!(5000.0)),
     ];
     let (broker, list) = start_broker(vec![manual.row("s-0", "ready")], &keys);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("fix", "c1", &[0], "2.5"));
     let mut connection = manual.accept();
     connection.read_part();
     list.publish(vec![manual.row("s-0", "ready"), late.row("s-1", "ready")]);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     connection.reset();
     late.wait_for_connect();
     let connection = late.accept_late(fill);
-    assert_eq!(client.read_answer().unwrap().status, 502);
+    assert_eq!(client.read_response().unwrap().status, 502);
     drop(broker);
     assert!(connection.read_to_close().is_empty());
 }
@@ -42,7 +42,7 @@
         ("/settings/services/1/aimMs", json!(400.0)),
     ];
     let (broker, list) = start_broker(vec![late.row("s-0", "ready")], &keys);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("fix", "c1", &[0], budget));
     late.wait_for_connect();
@@ -59,7 +59,7 @@
     std::thread::sleep(Duration::from_millis(600).saturating_sub(start.elapsed()));
     broker.signal("CONT");
     // Rejected or failed, depending on the order of events; in both cases nothing may be written.
-    assert_ne!(client.read_answer().unwrap().status, 200);
+    assert_ne!(client.read_response().unwrap().status, 200);
     drop(broker);
     assert!(connection.read_to_close().is_empty());
 }
@@ -68,7 +68,7 @@
 #[test]
 fn connecting_part_rejected_at_deadline() {
     let (broker, _list, late, fill, mut client) = connecting_query("0.6");
-    assert_eq!(client.read_answer().unwrap().status, 429);
+    assert_eq!(client.read_response().unwrap().status, 429);
     let connection = late.accept_late(fill);
     drop(broker);
     assert!(connection.read_to_close().is_empty());
@@ -83,13 +83,13 @@
     let mut other = late.row("s-1", "ready");
     other["block"] = json!(1);
     let (broker, list) = start_broker(vec![manual.row("s-0", "ready"), other], &keys);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("fix", "c1", &[0, 1], "0.9"));
     let mut connection = manual.accept();
     connection.read_part();
     late.wait_for_connect();
-    assert_eq!(client.read_answer().unwrap().status, 502);
+    assert_eq!(client.read_response().unwrap().status, 502);
 }
 
 /// The connection was opened before the node's restart and established after it: its attempt runs in the new process.
@@ -98,7 +98,7 @@
     let (late, fill) = ManualNode::with_full_queue();
     let keys = [("/settings/ceilings/connectTimeoutMs", json!(5000.0))];
     let (broker, list) = start_broker(vec![late.row("s-0", "ready")], &keys);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("fix", "c1", &[0], "2.8"));
     late.wait_for_connect();
@@ -108,10 +108,10 @@
     let mut connection = late.accept_late(fill);
     let part = connection.read_part();
     list.publish(vec![line]);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     wait_until_processed(&broker);
     connection.serve(&part);
-    assert_eq!(client.read_answer().unwrap().status, 200);
+    assert_eq!(client.read_response().unwrap().status, 200);
 }
 
 /// Guards against ejecting a restarted node at its first error because of attempts that its old process lost.
@@ -120,7 +120,7 @@
     let manual = ManualNode::start();
     let keys = [("/settings/ceilings/secondCopies", json!(false))];
     let (broker, list) = start_broker(vec![manual.row("s-0", "ready")], &keys);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("find", "c1", &[0], "2.8"));
     let mut old = manual.accept();
@@ -132,11 +132,11 @@
     let mut connection = manual.accept();
     let again = connection.read_part();
     connection.serve(&again);
-    assert_eq!(client.read_answer().unwrap().status, 200);
+    assert_eq!(client.read_response().unwrap().status, 200);
     client.send(&query_request("fix", "c2", &[0], "2.8"));
     let part = connection.read_part();
     connection.write(&answer_frame(&part.id, "fault"));
-    assert_eq!(client.read_answer().unwrap().status, 502);
+    assert_eq!(client.read_response().unwrap().status, 502);
     wait_until_processed(&broker);
     assert!(!broker.log_text().contains("is ejected"), "the restarted node was ejected");
 }
@@ -147,7 +147,7 @@
     let (late, _fill) = ManualNode::with_full_queue();
     let keys = [("/settings/ceilings/connectTimeoutMs", json!(5000.0))];
     let (broker, list) = start_broker(vec![late.row("s-0", "ready")], &keys);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("fix", "c1", &[0], "2.8"));
     late.wait_for_connect();
@@ -155,6 +155,6 @@
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     line["born_ms"] = json!(now.as_millis() as u64 + 1);
     list.publish(vec![line, node.endpoint("ready")]);
-    assert_eq!(client.read_answer().unwrap().status, 200);
-    assert_eq!(node.frames('A').len(), 1);
+    assert_eq!(client.read_response().unwrap().status, 200);
+    assert_eq!(node.frames_of_type('A').len(), 1);
 }
--- a/crates/dunepond-broker/tests/node_connections/queued.rs
+++ b/crates/dunepond-broker/tests/node_connections/queued.rs
@@ -19,7 +19,7 @@
     blocked.connection.serve(&first);
     blocked.connection.serve(&second);
     assert_eq!(
-        (blocked.first.read_answer().unwrap().status, blocked.second.read_answer().unwrap().status),
+        (blocked.first.read_response().unwrap().status, blocked.second.read_response().unwrap().status),
         (200, 200)
     );
 }
@@ -31,10 +31,10 @@
     let node = blocked.add_node("ready");
     blocked.connection.reset();
     assert_eq!(
-        (blocked.first.read_answer().unwrap().status, blocked.second.read_answer().unwrap().status),
+        (blocked.first.read_response().unwrap().status, blocked.second.read_response().unwrap().status),
         (200, 200)
     );
-    assert_eq!(node.frames('A').len(), 2);
+    assert_eq!(node.frames_of_type('A').len(), 2);
 }
 
 /// A non-idempotent part whose frame was completely written may have run.
@@ -42,16 +42,16 @@
 fn fully_written_part_not_resent_after_reset() {
     let (manual, node) = (ManualNode::start(), Node::start("s-1"));
     let (broker, list) = start_broker(vec![manual.row("s-0", "ready")], &[]);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("fix", "c1", &[0], "2.5"));
     let mut connection = manual.accept();
     connection.read_part();
     list.publish(vec![manual.row("s-0", "ready"), node.endpoint("ready")]);
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     connection.reset();
-    assert_eq!(client.read_answer().unwrap().status, 502);
-    assert_eq!(node.frames('A').len(), 0);
+    assert_eq!(client.read_response().unwrap().status, 502);
+    assert_eq!(node.frames_of_type('A').len(), 0);
 }
 
 /// A draining node receives the rest of a partly written frame, and no new frame.
@@ -59,12 +59,12 @@
 fn queued_part_leaves_draining_node() {
     let mut blocked = BlockedNode::start_broker("fix", &[]);
     let node = blocked.add_node("draining");
-    assert_eq!(blocked.second.read_answer().unwrap().status, 200);
-    assert_eq!(node.frames('A').len(), 1);
+    assert_eq!(blocked.second.read_response().unwrap().status, 200);
+    assert_eq!(node.frames_of_type('A').len(), 1);
     let first = blocked.connection.read_part();
     assert_eq!(first.id, "c1.0");
     blocked.connection.serve(&first);
-    assert_eq!(blocked.first.read_answer().unwrap().status, 200);
+    assert_eq!(blocked.first.read_response().unwrap().status, 200);
     drop(blocked.broker);
     assert!(blocked.connection.read_to_close().is_empty());
 }
@@ -76,7 +76,7 @@
     disconnect([blocked.second]);
     let first = blocked.connection.read_part();
     blocked.connection.serve(&first);
-    assert_eq!(blocked.first.read_answer().unwrap().status, 200);
+    assert_eq!(blocked.first.read_response().unwrap().status, 200);
     drop(blocked.broker);
     assert!(blocked.connection.read_to_close().is_empty());
 }
@@ -86,7 +86,7 @@
 fn partly_written_and_queued_parts_rejected_at_deadline() {
     let mut blocked = BlockedNode::start_broker("fix", &[]);
     assert_eq!(
-        (blocked.first.read_answer().unwrap().status, blocked.second.read_answer().unwrap().status),
+        (blocked.first.read_response().unwrap().status, blocked.second.read_response().unwrap().status),
         (429, 429)
     );
     let mut length = [0; 4];
--- a/crates/dunepond-broker/tests/scenarios/connections.rs
+++ b/crates/dunepond-broker/tests/scenarios/connections.rs
@@ -14,33 +14,36 @@
 fn excess_attempts_open_another_connection() {
     let nodes = nodes(1);
     nodes[0].set_behavior(NodeBehavior::Hang);
-    let (broker, _list) = Broker::start_for_with(&nodes, "/settings/ceilings/streamsPerConn", json!(2));
+    let (broker, _list) =
+        Broker::start_with_config_value(&nodes, "/settings/ceilings/streamsPerConn", json!(2));
     let mut client = Client::connect(&broker);
     client.send(&query_request("find", "c1", &[0, 1, 2, 3, 4], "2.0"));
     nodes[0].wait_for_frames('A', 5);
-    assert_eq!(nodes[0].connections(), 3);
+    assert_eq!(nodes[0].connection_count(), 3);
 }
 
 #[test]
 fn attempts_of_one_batch_share_a_frame() {
     let nodes = nodes(1);
     nodes[0].set_behavior(NodeBehavior::Hang);
-    let (broker, _list) = Broker::start_for_with(&nodes, "/settings/familyInfo/partsACall", json!(2));
+    let (broker, _list) =
+        Broker::start_with_config_value(&nodes, "/settings/familyInfo/partsACall", json!(2));
     let mut client = Client::connect(&broker);
     client.send(&query_request("find", "c1", &[0, 1, 2], "2.0"));
     nodes[0].wait_for_frames('A', 2);
-    let parts: Vec<_> = nodes[0].frames('A').iter().map(|f| f.matches(" d=").count()).collect();
+    let parts: Vec<_> = nodes[0].frames_of_type('A').iter().map(|f| f.matches(" d=").count()).collect();
     assert_eq!(parts, [2, 1]);
 }
 
 #[test]
 fn idle_connection_is_closed_before_the_node_closes_it() {
     let nodes = nodes(1);
-    let (broker, _list) = Broker::start_for_with(&nodes, "/settings/ceilings/idleCloseMs", json!(100.0));
+    let (broker, _list) =
+        Broker::start_with_config_value(&nodes, "/settings/ceilings/idleCloseMs", json!(100.0));
     let mut client = Client::connect(&broker);
     for count in 1..3 {
         assert_eq!(client.request(&query_request("find", &format!("c{count}"), &[0], "2.0")).status, 200);
-        nodes[0].wait_for_closed(count);
+        nodes[0].wait_for_closed_connections(count);
     }
 }
 
@@ -48,16 +51,16 @@
 #[test]
 fn connections_to_a_replaced_process_are_closed() {
     let nodes = nodes(1);
-    let (broker, list) = Broker::start_for(&nodes);
+    let (broker, list) = Broker::start_with_nodes(&nodes);
     let mut client = Client::connect(&broker);
     assert_eq!(client.request(&query_request("find", "c1", &[0], "2.0")).status, 200);
     let mut line = nodes[0].endpoint("ready");
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     line["born_ms"] = json!(now.as_millis() as u64 + 1);
     list.publish(vec![line]);
-    nodes[0].wait_for_closed(1);
+    nodes[0].wait_for_closed_connections(1);
     assert_eq!(client.request(&query_request("find", "c2", &[0], "2.0")).status, 200);
-    assert_eq!(nodes[0].connections(), 2);
+    assert_eq!(nodes[0].connection_count(), 2);
 }
 
 /// Returns a listener that does not answer a connect, as after a host failure, because its backlog is full; and its address.
@@ -105,7 +108,7 @@
     nodes[1].wait_for_frames('A', 1);
     late["health"] = json!("draining");
     list.publish(vec![late, nodes[1].endpoint("ready")]);
-    assert!(clients.iter_mut().all(|client| client.read_answer().unwrap().status == 200));
+    assert!(clients.iter_mut().all(|client| client.read_response().unwrap().status == 200));
 }
 
 /// With cancellation disabled, only this prevents waiting attempts from being sent after their query's response.
--- a/crates/dunepond-broker/tests/scenarios/lifecycle.rs
+++ b/crates/dunepond-broker/tests/scenarios/lifecycle.rs
@@ -11,7 +11,7 @@
 fn sigterm_drains_and_exits_with_0() {
     let nodes = nodes(1);
     nodes[0].set_behavior(NodeBehavior::Hang);
-    let (mut broker, _list) = Broker::start_for(&nodes);
+    let (mut broker, _list) = Broker::start_with_nodes(&nodes);
     let mut client = Client::connect(&broker);
     client.send(&query_request("fix", "c1", &[2], "1.6"));
     nodes[0].wait_for_frames('A', 1);
@@ -24,8 +24,8 @@
     nodes[0].set_behavior(NodeBehavior::Serve);
     assert_eq!(other.request(&query_request("find", "c2", &[1], "2.0")).status, 200);
     // Idle connections and the listener are closed; queries in flight still get their responses.
-    assert!(other.read_answer().is_none());
-    assert_eq!(client.read_answer().unwrap().status, 502);
+    assert!(other.read_response().is_none());
+    assert_eq!(client.read_response().unwrap().status, 502);
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
 }
@@ -35,8 +35,8 @@
 fn sighup_reloads_and_switches_discovery() {
     let nodes = nodes(2);
     nodes[0].set_behavior(NodeBehavior::Hang);
-    let (mut broker, old) = Broker::start_for(&nodes[..1]);
-    old.wait_until_read();
+    let (mut broker, old) = Broker::start_with_nodes(&nodes[..1]);
+    old.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("fix", "c1", &[2], "2.5"));
     nodes[0].wait_for_frames('A', 1);
@@ -47,12 +47,12 @@
     broker.signal("HUP");
     let new = DiscoveryServer::start(vec![nodes[0].endpoint("draining"), nodes[1].endpoint("ready")]);
     broker.reload_config(&config(new.address, vec![]));
-    new.wait_until_read();
+    new.wait_until_newest_version_polled();
     let mut other = Client::connect(&broker);
     assert_eq!(other.request(&query_request("fix", "c2", &[2], "2.0")).status, 200);
-    assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (1, 1));
+    assert_eq!((nodes[0].frames_of_type('A').len(), nodes[1].frames_of_type('A').len()), (1, 1));
     // The query in flight is still answered, and SIGTERM right after a reload works as usual.
-    assert_eq!(client.read_answer().unwrap().status, 502);
+    assert_eq!(client.read_response().unwrap().status, 502);
     broker.reload_config(&config(old.address, vec![]));
     broker.signal("TERM");
     assert_eq!(broker.exit_code(), Some(0));
@@ -68,7 +68,7 @@
     let mut client = Client::connect(&first);
     assert_eq!(client.request(&query_request("find", "c1", &[0], "2.0")).status, 200);
     drop(first);
-    assert!(client.read_answer().is_none());
+    assert!(client.read_response().is_none());
     let again = Broker::start(&config);
     assert_eq!(Client::connect(&again).request(&query_request("find", "c2", &[0], "2.0")).status, 200);
 }
--- a/crates/dunepond-broker/tests/scenarios/limits.rs
+++ b/crates/dunepond-broker/tests/scenarios/limits.rs
@@ -13,12 +13,12 @@
 fn bound_on_queries_in_flight_is_enforced() {
     let nodes = nodes(1);
     nodes[0].set_behavior(NodeBehavior::Hang);
-    let (broker, _list) = Broker::start_for_with(&nodes, "/settings/ceilings/mostHeld", json!(4));
+    let (broker, _list) = Broker::start_with_config_value(&nodes, "/settings/ceilings/mostHeld", json!(4));
     let mut first = Client::connect(&broker);
     first.send(&query_request("find", "c1", &[0, 1, 2], "2.0"));
     nodes[0].wait_for_frames('A', 3);
     let rejected = Client::connect(&broker).request(&query_request("find", "c2", &[0], "2.0"));
-    assert!(rejected.status == 503 && rejected.head.contains("Retry-After: 2.000"), "{rejected:?}");
+    assert!(rejected.status == 503 && rejected.header.contains("Retry-After: 2.000"), "{rejected:?}");
     drop(first);
     nodes[0].wait_for_frames('B', 3);
     nodes[0].set_behavior(NodeBehavior::Serve);
@@ -28,7 +28,7 @@
 #[test]
 fn clients_beyond_the_bound_are_served_in_turn() {
     let nodes = nodes(1);
-    let (broker, _list) = Broker::start_for_with(&nodes, "/limits/sockets", json!(56));
+    let (broker, _list) = Broker::start_with_config_value(&nodes, "/limits/sockets", json!(56));
     let mut clients = Vec::new();
     for i in 0..40 {
         let mut client = Client::connect(&broker);
@@ -41,7 +41,7 @@
 #[test]
 fn no_eviction_without_a_waiting_client() {
     let nodes = nodes(1);
-    let (broker, _list) = Broker::start_for_with(&nodes, "/limits/sockets", json!(48));
+    let (broker, _list) = Broker::start_with_config_value(&nodes, "/limits/sockets", json!(48));
     let mut clients: Vec<_> = (0..18).map(|_| Client::connect(&broker)).collect();
     std::thread::sleep(Duration::from_millis(50));
     for (i, client) in clients.iter_mut().enumerate() {
@@ -54,17 +54,17 @@
 fn waiting_client_is_not_evicted() {
     let nodes = nodes(1);
     nodes[0].set_behavior(NodeBehavior::SlowForShard(1));
-    let (broker, _list) = Broker::start_for_with(&nodes, "/limits/sockets", json!(48));
+    let (broker, _list) = Broker::start_with_config_value(&nodes, "/limits/sockets", json!(48));
     let mut first = Client::connect(&broker);
     first.send(&(query_request("find", "c1", &[0], "2.0") + &query_request("find", "c2", &[1], "2.0")));
-    assert_eq!(first.read_answer().unwrap().status, 200);
+    assert_eq!(first.read_response().unwrap().status, 200);
     let ready = |_| {
         let mut other = Client::connect(&broker);
         assert_eq!(other.request("GET /ready HTTP/1.1\r\n\r\n").status, 200);
         other
     };
     let _others: Vec<_> = (0..20).map(ready).collect();
-    assert_eq!(first.read_answer().unwrap().status, 200);
+    assert_eq!(first.read_response().unwrap().status, 200);
 }
 
 /// Guards against silent clients that use up all connections.
@@ -101,7 +101,7 @@
 /// A client sends one request and then keeps its connection open without another one.
 #[test]
 fn idle_client_is_closed() {
-    let (broker, _list) = Broker::start_for(&nodes(1));
+    let (broker, _list) = Broker::start_with_nodes(&nodes(1));
     let mut client = Client::connect(&broker);
     assert_eq!(client.request(&query_request("find", "c1", &[0], "2.0")).status, 200);
     assert_eq!(client.stream.read(&mut [0]).unwrap(), 0);
@@ -110,7 +110,7 @@
 /// Guards against idle connections that use up the number that is allowed.
 #[test]
 fn idle_clients_beyond_their_share_are_closed() {
-    let (broker, _list) = Broker::start_for_with(&nodes(1), "/limits/sockets", json!(88));
+    let (broker, _list) = Broker::start_with_config_value(&nodes(1), "/limits/sockets", json!(88));
     let start = Instant::now();
     let send_query = |i| {
         let mut client = Client::connect(&broker);
@@ -126,13 +126,13 @@
 #[test]
 fn nodes_beyond_the_connection_bound_are_used_in_turn() {
     let nodes = nodes(20);
-    let (broker, _list) = Broker::start_for_with(&nodes, "/limits/sockets", json!(48));
+    let (broker, _list) = Broker::start_with_config_value(&nodes, "/limits/sockets", json!(48));
     let mut client = Client::connect(&broker);
     for i in 0..40 {
         let answer = client.request(&query_request("find", &format!("c{i}"), &[0, 1, 2, 3], "2.0"));
         assert_eq!((answer.status, &answer.body["finished"]), (200, &json!(true)));
     }
-    assert!(nodes.iter().filter(|n| n.connections() > 0).count() > 12);
+    assert!(nodes.iter().filter(|n| n.connection_count() > 0).count() > 12);
 }
 
 /// Without a free descriptor accepting fails: it must pause without a crash or a busy loop, and resume once one is free.
@@ -154,7 +154,7 @@
 /// Guards against unread responses that accumulate in memory.
 #[test]
 fn client_that_reads_no_responses_is_not_read_further() {
-    let (broker, _list) = Broker::start_for(&nodes(1));
+    let (broker, _list) = Broker::start_with_nodes(&nodes(1));
     let mut not_reading = Client::connect(&broker);
     not_reading.stream.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
     let ready = "GET /ready HTTP/1.1\r\n\r\n".repeat(1000);
--- a/crates/dunepond-broker/tests/scenarios/requests.rs
+++ b/crates/dunepond-broker/tests/scenarios/requests.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn query_returns_the_values_of_its_nodes() {
-    let (broker, _list) = Broker::start_for(&nodes(2));
+    let (broker, _list) = Broker::start_with_nodes(&nodes(2));
     let mut client = Client::connect(&broker);
     let answer = client.request(&query_request("find", "c1", &[3, 5], "2.0"));
     assert_eq!(answer.status, 200);
@@ -22,9 +22,9 @@
 #[test]
 fn attempt_frame_has_segment_time_limit_and_payload() {
     let nodes = nodes(1);
-    let (broker, _list) = Broker::start_for(&nodes);
+    let (broker, _list) = Broker::start_with_nodes(&nodes);
     Client::connect(&broker).request(&query_request("find", "c1", &[4], "1.5"));
-    let calls = nodes[0].frames('A');
+    let calls = nodes[0].frames_of_type('A');
     let (line, text) = calls[0].split_once('\n').unwrap();
     let words: Vec<_> = line.split(' ').collect();
     assert_eq!((words[0], words[1], words[3], text), ("c1.4", "4", "2", "q1"));
@@ -34,7 +34,7 @@
 
 #[test]
 fn request_in_single_bytes_and_pipelined() {
-    let (broker, _list) = Broker::start_for(&nodes(1));
+    let (broker, _list) = Broker::start_with_nodes(&nodes(1));
     let mut client = Client::connect(&broker);
     let chunked = "POST /find HTTP/1.1\r\nX-Call-Id: c2\r\nX-Budget: 2\r\nTransfer-Encoding: chunked\r\n\r\n\
         1a\r\n{\"buckets\":[{\"bucket\":1,\"p\r\n12\r\nart\":1}],\"body\":\"q\r\n2\r\n\"}\r\n0\r\n\r\n";
@@ -43,7 +43,7 @@
         client.stream.write_all(&[*byte]).unwrap();
     }
     for shard in [0, 1] {
-        let answer = client.read_answer().unwrap();
+        let answer = client.read_response().unwrap();
         assert_eq!((answer.status, &answer.body["found"][0]["bucket"]), (200, &json!(shard)));
     }
 }
@@ -71,26 +71,26 @@
 #[case::length_and_chunked_encoding("POST /find HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n".to_string(), 400, "Content-Length")]
 fn invalid_request_names_its_fault(#[case] request: String, #[case] status: u16, #[case] named_fault: &str) {
     let nodes = nodes(1);
-    let (broker, _list) = Broker::start_for(&nodes);
+    let (broker, _list) = Broker::start_with_nodes(&nodes);
     let answer = Client::connect(&broker).request(&request);
     assert_eq!(answer.status, status);
     assert!(answer.body["error"].as_str().unwrap().contains(named_fault), "{answer:?}");
     assert_eq!(Client::connect(&broker).request(&query_request("find", "c9", &[0], "2")).status, 200);
-    assert_eq!(nodes[0].frames('A').len(), 1);
+    assert_eq!(nodes[0].frames_of_type('A').len(), 1);
 }
 
 #[test]
 fn burst_gets_one_response_per_query() {
-    let (broker, _list) = Broker::start_for(&nodes(3));
+    let (broker, _list) = Broker::start_with_nodes(&nodes(3));
     let mut clients: Vec<_> = (0..100).map(|_| Client::connect(&broker)).collect();
     for (i, client) in clients.iter_mut().enumerate() {
         client.send(&query_request("find", &format!("c{i}"), &[i % 6, (i + 1) % 6], "2.0"));
     }
     for client in &mut clients {
-        let status = client.read_answer().unwrap().status;
+        let status = client.read_response().unwrap().status;
         assert!(matches!(status, 200 | 429 | 503), "{status}");
         assert_eq!(client.request("GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n").status, 200);
-        assert!(client.read_answer().is_none());
+        assert!(client.read_response().is_none());
     }
 }
 
@@ -98,7 +98,8 @@
 fn query_timeout_bounds_the_time_budget() {
     let nodes = nodes(1);
     nodes[0].set_behavior(NodeBehavior::Hang);
-    let (broker, _list) = Broker::start_for_with(&nodes, "/settings/services/1/deadlineMs", json!(500.0));
+    let (broker, _list) =
+        Broker::start_with_config_value(&nodes, "/settings/services/1/deadlineMs", json!(500.0));
     let start = Instant::now();
     assert_eq!(Client::connect(&broker).request(&query_request("fix", "c1", &[0], "9.0")).status, 502);
     assert!(start.elapsed() < Duration::from_secs(5));
@@ -108,7 +109,7 @@
 fn partial_response_is_marked() {
     let nodes = nodes(1);
     nodes[0].set_behavior(NodeBehavior::HangForShard(1));
-    let (broker, _list) = Broker::start_for(&nodes);
+    let (broker, _list) = Broker::start_with_nodes(&nodes);
     let answer = Client::connect(&broker).request(&query_request("find", "c1", &[0, 1], "0.8"));
     let found = json!([{"bucket": 0, "item": "v-q1"}]);
     assert_eq!((answer.status, answer.body), (200, json!({"finished": false, "found": found})));
@@ -126,12 +127,16 @@
 ) {
     let nodes = nodes(1);
     nodes[0].set_behavior(NodeBehavior::SlowForShard(1));
-    let (broker, _list) = Broker::start_for(&nodes);
+    let (broker, _list) = Broker::start_with_nodes(&nodes);
     let mut client = Client::connect(&broker);
     client.send(
         &(query_request("find", "c1", &[1], "2.0") + &query_request("find", "c2", &[0], &budget.to_string())),
     );
-    assert_eq!((client.read_answer().unwrap().status, client.read_answer().unwrap().status), (200, status));
-    let attempts_of_second = nodes[0].frames('A').iter().filter(|frame| frame.starts_with("c2.")).count();
+    assert_eq!(
+        (client.read_response().unwrap().status, client.read_response().unwrap().status),
+        (200, status)
+    );
+    let attempts_of_second =
+        nodes[0].frames_of_type('A').iter().filter(|frame| frame.starts_with("c2.")).count();
     assert_eq!(attempts_of_second, attempts);
 }
--- a/crates/dunepond-broker/tests/shutdown.rs
+++ b/crates/dunepond-broker/tests/shutdown.rs
@@ -23,7 +23,7 @@
 fn wait_for_answer(
     broker: &Broker,
     stage: &str,
-    wanted: impl Fn(&dunepond_testkit::stand_ins::Answer) -> bool,
+    wanted: impl Fn(&dunepond_testkit::stand_ins::Response) -> bool,
 ) {
     let start = Instant::now();
     while !wanted(&Client::connect(broker).request(READY)) {
@@ -41,7 +41,7 @@
 /// Waits until the broker closes connections with their responses.
 fn wait_until_closing(broker: &Broker) {
     wait_for_answer(broker, "closing connections with responses", |answer| {
-        answer.head.contains("Connection: close")
+        answer.header.contains("Connection: close")
     });
 }
 
@@ -76,7 +76,7 @@
     std::fs::rename(&file, &path).unwrap();
     held.write_all(config.to_string().as_bytes()).unwrap();
     drop(held);
-    Broker::from_child((child, path))
+    Broker::wait_until_listening((child, path))
 }
 
 /// Guards against the default handling of SIGHUP, which kills a process that is still starting.
@@ -85,7 +85,7 @@
     let nodes = [Node::start("s-0")];
     let list = DiscoveryServer::start(vec![nodes[0].endpoint("ready")]);
     let broker = start_signalled(&config(list.address, vec![]), "HUP");
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     assert_eq!(Client::connect(&broker).request(&query_request("find", "c1", &[1], "2.0")).status, 200);
 }
 
@@ -117,11 +117,11 @@
     };
     // SAFETY: `pend` makes only calls that are allowed between fork and exec.
     unsafe { command.pre_exec(pend) };
-    let mut broker = Broker::from_child(launch_command(command, &config(list.address, vec![])));
+    let mut broker = Broker::wait_until_listening(launch_command(command, &config(list.address, vec![])));
     if code.is_some() {
         return assert_eq!(broker.exit_code(), code);
     }
-    list.wait_until_read();
+    list.wait_until_newest_version_polled();
     assert_eq!(Client::connect(&broker).request(&query_request("find", "c1", &[1], "2.0")).status, 200);
     assert!(broker.log_text().contains("configuration reloaded"));
 }
@@ -132,15 +132,15 @@
     let nodes = [Node::start("s-0")];
     nodes[0].set_behavior(NodeBehavior::DelayMillis(1500));
     // Long enough to serve the queued requests, too.
-    let (mut broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 3000.0));
+    let (mut broker, _list) = Broker::start_with_config(&nodes, |config| set_timeouts(config, 3000.0));
     let mut client = Client::connect(&broker);
     client.send(&["c1", "c2", "c3"].map(|id| query_request("find", id, &[1], "3.0")).concat());
     nodes[0].wait_for_frames('A', 1);
     signal_shutdown(&broker);
     wait_until_closing(&broker);
     nodes[0].set_behavior(NodeBehavior::Serve);
-    let answers: Vec<_> = (0..3).map_while(|_| client.read_answer()).collect();
-    let closes: Vec<_> = answers.iter().map(|answer| answer.head.contains("Connection: close")).collect();
+    let answers: Vec<_> = (0..3).map_while(|_| client.read_response()).collect();
+    let closes: Vec<_> = answers.iter().map(|answer| answer.header.contains("Connection: close")).collect();
     assert_eq!(closes, [false, false, true]);
     // A request with little time left may be rejected.
     assert!(answers.iter().all(|answer| matches!(answer.status, 200 | 429)), "{answers:?}");
@@ -153,7 +153,7 @@
 #[test]
 fn slow_reader_gets_all_answers_after_shutdown() {
     let nodes = [Node::start("s-0")];
-    let (mut broker, _list) = Broker::start_for_changed(&nodes, |_| {});
+    let (mut broker, _list) = Broker::start_with_config(&nodes, |_| {});
     let mut client = Client::connect(&broker);
     let text = "x".repeat(40_000);
     let requests: Vec<_> = (0..120)
@@ -169,10 +169,10 @@
     signal_shutdown(&broker);
     wait_until_closing(&broker);
     let mut received = 0;
-    while let Some(answer) = client.read_answer() {
+    while let Some(answer) = client.read_response() {
         assert_eq!((answer.status, answer.body["finished"].clone()), (200, json!(true)));
         received += 1;
-        if answer.head.contains("Connection: close") {
+        if answer.header.contains("Connection: close") {
             break;
         }
     }
@@ -185,7 +185,7 @@
 #[test]
 fn stall_past_first_stage_still_closes_with_answers() {
     let nodes = [Node::start("s-0")];
-    let (mut broker, _list) = Broker::start_for_changed(&nodes, |_| {});
+    let (mut broker, _list) = Broker::start_with_config(&nodes, |_| {});
     let mut client = Client::connect(&broker);
     assert_eq!(client.request(&query_request("find", "c1", &[1], "2.0")).status, 200);
     let start = Instant::now();
@@ -194,9 +194,9 @@
     client.send(&query_request("find", "c2", &[1], "2.0"));
     thread::sleep(Duration::from_millis(800).saturating_sub(start.elapsed()));
     broker.signal("CONT");
-    let answer = client.read_answer().unwrap();
-    assert_eq!((answer.status, answer.head.contains("Connection: close")), (200, true));
-    assert!(client.read_answer().is_none());
+    let answer = client.read_response().unwrap();
+    assert_eq!((answer.status, answer.header.contains("Connection: close")), (200, true));
+    assert!(client.read_response().is_none());
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
 }
@@ -209,7 +209,7 @@
 fn exits_before_kill_with_short_timeouts(#[case] sent: &str, #[case] timeout: f64, #[case] max_seconds: f64) {
     let nodes = [Node::start("s-0")];
     let (mut broker, _list) =
-        Broker::start_for_changed(&nodes, |config| set_timeouts(config, 1000.0 * timeout));
+        Broker::start_with_config(&nodes, |config| set_timeouts(config, 1000.0 * timeout));
     let mut client = Client::connect(&broker);
     client.send(sent);
     signal_shutdown(&broker);
@@ -225,7 +225,7 @@
 fn in_flight_answered_before_kill_with_long_timeouts() {
     let nodes = [Node::start("s-0")];
     nodes[0].set_behavior(NodeBehavior::Hang);
-    let (mut broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 60_000.0));
+    let (mut broker, _list) = Broker::start_with_config(&nodes, |config| set_timeouts(config, 60_000.0));
     let mut clients: Vec<_> = (0..2).map(|_| Client::connect(&broker)).collect();
     let send_query = |client: &mut Client, id| client.send(&query_request("fix", id, &[1], "59.0"));
     send_query(&mut clients[0], "c1");
@@ -234,7 +234,7 @@
     let start = Instant::now();
     send_query(&mut clients[1], "c2");
     let answers: Vec<_> =
-        clients.iter_mut().map(|client| client.read_answer().expect("an answer").status).collect();
+        clients.iter_mut().map(|client| client.read_response().expect("an answer").status).collect();
     assert!(answers.iter().all(|status| *status >= 429), "{answers:?}");
     drop(clients);
     assert_eq!(broker.exit_code(), Some(0));
@@ -268,7 +268,7 @@
     }
     brokers.iter().for_each(|broker| broker.signal("CONT"));
     let answers: Vec<_> =
-        clients.iter_mut().map(|client| client.read_answer().map(|answer| answer.status)).collect();
+        clients.iter_mut().map(|client| client.read_response().map(|answer| answer.status)).collect();
     assert!(answers.iter().all(|status| matches!(status, Some(200 | 429 | 502))), "{answers:?}");
     drop(clients);
     assert_eq!(brokers.iter_mut().map(Broker::exit_code).collect::<Vec<_>>(), [Some(0); 3]);
@@ -279,7 +279,7 @@
 fn lingering_client_does_not_delay_exit() {
     let nodes = [Node::start("s-0")];
     nodes[0].set_behavior(NodeBehavior::Hang);
-    let (mut broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 500.0));
+    let (mut broker, _list) = Broker::start_with_config(&nodes, |config| set_timeouts(config, 500.0));
     let mut client = Client::connect(&broker);
     signal_shutdown(&broker);
     let start = Instant::now();
@@ -293,7 +293,7 @@
 fn second_sigterm_is_ignored() {
     let nodes = [Node::start("s-0")];
     nodes[0].set_behavior(NodeBehavior::DelayMillis(700));
-    let (mut broker, _list) = Broker::start_for_changed(&nodes, |_| {});
+    let (mut broker, _list) = Broker::start_with_config(&nodes, |_| {});
     let mut client = Client::connect(&broker);
     client.send(&query_request("find", "c1", &[1], "3.0"));
     nodes[0].wait_for_frames('A', 1);
@@ -301,7 +301,7 @@
     wait_until_closing(&broker);
     broker.signal("TERM");
     broker.signal("INT");
-    assert_eq!(client.read_answer().unwrap().status, 200);
+    assert_eq!(client.read_response().unwrap().status, 200);
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
 }
@@ -318,8 +318,8 @@
     client.send(&query_request("find", "c1", &[1], "3.0"));
     broker.signal("TERM");
     // No endpoint list is in force yet, so that the query may be rejected.
-    let answer = client.read_answer().expect("an answer");
-    assert!(matches!(answer.status, 200 | 429) && answer.head.contains("Connection: close"), "{answer:?}");
+    let answer = client.read_response().expect("an answer");
+    assert!(matches!(answer.status, 200 | 429) && answer.header.contains("Connection: close"), "{answer:?}");
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
 }
@@ -328,7 +328,7 @@
 #[test]
 fn burst_over_limit_is_answered() {
     let nodes = [Node::start("s-0")];
-    let (broker, _list) = Broker::start_for_changed(&nodes, |config| config["limits"]["sockets"] = json!(48));
+    let (broker, _list) = Broker::start_with_config(&nodes, |config| config["limits"]["sockets"] = json!(48));
     assert_eq!(Client::connect(&broker).request(&query_request("find", "c0", &[1], "2.0")).status, 200);
     broker.signal("STOP");
     let mut clients: Vec<_> = (0..60).map(|_| Client::connect(&broker)).collect();
@@ -336,7 +336,7 @@
         client.send(&query_request("find", &format!("b{i}"), &[1], "2.5"));
     }
     broker.signal("CONT");
-    let answered = clients.iter_mut().filter_map(Client::read_answer).filter(|a| a.status == 200).count();
+    let answered = clients.iter_mut().filter_map(Client::read_response).filter(|a| a.status == 200).count();
     assert_eq!(answered, 60);
 }
 
@@ -345,8 +345,8 @@
 fn partly_written_config_is_ignored(#[values(false, true)] terminates: bool) {
     let nodes = [Node::start("s-0"), Node::start("s-1")];
     nodes[0].set_behavior(NodeBehavior::DelayMillis(300));
-    let (mut broker, list) = Broker::start_for_changed(&nodes[..1], |_| {});
-    list.wait_until_read();
+    let (mut broker, list) = Broker::start_with_config(&nodes[..1], |_| {});
+    list.wait_until_newest_version_polled();
     let mut client = Client::connect(&broker);
     client.send(&query_request("find", "c1", &[1], "3.0"));
     nodes[0].wait_for_frames('A', 1);
@@ -360,7 +360,7 @@
         broker.signal("TERM");
     }
     drop(half);
-    assert_eq!(client.read_answer().unwrap().status, 200);
+    assert_eq!(client.read_response().unwrap().status, 200);
     if terminates {
         broker.signal("HUP");
         drop(open_for_writing(&broker.config_file));
@@ -370,10 +370,10 @@
     }
     std::fs::remove_file(&broker.config_file).unwrap();
     broker.reload_config(&config(other.address, vec![]));
-    other.wait_until_read();
+    other.wait_until_newest_version_polled();
     nodes[0].set_behavior(NodeBehavior::Serve);
     assert_eq!(client.request(&query_request("find", "c2", &[1], "3.0")).status, 200);
-    assert_eq!((nodes[0].frames('A').len(), nodes[1].frames('A').len()), (1, 1));
+    assert_eq!((nodes[0].frames_of_type('A').len(), nodes[1].frames_of_type('A').len()), (1, 1));
 }
 
 /// SIGTERM arrives while a request is partly read, runs at a node, or is being retried.
@@ -385,7 +385,7 @@
     let nodes = [Node::start("s-0"), Node::start("s-1")];
     nodes[0].set_behavior(first);
     nodes[1].set_behavior(second);
-    let (mut broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 3000.0));
+    let (mut broker, _list) = Broker::start_with_config(&nodes, |config| set_timeouts(config, 3000.0));
     let requests: Vec<_> = (0..4).map(|i| query_request("find", &format!("c{i}"), &[1], "3.0")).collect();
     let mut clients: Vec<_> = requests.iter().map(|_| Client::connect(&broker)).collect();
     let sent = |request: &str| if first == NodeBehavior::Serve { request.len() / 2 } else { request.len() };
@@ -398,9 +398,9 @@
     wait_until_closing(&broker);
     clients.iter_mut().zip(&requests).for_each(|(c, request)| c.send(&request[sent(request)..]));
     for client in &mut clients {
-        let answer = client.read_answer().expect("an answer");
-        assert_eq!((answer.status, answer.head.contains("Connection: close")), (200, true));
-        assert!(client.read_answer().is_none());
+        let answer = client.read_response().expect("an answer");
+        assert_eq!((answer.status, answer.header.contains("Connection: close")), (200, true));
+        assert!(client.read_response().is_none());
     }
     drop(clients);
     assert_eq!(broker.exit_code(), Some(0));
--- a/crates/dunepond-broker/tests/shutdown_before_kill.rs
+++ b/crates/dunepond-broker/tests/shutdown_before_kill.rs
@@ -57,7 +57,7 @@
         let sent_ids = self.sent_ids.iter().zip(&mut self.clients);
         sent_ids
             .filter(|(id, _)| was_sent(id))
-            .filter_map(|(id, client)| client.read_answer().is_none().then(|| id.clone()))
+            .filter_map(|(id, client)| client.read_response().is_none().then(|| id.clone()))
             .collect()
     }
 }
@@ -74,7 +74,7 @@
     let timeout = Duration::from_millis(timeout_ms);
     let budget = format!("{:.1}", timeout.as_secs_f64());
     let node = [Node::start("s-0")];
-    let (mut broker, _list) = Broker::start_for_changed(&node, |c| set_timeouts(c, timeout_ms as f64));
+    let (mut broker, _list) = Broker::start_with_config(&node, |c| set_timeouts(c, timeout_ms as f64));
     let mut clients = Clients::connect(&broker, 24);
     node[0].set_behavior(NodeBehavior::Hang);
     broker.signal("STOP");
@@ -100,7 +100,7 @@
 fn in_flight_answered_before_kill_when_accept_queue_is_full() {
     let node = [Node::start("s-0")];
     node[0].set_behavior(NodeBehavior::Hang);
-    let (mut broker, _list) = Broker::start_for_changed(&node, |config| {
+    let (mut broker, _list) = Broker::start_with_config(&node, |config| {
         set_timeouts(config, 60_000.0);
         config["limits"]["sockets"] = json!(48);
     });
@@ -116,7 +116,7 @@
     let signalled_at = Instant::now();
     broker.signal("TERM");
     let kill = signalled_at + Duration::from_secs(3) + KILL_DELAY;
-    let answered = |client: &mut Client| client.read_answer().map(|answer| answer.status);
+    let answered = |client: &mut Client| client.read_response().map(|answer| answer.status);
     let answers: Vec<_> = clients.iter_mut().map(answered).collect();
     assert!(Instant::now() < kill, "{:?}", signalled_at.elapsed());
     assert!(answers.iter().all(Option::is_some), "{answers:?}");
@@ -132,7 +132,7 @@
 fn late_requests_rejected_at_once() {
     let node = [Node::start("s-0")];
     node[0].set_behavior(NodeBehavior::Hang);
-    let (mut broker, _list) = Broker::start_for_changed(&node, |config| set_timeouts(config, 2000.0));
+    let (mut broker, _list) = Broker::start_with_config(&node, |config| set_timeouts(config, 2000.0));
     // A client that has not sent a request yet; its connection stays open for the first one.
     let mut client = Client::connect(&broker);
     let signalled_at = Instant::now();
@@ -141,8 +141,8 @@
     let sent_at = Instant::now();
     let answer = client.request(&query_request("fix", "late", &[1], "2.0"));
     assert!(sent_at.elapsed() < Duration::from_millis(300), "{:?}", sent_at.elapsed());
-    assert!(matches!(answer.status, 429 | 503) && answer.head.contains("Connection: close"), "{answer:?}");
-    assert!(node[0].frames('A').is_empty());
+    assert!(matches!(answer.status, 429 | 503) && answer.header.contains("Connection: close"), "{answer:?}");
+    assert!(node[0].frames_of_type('A').is_empty());
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
 }
@@ -153,7 +153,7 @@
     let node = [Node::start("s-0")];
     node[0].set_behavior(NodeBehavior::Hang);
     let mut shorter = None;
-    let (mut broker, _list) = Broker::start_for_changed(&node, |config| {
+    let (mut broker, _list) = Broker::start_with_config(&node, |config| {
         set_timeouts(config, 3000.0);
         let with_shorter = shorter.insert(config.clone());
         set_timeouts(with_shorter, 500.0);
@@ -167,7 +167,7 @@
     }
     let signalled_at = Instant::now();
     broker.signal("TERM");
-    assert!(client.read_answer().is_some());
+    assert!(client.read_response().is_some());
     drop(client);
     assert_eq!(broker.exit_code(), Some(0));
     assert!(signalled_at.elapsed() < Duration::from_millis(500) + KILL_DELAY, "{:?}", signalled_at.elapsed());
--- a/crates/dunepond-broker/tests/shutdown_requests.rs
+++ b/crates/dunepond-broker/tests/shutdown_requests.rs
@@ -19,7 +19,7 @@
 impl ShuttingDown {
     fn start(before_signal: impl FnOnce(&Broker)) -> Self {
         let nodes = vec![Node::start("s-0")];
-        let (broker, list) = Broker::start_for(&nodes);
+        let (broker, list) = Broker::start_with_nodes(&nodes);
         before_signal(&broker);
         broker.signal("TERM");
         Self { signalled_at: Instant::now(), broker, _list: list, nodes }
@@ -67,7 +67,7 @@
     let mut client = Client::connect(&broker.broker);
     broker.wait_until(request_time);
     assert!(is_served(&mut client, "c1"));
-    assert!(client.read_answer().is_none());
+    assert!(client.read_response().is_none());
     broker.assert_exits_in_time(client);
 }
 
@@ -96,8 +96,8 @@
     let mut client = client.unwrap();
     broker.wait_until(0.55);
     let answer = client.request(&query_request("find", "c2", &[1], "2.0"));
-    assert_eq!((answer.status, answer.head.contains("Connection: close")), (200, true));
-    assert!(client.read_answer().is_none());
+    assert_eq!((answer.status, answer.header.contains("Connection: close")), (200, true));
+    assert!(client.read_response().is_none());
     broker.assert_exits_in_time(client);
 }
 
@@ -116,7 +116,7 @@
         }
         client.send(&query_request("find", "c2", &[1], "2.0"));
     });
-    assert_eq!(client.read_answer().unwrap().status, 200);
+    assert_eq!(client.read_response().unwrap().status, 200);
     broker.assert_exits_in_time(client);
 }
 
@@ -130,7 +130,7 @@
     client.send(half);
     broker.wait_until(0.9);
     client.send(rest);
-    assert_eq!(client.read_answer().unwrap().status, 200);
+    assert_eq!(client.read_response().unwrap().status, 200);
     broker.assert_exits_in_time(client);
 }
 
@@ -139,7 +139,7 @@
 fn backlog_accepted_once_room_is_free() {
     let nodes = vec![Node::start("s-0")];
     nodes[0].set_behavior(NodeBehavior::Hang);
-    let (broker, list) = Broker::start_for_with(&nodes, "/limits/sockets", json!(48));
+    let (broker, list) = Broker::start_with_config_value(&nodes, "/limits/sockets", json!(48));
     let mut held: Vec<_> = (0..18).map(|_| Client::connect(&broker)).collect();
     held.iter_mut()
         .enumerate()
@@ -152,8 +152,8 @@
     client.send(&query_request("find", "c1", &[1], "1.5"));
     broker.wait_until(0.8);
     broker.nodes[0].set_behavior(NodeBehavior::Serve);
-    assert!(client.read_answer().is_some());
-    assert!(held.iter_mut().all(|client| client.read_answer().is_some()));
+    assert!(client.read_response().is_some());
+    assert!(held.iter_mut().all(|client| client.read_response().is_some()));
     drop(held);
     broker.assert_exits_in_time(client);
 }
--- a/crates/dunepond-broker/tests/state.rs
+++ b/crates/dunepond-broker/tests/state.rs
@@ -21,8 +21,10 @@
     let list = DiscoveryServer::start(rows.clone());
     let mut command = Command::new(env!("CARGO_BIN_EXE_dunepond-broker"));
     command.arg("run").arg("--operator").arg(&kdl);
-    let broker =
-        Broker::from_child(stand_ins::launch_command(command, &stand_ins::config(list.address, rows)));
+    let broker = Broker::wait_until_listening(stand_ins::launch_command(
+        command,
+        &stand_ins::config(list.address, rows),
+    ));
     let mut client = Client::connect(&broker);
     (0..20).for_each(|i| drop(client.request(&query_request("find", &format!("c{i}"), &[i % 6], "2.0"))));
     (broker, list)
--- a/crates/dunepond-broker/tests/streams.rs
+++ b/crates/dunepond-broker/tests/streams.rs
@@ -25,6 +25,6 @@
     let mut client = Client::connect(&broker);
     client.send(&query_request("find", "c1", &[0, 1, 2, 3, 4, 5], "2.0"));
     node.wait_for_frames('A', 3);
-    let parts: Vec<_> = node.frames('A').iter().map(|f| f.matches(" d=").count()).collect();
-    assert_eq!((parts, node.connections()), (vec![2, 2, 2], attempts_per_connection.len()));
+    let parts: Vec<_> = node.frames_of_type('A').iter().map(|f| f.matches(" d=").count()).collect();
+    assert_eq!((parts, node.connection_count()), (vec![2, 2, 2], attempts_per_connection.len()));
 }
--- a/crates/dunepond-broker/tests/time_left.rs
+++ b/crates/dunepond-broker/tests/time_left.rs
@@ -18,7 +18,7 @@
 fn time_limit(nodes: &[Node], id: &str) -> Option<(Instant, f64)> {
     let at_node = |node: &Node| {
         let at = node.part_arrivals().into_iter().find(|(_, part)| part.starts_with(id))?.0;
-        let frame = node.frames('A').into_iter().find(|frame| frame.starts_with(id))?;
+        let frame = node.frames_of_type('A').into_iter().find(|frame| frame.starts_with(id))?;
         let wait = frame.split([' ', '\n']).find_map(|word| word.strip_prefix("d=")?.parse().ok())?;
         Some((at, wait))
     };
@@ -38,7 +38,7 @@
 fn pipelined_request_has_its_remaining_time() {
     let nodes = [Node::start("s-0"), Node::start("s-1")];
     nodes.iter().for_each(|node| node.set_behavior(NodeBehavior::Hang));
-    let (broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 1000.0));
+    let (broker, _list) = Broker::start_with_config(&nodes, |config| set_timeouts(config, 1000.0));
     let mut client = Client::connect(&broker);
     let sent = Instant::now();
     client.send(&["c1", "c2"].map(|id| query_request("fix", id, &[1], "1.0")).concat());
@@ -46,8 +46,8 @@
         sleep(Duration::from_millis(5));
     }
     nodes.iter().for_each(|node| node.set_behavior(NodeBehavior::Serve));
-    assert_eq!(client.read_answer().unwrap().status, 502);
-    assert!(client.read_answer().is_some());
+    assert_eq!(client.read_response().unwrap().status, 502);
+    assert!(client.read_response().is_some());
     assert_within(&nodes, "c2.", sent, 1000.0);
 }
 
@@ -55,7 +55,7 @@
 #[rstest]
 fn request_during_a_stall_has_its_remaining_time(#[values(true, false)] accepted: bool) {
     let nodes = [Node::start("s-0")];
-    let (broker, _list) = Broker::start_for_changed(&nodes, |config| set_timeouts(config, 1500.0));
+    let (broker, _list) = Broker::start_with_config(&nodes, |config| set_timeouts(config, 1500.0));
     let mut client = Client::connect(&broker);
     assert_eq!(client.request(&query_request("find", "c1", &[1], "1.0")).status, 200);
     broker.signal("STOP");
@@ -66,7 +66,7 @@
     client.send(&query_request("find", "c2", &[1], "1.0"));
     sleep(Duration::from_millis(600));
     broker.signal("CONT");
-    assert!(client.read_answer().is_some());
+    assert!(client.read_response().is_some());
     assert_within(&nodes, "c2.", sent, 1000.0);
 }
 
@@ -81,6 +81,6 @@
     let mut client = Client::connect(&broker);
     let sent = Instant::now();
     client.send(&query_request("find", "c1", &[1], "2.0"));
-    assert!(client.read_answer().is_some());
+    assert!(client.read_response().is_some());
     assert_within(&nodes, "c1.", sent, 2000.0);
 }
--- a/crates/dunepond-control-plane/tests/control_loop.rs
+++ b/crates/dunepond-control-plane/tests/control_loop.rs
@@ -84,11 +84,11 @@
     let (control_plane, wake_count) = start_on(&files, config(None));
     wait(&control_plane, "a lease", |_, leased| leased);
     let directory = tempfile::tempdir().unwrap();
-    files.set_plan(FaultPlan::Full);
+    files.set_plan(FaultPlan::DiskFull);
     // The voter cannot write to its journal, so it cannot commit this version.
     control_plane.handle().reload_version(Some(version(&directory, 1)));
     wait(&control_plane, "no lease", |phase, leased| !leased && phase == ConfigPhase::Unconfigured);
-    files.set_plan(FaultPlan::Serve);
+    files.set_plan(FaultPlan::NoFault);
     wait(&control_plane, "the version", |phase, _| phase == ConfigPhase::Active(1));
     assert!(wake_count.load(Ordering::Relaxed) >= 3);
     control_plane.stop();
--- a/crates/dunepond-control-plane/tests/fills.rs
+++ b/crates/dunepond-control-plane/tests/fills.rs
@@ -345,7 +345,7 @@
     let control_plane = broker.start(Some(broker.version(1, 1, false)), None);
     wait_for_version(&control_plane, 1);
     thread::sleep(Duration::from_millis(1500));
-    broker.files.set_plan(FaultPlan::Full);
+    broker.files.set_plan(FaultPlan::DiskFull);
     set_started(&control_plane, "s1", 0.0);
     thread::sleep(Duration::from_millis(500));
     assert_eq!(
@@ -353,7 +353,7 @@
         0,
         "the fill started without a stored commitment"
     );
-    broker.files.set_plan(FaultPlan::Serve);
+    broker.files.set_plan(FaultPlan::NoFault);
     wait("a settlement", || broker.settled().len() == 1);
     control_plane.stop();
     assert_eq!(broker.settled(), [("1/0/s1+77@n1".to_string(), SEGMENT_BYTES)]);
@@ -395,11 +395,11 @@
     let control_plane = broker.start(Some(broker.version(1, 1, false)), None);
     wait_for_version(&control_plane, 1);
     thread::sleep(Duration::from_millis(1200));
-    broker.files.set_plan(FaultPlan::FailAt(call));
+    broker.files.set_plan(FaultPlan::FailCall(call));
     set_started(&control_plane, "s1", 0.0);
     wait("a settlement", || broker.settled().len() == 1);
     thread::sleep(Duration::from_millis(300));
-    assert!(broker.files.calls() > call, "the failing call was never reached");
+    assert!(broker.files.call_count() > call, "the failing call was never reached");
     control_plane.stop();
     assert_eq!(broker.settled(), [("1/0/s1+77@n1".to_string(), SEGMENT_BYTES)]);
     assert_eq!(broker.fill_service.done.lock().unwrap().len(), 1);
--- a/crates/dunepond-storage/tests/crashes.rs
+++ b/crates/dunepond-storage/tests/crashes.rs
@@ -13,9 +13,9 @@
 /// Returns how many calls `work` makes to a new store.
 fn count_calls(work: impl Fn(&MemoryStore)) -> usize {
     let store = MemoryStore::default();
-    store.set_plan(FaultPlan::Serve);
+    store.set_plan(FaultPlan::NoFault);
     work(&store);
-    store.calls()
+    store.call_count()
 }
 
 #[rstest]
@@ -33,7 +33,7 @@
     assert!(call_count > 20);
     for (at, seed) in (1..=call_count).flat_map(|at| (0..40).map(move |seed| (at, seed))) {
         let store = MemoryStore::default();
-        store.set_plan(FaultPlan::StopAt(at));
+        store.set_plan(FaultPlan::StopAtCall(at));
         let written = write_four(&store);
         store.crash(machine, seed);
         let found = newest_snapshot(&store);
@@ -56,7 +56,7 @@
     let call_count = count_calls(|store| drop(write_journal(store)));
     for (at, seed) in (1..=call_count).flat_map(|at| (0..40).map(move |seed| (at, seed))) {
         let store = MemoryStore::default();
-        store.set_plan(FaultPlan::StopAt(at));
+        store.set_plan(FaultPlan::StopAtCall(at));
         let (appended, synced) = write_journal(&store);
         store.crash(machine, seed);
         let (mut journal, recovered) = Journal::open(Arc::new(store.clone()), "ledger", VERSION).unwrap();
@@ -88,10 +88,10 @@
     };
     for at in 1..=count_calls(|store| drop(write_three(store))) {
         let store = MemoryStore::default();
-        store.set_plan(FaultPlan::FailAt(at));
+        store.set_plan(FaultPlan::FailCall(at));
         let written = write_three(&store);
         assert!(written.iter().filter(|ok| !**ok).count() <= 1);
-        store.set_plan(FaultPlan::Serve);
+        store.set_plan(FaultPlan::NoFault);
         // A write that failed after its rename is found nevertheless.
         let last = 1 + written.iter().rposition(|ok| *ok).unwrap() as u8;
         let expected = [Some(payload(last)), Some(payload(3))];
@@ -108,10 +108,10 @@
     snapshots.write(&payload(1)).unwrap();
     let (mut journal, _) = Journal::open(Arc::new(store.clone()), "ledger", VERSION).unwrap();
     journal.append(&payload(1)).unwrap();
-    store.set_plan(FaultPlan::Full);
+    store.set_plan(FaultPlan::DiskFull);
     assert!(snapshots.write(&payload(2)).is_err() && journal.append(&payload(2)).is_err());
     assert_eq!(newest_snapshot(&store), Some(payload(1)));
-    store.set_plan(FaultPlan::Serve);
+    store.set_plan(FaultPlan::NoFault);
     snapshots.write(&payload(3)).unwrap();
     // After a failed append, no record can be appended until the journal is rewritten.
     assert!(journal.append(&payload(3)).is_err());
--- a/crates/dunepond-testkit/src/auditor/answers.rs
+++ b/crates/dunepond-testkit/src/auditor/answers.rs
@@ -15,18 +15,19 @@
     for attempt in attempts {
         by_request.entry((&attempt.record.broker, attempt.request_id)).or_default().push(attempt);
     }
-    for record in &records.lines {
+    for record in &records.entries {
         let AuditEvent::Answer { request_id, complete: true, segments, map_epoch, .. } = &record.event else {
             continue;
         };
         let parts =
             by_request.get(&(record.broker.as_str(), request_id.as_str())).map_or(&[][..], Vec::as_slice);
         let from_attempts = || parts.iter().map(|attempt| attempt.segment_id).collect();
-        let requested = truth.requested.get(request_id).cloned().unwrap_or_else(from_attempts);
-        let missing: Vec<_> = requested.into_iter().filter(|segment| !segments.contains(segment)).collect();
+        let requested = truth.requested_segments.get(request_id).cloned().unwrap_or_else(from_attempts);
+        let missing_segments: Vec<_> =
+            requested.into_iter().filter(|segment| !segments.contains(segment)).collect();
         let (broker, request_id) = (record.broker.clone(), request_id.clone());
-        if !missing.is_empty() {
-            findings.push(Finding::FalselyComplete { broker, request_id, missing });
+        if !missing_segments.is_empty() {
+            findings.push(Finding::FalselyComplete { broker, request_id, missing_segments });
             continue;
         }
         let Some(epoch) = *map_epoch else { continue };
--- a/crates/dunepond-testkit/src/auditor/attempts.rs
+++ b/crates/dunepond-testkit/src/auditor/attempts.rs
@@ -84,10 +84,12 @@
             });
         }
         let Some(previous) = last_by_segment.insert(segment_id, attempt) else { continue };
-        let apart = attempt.record.at - previous.record.at;
-        if previous.node != attempt.node && apart < truth.max_query_seconds - truth.clock_slack_seconds {
+        let interval_seconds = attempt.record.at - previous.record.at;
+        if previous.node != attempt.node
+            && interval_seconds < truth.max_query_seconds - truth.clock_slack_seconds
+        {
             let (first_node, second_node) = (previous.node.to_string(), attempt.node.to_string());
-            findings.push(Finding::TwoOwners { segment_id, first_node, second_node, apart });
+            findings.push(Finding::TwoOwners { segment_id, first_node, second_node, interval_seconds });
         }
     }
 }
--- a/crates/dunepond-testkit/src/auditor/finding.rs
+++ b/crates/dunepond-testkit/src/auditor/finding.rs
@@ -30,7 +30,7 @@
     },
     /// Non-idempotent parts for one segment were sent to two owners while the first might still have been executing.
     #[error(
-        "segment {segment_id}: non-idempotent parts were sent to {first_node} and {second_node} within {apart:.3} s"
+        "segment {segment_id}: non-idempotent parts were sent to {first_node} and {second_node} within {interval_seconds:.3} s"
     )]
     TwoOwners {
         /// Id of the segment.
@@ -40,7 +40,7 @@
         /// Name of the node that the later part was sent to.
         second_node: String,
         /// Time between the two attempts, in seconds.
-        apart: f64,
+        interval_seconds: f64,
     },
     /// A non-idempotent part was sent to a node that does not own its segment in every configuration version under
     /// which the part was sent.
@@ -61,7 +61,9 @@
         versions: Vec<u64>,
     },
     /// A broker recorded an attempt as allowed by its lease after that lease had expired.
-    #[error("broker {broker} sent part {request_id}/{segment_id} {late:.3} s after its lease had expired")]
+    #[error(
+        "broker {broker} sent part {request_id}/{segment_id} {late_seconds:.3} s after its lease had expired"
+    )]
     SentAfterLease {
         /// Name of the broker that sent the part.
         broker: String,
@@ -70,7 +72,7 @@
         /// Id of the segment that the part is for.
         segment_id: u64,
         /// Time from the end of the lease to the attempt, in seconds.
-        late: f64,
+        late_seconds: f64,
     },
     /// A broker sent a non-idempotent part in a phase in which it had no valid lease.
     #[error("broker {broker} sent the non-idempotent part {request_id}/{segment_id} without a lease")]
@@ -99,20 +101,20 @@
         second_broker: String,
     },
     /// The nodes counted more than one run of a non-idempotent part.
-    #[error("nodes ran the non-idempotent part {request_id}/{segment_id} {times} times")]
+    #[error("nodes ran the non-idempotent part {request_id}/{segment_id} {run_count} times")]
     RanTwice {
         /// Id of the request.
         request_id: String,
         /// Id of the segment that the part is for.
         segment_id: u64,
         /// Number of runs.
-        times: usize,
+        run_count: usize,
     },
     /// A non-idempotent part reached its node after all leases that allowed it had expired, by more than the longest
     /// query timeout.
     #[error(
         "the non-idempotent part {request_id}/{segment_id}, sent by broker {broker} under configuration versions \
-         {versions:?}, reached its node {late:.3} s after the last lease for them had expired"
+         {versions:?}, reached its node {late_seconds:.3} s after the last lease for them had expired"
     )]
     RanAfterLease {
         /// Name of the broker that sent the part.
@@ -125,11 +127,11 @@
         versions: Vec<u64>,
         /// Time from the end of the last lease, or from the attempt if that was later, to the part's arrival, in
         /// seconds.
-        late: f64,
+        late_seconds: f64,
     },
     /// Two nodes might have executed non-idempotent parts for one segment at the same time.
     #[error(
-        "segment {segment_id}: non-idempotent parts reached {first_node} and {second_node} within {apart:.3} s"
+        "segment {segment_id}: non-idempotent parts reached {first_node} and {second_node} within {interval_seconds:.3} s"
     )]
     OverlappingRuns {
         /// Id of the segment.
@@ -139,7 +141,7 @@
         /// Name of the node that the later part reached.
         second_node: String,
         /// Time between the two arrivals, in seconds.
-        apart: f64,
+        interval_seconds: f64,
     },
     /// The brokers' shares of a quota added up to more than the quota.
     #[error(
@@ -196,8 +198,8 @@
     },
     /// A broker settled more between two partners than was owed.
     #[error(
-        "broker {broker} applied settlements of {settled} bytes from debtor {debtor} to creditor {creditor}, more \
-         than the debt of {owed} bytes"
+        "broker {broker} applied settlements of {settled_bytes} bytes from debtor {debtor} to creditor {creditor}, more \
+         than the debt of {owed_bytes} bytes"
     )]
     SettledBeyondDebt {
         /// Name of the broker.
@@ -207,13 +209,13 @@
         /// Name of the partner that the bytes were owed to.
         creditor: String,
         /// Number of bytes that were settled.
-        settled: u64,
+        settled_bytes: u64,
         /// Number of bytes that were owed at most.
-        owed: u64,
+        owed_bytes: u64,
     },
     /// An answer marked complete lacks segments that were requested.
     #[error(
-        "broker {broker} marked the answer to {request_id} complete, but segments {missing:?} are missing"
+        "broker {broker} marked the answer to {request_id} complete, but segments {missing_segments:?} are missing"
     )]
     FalselyComplete {
         /// Name of the broker.
@@ -221,7 +223,7 @@
         /// Id of the request.
         request_id: String,
         /// Ids of the segments that are missing.
-        missing: Vec<u64>,
+        missing_segments: Vec<u64>,
     },
     /// An answer marked complete combines parts of different shard maps.
     #[error(
@@ -264,7 +266,7 @@
     },
     /// A line of a file is not a valid audit record.
     #[error("{file}, line {line}: not a valid audit record")]
-    Unreadable {
+    InvalidRecord {
         /// Path of the file.
         file: String,
         /// Number of the line, from 1.
--- a/crates/dunepond-testkit/src/auditor/leases.rs
+++ b/crates/dunepond-testkit/src/auditor/leases.rs
@@ -24,7 +24,7 @@
 
 /// Returns the longest time for which any two brokers might have had different configuration versions active, in
 /// seconds.
-pub fn longest_contradiction(records: &Records) -> f64 {
+pub fn longest_version_conflict_seconds(records: &Records) -> f64 {
     let intervals = active_intervals(records);
     let mut longest: f64 = 0.0;
     for (index, a) in intervals.iter().enumerate() {
@@ -42,7 +42,7 @@
 fn active_intervals(records: &Records) -> Vec<ActiveInterval> {
     let mut intervals: Vec<ActiveInterval> = Vec::new();
     let mut open: BTreeMap<&str, OpenInterval> = BTreeMap::new();
-    for record in &records.lines {
+    for record in &records.entries {
         let broker = record.broker.as_str();
         let ended = open.get(broker).copied().filter(|interval| ends_interval(record, *interval));
         if let Some(interval) = ended {
@@ -91,7 +91,7 @@
 pub(super) fn check_leases(records: &Records, truth: &GroundTruth, findings: &mut Vec<Finding>) {
     let mut lease_ends: BTreeMap<(&str, u64), f64> = BTreeMap::new();
     let mut incarnations_with_map: BTreeSet<(&str, u64)> = BTreeSet::new();
-    for record in &records.lines {
+    for record in &records.entries {
         let incarnation = (record.broker.as_str(), record.incarnation);
         if let AuditEvent::Phase { lease_expires_at, first_version, last_version, .. } = &record.event {
             lease_ends.insert(incarnation, *lease_expires_at);
@@ -100,8 +100,8 @@
             }
         }
         let Some(attempt) = SentAttempt::from_record(record) else { continue };
-        let late = record.at - lease_ends.get(&incarnation).copied().unwrap_or(0.0);
-        if late <= truth.clock_slack_seconds {
+        let late_seconds = record.at - lease_ends.get(&incarnation).copied().unwrap_or(0.0);
+        if late_seconds <= truth.clock_slack_seconds {
             continue;
         }
         let (broker, segment_id) = (record.broker.clone(), attempt.segment_id);
@@ -109,7 +109,7 @@
         let needs_lease = attempt.non_idempotent;
         match attempt.phase {
             AuditPhase::Active | AuditPhase::Joint => {
-                findings.push(Finding::SentAfterLease { broker, request_id, segment_id, late });
+                findings.push(Finding::SentAfterLease { broker, request_id, segment_id, late_seconds });
             }
             // A broker whose lease has expired and that knows no map continues under the rules it had last.
             AuditPhase::LeaseExpired if needs_lease && incarnations_with_map.contains(&incarnation) => {
--- a/crates/dunepond-testkit/src/auditor/mod.rs
+++ b/crates/dunepond-testkit/src/auditor/mod.rs
@@ -6,7 +6,7 @@
 mod attempts;
 mod finding;
 mod leases;
-pub mod limits;
+pub mod quotas;
 pub mod records;
 mod runs;
 mod settlements;
@@ -16,7 +16,7 @@
 
 use attempts::SentAttempt;
 pub use finding::Finding;
-pub use leases::longest_contradiction;
+pub use leases::longest_version_conflict_seconds;
 pub use records::{AuditEvent, AuditPhase, AuditRecord, Records};
 
 /// What is known of a run from other sources than the brokers' audit records.
@@ -30,9 +30,9 @@
     pub maps: BTreeMap<u64, MapVersion>,
     /// Ids of the segments that each request covers, by request id, as reported by clients. For other requests, they
     /// are taken from the recorded attempts.
-    pub requested: BTreeMap<String, BTreeSet<u64>>,
-    /// All runs of non-idempotent parts that the nodes counted.
-    pub runs: Vec<NodeRun>,
+    pub requested_segments: BTreeMap<String, BTreeSet<u64>>,
+    /// All runs of non-idempotent parts, as counted by the nodes.
+    pub node_runs: Vec<NodeRun>,
     /// Upper bound of the debt between any two partners, in bytes; `None` if it is unknown.
     pub max_debt_bytes: Option<u64>,
 }
@@ -53,8 +53,8 @@
     pub request_id: String,
     /// Id of the segment that the part is for.
     pub segment_id: u64,
-    /// When the part reached the node, in seconds on the monotonic clock.
-    pub at: f64,
+    /// Time at which the part reached the node, in seconds on the monotonic clock.
+    pub arrived_at: f64,
     /// Name of the node.
     pub node: String,
 }
@@ -62,11 +62,11 @@
 /// Checks the records and returns all findings, each violation once.
 pub fn audit(records: &Records, truth: &GroundTruth) -> Vec<Finding> {
     let mut findings: Vec<_> = records
-        .unreadable
+        .invalid_lines
         .iter()
-        .map(|(file, line)| Finding::Unreadable { file: file.clone(), line: *line })
+        .map(|(file, line)| Finding::InvalidRecord { file: file.clone(), line: *line })
         .collect();
-    let attempts: Vec<_> = records.lines.iter().filter_map(SentAttempt::from_record).collect();
+    let attempts: Vec<_> = records.entries.iter().filter_map(SentAttempt::from_record).collect();
     leases::check_leases(records, truth, &mut findings);
     leases::check_conflicting_versions(records, truth, &attempts, &mut findings);
     attempts::check_ownership(truth, &attempts, &mut findings);
@@ -74,7 +74,7 @@
     runs::check_repeated(truth, &mut findings);
     runs::check_late(records, truth, &attempts, &mut findings);
     runs::check_overlapping(truth, &mut findings);
-    limits::check_quotas(records, &mut findings);
+    quotas::check_quotas(records, &mut findings);
     settlements::check(records, truth, &mut findings);
     answers::check(records, truth, &attempts, &mut findings);
     versions::check(records, &mut findings);
--- a/crates/dunepond-testkit/src/auditor/limits.rs
+++ b/crates/dunepond-testkit/src/auditor/quotas.rs
@@ -15,7 +15,7 @@
     /// Name of the broker.
     pub broker: String,
     /// Name of the quota.
-    pub bound: String,
+    pub quota: String,
     /// Share of the broker, in units; the whole quota has [`QUOTA_UNITS`].
     pub units: u64,
     /// When the broker may start to use the share.
@@ -44,9 +44,9 @@
 }
 
 /// Returns the sum of the brokers' shares of a quota at each moment at which an interval begins or ends.
-pub fn sums<'a>(intervals: &'a [QuotaInterval], quota: &str) -> Vec<QuotaSum<'a>> {
+pub fn quota_sums<'a>(intervals: &'a [QuotaInterval], quota: &str) -> Vec<QuotaSum<'a>> {
     let intervals: Vec<_> =
-        intervals.iter().filter(|interval| interval.bound == quota && interval.to > interval.from).collect();
+        intervals.iter().filter(|interval| interval.quota == quota && interval.to > interval.from).collect();
     // Shares of one broker replace each other and are not added up: its largest open share counts.
     let mut open: BTreeMap<&str, BTreeSet<(u64, usize)>> = BTreeMap::new();
     let mut sums = Vec::new();
@@ -80,17 +80,18 @@
 /// Returns the largest sum of the brokers' shares of each quota over the run, in units, by name of the quota.
 pub fn peak_units(records: &Records) -> BTreeMap<String, u64> {
     let intervals = quota_intervals(records);
-    let quotas: BTreeSet<_> = intervals.iter().map(|interval| interval.bound.clone()).collect();
-    let peak = |quota: &String| sums(&intervals, quota).into_iter().map(|sum| sum.units).max().unwrap_or(0);
+    let quotas: BTreeSet<_> = intervals.iter().map(|interval| interval.quota.clone()).collect();
+    let peak =
+        |quota: &String| quota_sums(&intervals, quota).into_iter().map(|sum| sum.units).max().unwrap_or(0);
     quotas.iter().map(|quota| (quota.clone(), peak(quota))).collect()
 }
 
 /// Reports, for each quota, the first moment at which the brokers' shares add up to more than the quota.
 pub(super) fn check_quotas(records: &Records, findings: &mut Vec<Finding>) {
     let intervals = quota_intervals(records);
-    let quotas: BTreeSet<_> = intervals.iter().map(|interval| &interval.bound).collect();
+    let quotas: BTreeSet<_> = intervals.iter().map(|interval| &interval.quota).collect();
     for quota in quotas {
-        let exceeded = sums(&intervals, quota).into_iter().find(|sum| sum.units > QUOTA_UNITS);
+        let exceeded = quota_sums(&intervals, quota).into_iter().find(|sum| sum.units > QUOTA_UNITS);
         if let Some(sum) = exceeded {
             findings.push(Finding::QuotaExceeded {
                 quota: quota.clone(),
@@ -108,7 +109,7 @@
 pub fn quota_intervals(records: &Records) -> Vec<QuotaInterval> {
     let mut quota_names: BTreeSet<&String> = BTreeSet::new();
     let mut by_broker: BTreeMap<&str, Vec<&AuditRecord>> = BTreeMap::new();
-    for record in &records.lines {
+    for record in &records.entries {
         if let AuditEvent::QuotaShare { leased_units, .. } = &record.event {
             quota_names.extend(leased_units.keys());
             by_broker.entry(&record.broker).or_default().push(record);
@@ -155,7 +156,7 @@
             if until > from && units > 0 {
                 intervals.push(QuotaInterval {
                     broker: record.broker.clone(),
-                    bound: name.to_string(),
+                    quota: name.to_string(),
                     units: u64::from(units),
                     from,
                     to: until + window_seconds,
--- a/crates/dunepond-testkit/src/auditor/records.rs
+++ b/crates/dunepond-testkit/src/auditor/records.rs
@@ -6,13 +6,13 @@
 
 pub use dunepond_control_plane::{AuditEvent, AuditPhase, AuditRecord};
 
-/// The audit records of several files, with the places of the lines that cannot be parsed.
+/// The audit records read from several files, and the lines that could not be parsed.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    /// All records; in the order of time once they have been sorted.
-    pub lines: Vec<AuditRecord>,
+    /// All records, ordered by time after [`Records::sort`].
+    pub entries: Vec<AuditRecord>,
     /// File name and line number, from 1, of each line that cannot be parsed.
-    pub unreadable: Vec<(String, usize)>,
+    pub invalid_lines: Vec<(String, usize)>,
 }
 
 impl Records {
@@ -31,9 +31,9 @@
         for (position, &(index, line)) in lines.iter().enumerate() {
             let last_record = line.rfind("{\"at\":").map_or("", |at| &line[at..]);
             match serde_json::from_str(line).or_else(|_| serde_json::from_str(last_record)) {
-                Ok(record) => self.lines.push(record),
+                Ok(record) => self.entries.push(record),
                 Err(_) if position + 1 == lines.len() && !ends_with_newline => {}
-                Err(_) => self.unreadable.push((name.to_string(), index + 1)),
+                Err(_) => self.invalid_lines.push((name.to_string(), index + 1)),
             }
         }
     }
@@ -41,7 +41,7 @@
     /// Sorts all records by time.
     pub fn sort(&mut self) {
         // The sort is stable, so that records of one broker with the same time keep their order.
-        self.lines.sort_by(|a, b| a.at.total_cmp(&b.at));
+        self.entries.sort_by(|a, b| a.at.total_cmp(&b.at));
     }
 
     /// Reads files and sorts their records by time. A missing file counts as empty, because a broker without events
--- a/crates/dunepond-testkit/src/auditor/runs.rs
+++ b/crates/dunepond-testkit/src/auditor/runs.rs
@@ -7,12 +7,12 @@
 /// Reports non-idempotent parts that ran more than once.
 pub(super) fn check_repeated(truth: &GroundTruth, findings: &mut Vec<Finding>) {
     let mut counts: BTreeMap<(&String, u64), usize> = BTreeMap::new();
-    for run in &truth.runs {
+    for run in &truth.node_runs {
         *counts.entry((&run.request_id, run.segment_id)).or_default() += 1;
     }
-    for ((request_id, segment_id), times) in counts {
-        if times > 1 {
-            findings.push(Finding::RanTwice { request_id: request_id.clone(), segment_id, times });
+    for ((request_id, segment_id), run_count) in counts {
+        if run_count > 1 {
+            findings.push(Finding::RanTwice { request_id: request_id.clone(), segment_id, run_count });
         }
     }
 }
@@ -30,27 +30,27 @@
     let sent: BTreeMap<_, _> =
         with_versions.map(|attempt| ((attempt.request_id, attempt.segment_id), attempt)).collect();
     let mut phases: BTreeMap<_, Vec<&AuditRecord>> = BTreeMap::new();
-    for record in &records.lines {
+    for record in &records.entries {
         if matches!(record.event, AuditEvent::Phase { .. }) {
             phases.entry((&record.broker, record.incarnation)).or_default().push(record);
         }
     }
-    for run in &truth.runs {
+    for run in &truth.node_runs {
         let Some(attempt) = sent.get(&(run.request_id.as_str(), run.segment_id)) else { continue };
         let incarnation = (&attempt.record.broker, attempt.record.incarnation);
         let phases = phases.get(&incarnation).map_or(&[][..], Vec::as_slice);
         let leases = phases
             .iter()
-            .filter(|record| record.at <= run.at)
+            .filter(|record| record.at <= run.arrived_at)
             .filter_map(|record| lease_on(&record.event, attempt.versions));
-        let late = run.at - leases.fold(attempt.record.at, f64::max);
-        if late > truth.max_query_seconds + truth.clock_slack_seconds {
+        let late_seconds = run.arrived_at - leases.fold(attempt.record.at, f64::max);
+        if late_seconds > truth.max_query_seconds + truth.clock_slack_seconds {
             findings.push(Finding::RanAfterLease {
                 broker: attempt.record.broker.clone(),
                 request_id: run.request_id.clone(),
                 segment_id: run.segment_id,
                 versions: attempt.versions.to_vec(),
-                late,
+                late_seconds,
             });
         }
     }
@@ -78,20 +78,20 @@
     // Both times are clock readings of nodes, taken when a part arrived, so that the slack applies twice.
     let min_interval_seconds = truth.max_query_seconds - 2.0 * truth.clock_slack_seconds;
     let mut by_segment: BTreeMap<u64, Vec<&NodeRun>> = BTreeMap::new();
-    for run in &truth.runs {
+    for run in &truth.node_runs {
         by_segment.entry(run.segment_id).or_default().push(run);
     }
     for (segment_id, mut runs) in by_segment {
-        runs.sort_by(|a, b| a.at.total_cmp(&b.at));
+        runs.sort_by(|a, b| a.arrived_at.total_cmp(&b.arrived_at));
         let overlap = |pair: &&[&NodeRun]| {
-            pair[0].node != pair[1].node && pair[1].at - pair[0].at < min_interval_seconds
+            pair[0].node != pair[1].node && pair[1].arrived_at - pair[0].arrived_at < min_interval_seconds
         };
         if let Some(pair) = runs.windows(2).find(overlap) {
             findings.push(Finding::OverlappingRuns {
                 segment_id,
                 first_node: pair[0].node.clone(),
                 second_node: pair[1].node.clone(),
-                apart: pair[1].at - pair[0].at,
+                interval_seconds: pair[1].arrived_at - pair[0].arrived_at,
             });
         }
     }
--- a/crates/dunepond-testkit/src/auditor/settlements.rs
+++ b/crates/dunepond-testkit/src/auditor/settlements.rs
@@ -28,7 +28,7 @@
     let mut first_ids: BTreeMap<&str, &str> = BTreeMap::new();
     let mut first_terms: BTreeMap<&str, Terms> = BTreeMap::new();
     let mut sums: BTreeMap<SumKey, u64> = BTreeMap::new();
-    for record in &records.lines {
+    for record in &records.entries {
         let AuditEvent::Settled { id, debtor, creditor, bytes, .. } = &record.event else { continue };
         let (broker, incarnation) = (&record.broker, record.incarnation);
         let terms = Terms { debtor, creditor, bytes: *bytes };
@@ -49,15 +49,15 @@
         }
         *sums.entry(SumKey { broker, incarnation, debtor, creditor }).or_default() += bytes;
     }
-    let Some(owed) = truth.max_debt_bytes else { return };
-    for (key, settled) in sums {
-        if settled > owed {
+    let Some(owed_bytes) = truth.max_debt_bytes else { return };
+    for (key, settled_bytes) in sums {
+        if settled_bytes > owed_bytes {
             findings.push(Finding::SettledBeyondDebt {
                 broker: key.broker.clone(),
                 debtor: key.debtor.clone(),
                 creditor: key.creditor.clone(),
-                settled,
-                owed,
+                settled_bytes,
+                owed_bytes,
             });
         }
     }
--- a/crates/dunepond-testkit/src/auditor/versions.rs
+++ b/crates/dunepond-testkit/src/auditor/versions.rs
@@ -9,7 +9,7 @@
 pub(super) fn check(records: &Records, findings: &mut Vec<Finding>) {
     let mut confirmed: BTreeMap<u64, BTreeSet<&String>> = BTreeMap::new();
     let mut withdrawn = BTreeSet::new();
-    for record in &records.lines {
+    for record in &records.entries {
         match &record.event {
             AuditEvent::Confirmed { number, digest } => {
                 confirmed.entry(*number).or_default().insert(digest);
--- a/crates/dunepond-testkit/src/body_cluster/mod.rs
+++ b/crates/dunepond-testkit/src/body_cluster/mod.rs
@@ -27,8 +27,8 @@
 const TENANT_QUOTA: f64 = 1000.0;
 
 /// Returns the ids of the parts that ran more than once over all nodes, limited to the ids for which `include` returns true.
-pub fn repeated_parts(nodes: &[Node], include: impl Fn(&str) -> bool) -> Vec<String> {
-    let mut repeated = part_runs::repeated(nodes.iter().flat_map(Node::runs));
+pub fn repeated_part_ids(nodes: &[Node], include: impl Fn(&str) -> bool) -> Vec<String> {
+    let mut repeated = part_runs::repeated_part_ids(nodes.iter().flat_map(Node::run_counts));
     repeated.retain(|id| include(id));
     repeated
 }
@@ -40,7 +40,7 @@
     /// The nodes behind the broker.
     pub nodes: Vec<Node>,
     /// The folder that the broker spills bodies to.
-    pub folder: PathBuf,
+    pub spill_folder: PathBuf,
     /// The operator's file that the broker reads, in KDL.
     pub operator_file: PathBuf,
     /// The file that selects the disk fault; see [`crate::faulty_disk`].
@@ -66,11 +66,11 @@
     /// Starts a broker in front of `nodes`, hosted by the testkit program at `program`. `operator_kdl` is the text of the
     /// operator's file, in which each `FOLDER` is replaced by the path of a new spill folder.
     pub fn start(program: &Path, nodes: Vec<Node>, operator_kdl: &str) -> Self {
-        Self::start_with(program, nodes, operator_kdl, |_| {})
+        Self::start_with_config(program, nodes, operator_kdl, |_| {})
     }
 
     /// Like [`BodyCluster::start`], but passes the broker's configuration through `adjust_config` first.
-    pub fn start_with(
+    pub fn start_with_config(
         program: &Path,
         nodes: Vec<Node>,
         operator_kdl: &str,
@@ -80,15 +80,16 @@
         let discovery = DiscoveryServer::start(endpoints.clone());
         let mut config = config(discovery.address, endpoints);
         adjust_config(&mut config);
-        let folder = stand_ins::scratch_path("folder");
+        let spill_folder = stand_ins::scratch_path("folder");
         let faults_file = stand_ins::scratch_path("disk");
         let operator_file = stand_ins::scratch_path("kdl");
-        std::fs::create_dir(&folder).unwrap();
-        std::fs::write(&operator_file, operator_kdl.replace("FOLDER", folder.to_str().unwrap())).unwrap();
+        std::fs::create_dir(&spill_folder).unwrap();
+        std::fs::write(&operator_file, operator_kdl.replace("FOLDER", spill_folder.to_str().unwrap()))
+            .unwrap();
         let mut command = Command::new(program);
         command.arg("broker").arg("--operator").arg(&operator_file).arg("--disk").arg(&faults_file);
-        let broker = stand_ins::Broker::from_child(stand_ins::launch_command(command, &config));
-        Self { broker, nodes, folder, operator_file, faults_file, _discovery: discovery }
+        let broker = stand_ins::Broker::wait_until_listening(stand_ins::launch_command(command, &config));
+        Self { broker, nodes, spill_folder, operator_file, faults_file, _discovery: discovery }
     }
 
     /// Sets the fault that the broker's disk shows from now on; [`crate::faulty_disk`] lists the values.
@@ -101,7 +102,7 @@
 
     /// Replaces the operator's file and makes the broker reload it (SIGHUP). `FOLDER` stands for the path of the spill folder.
     pub fn reload_config(&self, operator_kdl: &str) {
-        let text = operator_kdl.replace("FOLDER", self.folder.to_str().unwrap());
+        let text = operator_kdl.replace("FOLDER", self.spill_folder.to_str().unwrap());
         std::fs::write(&self.operator_file, text).unwrap();
         self.broker.signal("HUP");
     }
@@ -125,14 +126,14 @@
 
     /// Returns the number of spill files that are visible in the folder. Spill files in use are unlinked and not counted.
     pub fn spill_file_count(&self) -> usize {
-        let entries = std::fs::read_dir(&self.folder).into_iter().flatten().flatten();
+        let entries = std::fs::read_dir(&self.spill_folder).into_iter().flatten().flatten();
         entries.filter(|entry| entry.path().extension().is_some_and(|extension| extension == "body")).count()
     }
 }
 
 impl Drop for BodyCluster {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.spill_folder);
         let _ = std::fs::remove_file(&self.faults_file);
         let _ = std::fs::remove_file(&self.operator_file);
     }
--- a/crates/dunepond-testkit/src/body_cluster/node.rs
+++ b/crates/dunepond-testkit/src/body_cluster/node.rs
@@ -30,11 +30,11 @@
     /// Reads the first line of a part and then pauses for a minute before each read of its body.
     StopReading,
     /// Rejects a part as overloaded when half of its body has arrived.
-    RefuseMidFrame,
+    RejectMidFrame,
     /// Rejects a part as overloaded after reading its whole frame.
-    Refuse,
+    Reject,
     /// Reads the whole frame and reports that the part failed.
-    Fault,
+    ReportFailure,
     /// Closes the connection after reading the whole frame.
     Close,
     /// Closes the connection when half of the body has arrived.
@@ -130,8 +130,8 @@
                     }
                     format!("{id} fault 0 -\n")
                 }
-                BodyNodeBehavior::Refuse => format!("{id} overload 0 -\n"),
-                BodyNodeBehavior::Fault => format!("{id} fault 0 -\n"),
+                BodyNodeBehavior::Reject => format!("{id} overload 0 -\n"),
+                BodyNodeBehavior::ReportFailure => format!("{id} fault 0 -\n"),
                 _ => format!("{id} hit 1 -\n{}:{checksum:08x}", part.body_bytes),
             };
             out.write_all(&frames::encode(ANSWER, &answer))?;
@@ -158,7 +158,7 @@
             let half_arrived = remaining <= part.body_bytes / 2;
             match behavior {
                 BodyNodeBehavior::StopReading => thread::sleep(STOPPED_READ_DELAY),
-                BodyNodeBehavior::RefuseMidFrame if half_arrived => {
+                BodyNodeBehavior::RejectMidFrame if half_arrived => {
                     self.record_partial();
                     let answer = format!("{} overload 0 -\n", part.id);
                     out.write_all(&frames::encode(ANSWER, &answer))?;
@@ -193,7 +193,7 @@
     fn record_complete(&self, id: &str, behavior: BodyNodeBehavior) {
         let mut record = self.record.lock().unwrap();
         record.frames.complete += 1;
-        if behavior != BodyNodeBehavior::Refuse {
+        if behavior != BodyNodeBehavior::Reject {
             *record.runs.entry(id.to_string()).or_default() += 1;
         }
     }
@@ -215,7 +215,7 @@
     }
 
     /// Returns, by part id, how often the part ran on this node.
-    pub fn runs(&self) -> HashMap<String, u32> {
+    pub fn run_counts(&self) -> HashMap<String, u32> {
         self.record.lock().unwrap().runs.clone()
     }
 
--- a/crates/dunepond-testkit/src/body_cluster/request.rs
+++ b/crates/dunepond-testkit/src/body_cluster/request.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::stand_ins::{Answer, Client};
+use crate::stand_ins::{Client, Response};
 
 /// Maximum number of body bytes in one write.
 const BLOCK_BYTES: usize = 64 * 1024;
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct BodyOutcome {
     /// The answer; `None` if the connection ended without one or the client disconnected.
-    pub answer: Option<Answer>,
+    pub response: Option<Response>,
     /// Time from the established connection to the end of the request, in seconds.
     pub elapsed_seconds: f64,
 }
@@ -51,12 +51,12 @@
 impl BodyOutcome {
     /// Returns the HTTP status code, or 0 without an answer.
     pub fn status(&self) -> u16 {
-        self.answer.as_ref().map_or(0, |answer| answer.status)
+        self.response.as_ref().map_or(0, |response| response.status)
     }
 
     /// Returns the error text of an answer that rejects the request; empty if there is none.
     pub fn error_text(&self) -> String {
-        let error = self.answer.as_ref().and_then(|answer| answer.body["error"].as_str());
+        let error = self.response.as_ref().and_then(|response| response.body["error"].as_str());
         error.unwrap_or_default().to_string()
     }
 }
@@ -102,7 +102,7 @@
     }
 
     /// Returns the request line and the header fields, with the empty line that ends them.
-    pub fn head(&self) -> String {
+    pub fn header(&self) -> String {
         let share = 1.0 / self.shards.len() as f64;
         let buckets: Vec<_> = self.shards.iter().map(|shard| format!("{shard}={share:.6}")).collect();
         let framing = match self.chunked {
@@ -125,16 +125,16 @@
         // operating system.
         let stream = TcpStream::connect(address);
         let started = Instant::now();
-        let answer = stream.ok().and_then(|stream| self.exchange(stream, started));
-        BodyOutcome { answer, elapsed_seconds: started.elapsed().as_secs_f64() }
+        let response = stream.ok().and_then(|stream| self.exchange(stream, started));
+        BodyOutcome { response, elapsed_seconds: started.elapsed().as_secs_f64() }
     }
 
     /// Sends the request and reads the answer. Returns `None` if the client disconnects or the connection fails.
-    fn exchange(&self, mut stream: TcpStream, started: Instant) -> Option<Answer> {
+    fn exchange(&self, mut stream: TcpStream, started: Instant) -> Option<Response> {
         stream.set_nodelay(true).ok()?;
         stream.set_read_timeout(Some(IO_TIMEOUT)).ok()?;
         stream.set_write_timeout(Some(IO_TIMEOUT)).ok()?;
-        stream.write_all(self.head().as_bytes()).ok()?;
+        stream.write_all(self.header().as_bytes()).ok()?;
         let mut block = vec![0; self.block_bytes()];
         let mut offset = 0;
         while offset < self.body_bytes {
@@ -156,7 +156,7 @@
         if self.disconnect_after_bytes.is_some() {
             return None;
         }
-        Client::from_stream(stream).read_answer()
+        Client::from_stream(stream).read_response()
     }
 
     /// Returns the number of body bytes per write.
--- a/crates/dunepond-testkit/src/experiments/background.rs
+++ b/crates/dunepond-testkit/src/experiments/background.rs
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::RunOptions;
-use crate::report::{Curve, Figures};
+use crate::report::{Curve, ExperimentReport};
 
 /// Share of the core that foreground requests use.
 const FOREGROUND_LOAD: f64 = 0.8;
@@ -104,8 +104,8 @@
 }
 
 /// Runs the experiment.
-pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
-    let mut figures = Figures::default();
+pub fn run(options: &RunOptions) -> anyhow::Result<ExperimentReport> {
+    let mut experiment_report = ExperimentReport::default();
     let seconds = if options.quick { 60.0 } else { 600.0 };
     let budget = Budget { time_ratio: 0.02, bytes_per_second: 1e6, max_blocking_jobs: 1 };
     let baseline = simulate(options.seed, seconds, None);
@@ -114,29 +114,34 @@
     let latency_ms = |result: &SimulatedRun, quantile: f64| {
         result.latencies_micros.value_at_quantile(quantile) as f64 / 1e3
     };
-    figures.report("foreground alone, p50", latency_ms(&baseline, 0.5), "ms, simulated");
-    figures.report("foreground alone, p99", latency_ms(&baseline, 0.99), "ms, simulated");
-    figures.report("beside endless work, p99", latency_ms(&budgeted, 0.99), "ms, simulated");
-    figures.report(
+    experiment_report.add_value("foreground alone, p50", latency_ms(&baseline, 0.5), "ms, simulated");
+    experiment_report.add_value("foreground alone, p99", latency_ms(&baseline, 0.99), "ms, simulated");
+    experiment_report.add_value("beside endless work, p99", latency_ms(&budgeted, 0.99), "ms, simulated");
+    experiment_report.add_value(
         "beside endless work without a budget of time, p99",
         latency_ms(&unbudgeted, 0.99),
         "ms, simulated",
     );
-    figures.report_bounded(
+    experiment_report.add_bounded_value(
         "p99 beside endless work, against alone",
         latency_ms(&budgeted, 0.99) / latency_ms(&baseline, 0.99),
         MAX_LATENCY_RATIO,
         "times",
     );
-    figures.report_bounded("share of the core for background work", budgeted.core_share, 0.021, "");
-    figures.report_bounded(
+    experiment_report.add_bounded_value(
+        "share of the core for background work",
+        budgeted.core_share,
+        0.021,
+        "",
+    );
+    experiment_report.add_bounded_value(
         "longest wait for a first step",
         budgeted.longest_wait_seconds,
         MAX_WAIT_SECONDS,
         "s, simulated",
     );
     for name in ["endless and urgent", "endless", "idle"] {
-        figures.report(
+        experiment_report.add_value(
             format!("steps: {name}"),
             budgeted.steps_by_job.get(name).copied().unwrap_or(0) as f64,
             "",
@@ -144,7 +149,7 @@
     }
     let idle_jobs = budgeted.idle_jobs_added as f64;
     let idle_jobs_done = budgeted.steps_by_job.get("idle").copied().unwrap_or(0) as f64;
-    figures.report_bounded(
+    experiment_report.add_bounded_value(
         "idle jobs not done",
         (idle_jobs - idle_jobs_done).max(0.0),
         MAX_WAIT_SECONDS / 0.5,
@@ -156,6 +161,6 @@
     };
     let curves =
         vec![curve("alone", &baseline), curve("beside", &budgeted), curve("beside, no budget", &unbudgeted)];
-    figures.plot("foreground", "percent of requests", "ms", curves);
-    Ok(figures)
+    experiment_report.add_plot("foreground", "percent of requests", "ms", curves);
+    Ok(experiment_report)
 }
--- a/crates/dunepond-testkit/src/experiments/bodies/cases.rs
+++ b/crates/dunepond-testkit/src/experiments/bodies/cases.rs
@@ -64,7 +64,7 @@
             find_queries(request_count, 1).into_iter().map(chunked).collect(),
         ),
         Case::new("fix-request, a node refuses half way", "4MiB", fix_queries(request_count, 4))
-            .first_node(BodyNodeBehavior::RefuseMidFrame),
+            .first_node(BodyNodeBehavior::RejectMidFrame),
         Case::new("fix-request, a node closes", "4MiB", fix_queries(request_count, 4))
             .first_node(BodyNodeBehavior::Close),
         Case::new("a node is stuck", "1MiB", find_queries(12, 16))
--- a/crates/dunepond-testkit/src/experiments/bodies/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/bodies/mod.rs
@@ -9,9 +9,9 @@
 
 use super::RunOptions;
 use crate::body_cluster::{
-    BodyCluster, BodyNodeBehavior, BodyOutcome, BodyRequest, Node, body_request, mib_bytes, repeated_parts,
+    BodyCluster, BodyNodeBehavior, BodyOutcome, BodyRequest, Node, body_request, mib_bytes, repeated_part_ids,
 };
-use crate::report::Figures;
+use crate::report::ExperimentReport;
 use cases::cases;
 use small_queries::report_small_queries;
 
@@ -23,7 +23,7 @@
 /// Extra time for an answer beyond the client's budget, in seconds. The broker's budget starts when it reads the first
 /// byte, which can be this much later than the client's start when hundreds of clients connect at once.
 const ACCEPT_GRACE_SECONDS: f64 = 1.0;
-/// Upper bound on the bytes copied into a frame per part: its length, type letter and header line. More than this would
+/// Upper bound on the bytes copied into a frame per part: its length, type byte and header line. More than this would
 /// mean that the body is copied.
 const MAX_FRAME_OVERHEAD_BYTES: f64 = 100.0;
 
@@ -78,7 +78,7 @@
 }
 
 /// Reports the bytes copied into frames per part of a buffered body, read from the counter in the broker's log.
-fn report_copied_bytes(options: &RunOptions, figures: &mut Figures) {
+fn report_copied_bytes(options: &RunOptions, experiment_report: &mut ExperimentReport) {
     let cluster = cluster(options, &[BodyNodeBehavior::Serve; 3], true, "8MiB");
     let requests: Vec<_> =
         (0..8).map(|i| body_request("find", &format!("c{i}"), &[0, 1, 2, 3, 4, 5], mib_bytes(4))).collect();
@@ -89,7 +89,7 @@
         log.lines().rev().find_map(|line| line.split_once("copied_into_frames=")?.1.split(' ').next());
     let copied = last_count.and_then(|count| count.parse::<f64>().ok()).unwrap_or(f64::MAX);
     let parts = outcomes.iter().filter(|outcome| outcome.status() == 200).count() * 6;
-    figures.report_bounded(
+    experiment_report.add_bounded_value(
         "bytes copied for each part of a kept body of 4 MiB",
         copied / parts.max(1) as f64,
         MAX_FRAME_OVERHEAD_BYTES,
@@ -98,8 +98,8 @@
 }
 
 /// Runs the experiment.
-pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
-    let mut figures = Figures::default();
+pub fn run(options: &RunOptions) -> anyhow::Result<ExperimentReport> {
+    let mut experiment_report = ExperimentReport::default();
     let (mut invalid_outcomes, mut repeated_count, mut query_count) = (0, 0, 0);
     for case in cases(options.quick).into_iter().filter(|case| options.includes(case.name)) {
         eprintln!("{} ...", case.name);
@@ -107,9 +107,13 @@
         cluster.set_disk_fault(case.disk);
         let outcomes = send_concurrently(&cluster, &case.requests);
         let served = outcomes.iter().filter(|outcome| outcome.status() == 200).count();
-        figures.report(format!("{}: served of {}", case.name, outcomes.len()), served as f64, "");
+        experiment_report.add_value(
+            format!("{}: served of {}", case.name, outcomes.len()),
+            served as f64,
+            "",
+        );
         let excess_mib = cluster.peak_memory_bytes() as f64 / mib_bytes(1) as f64 - MEMORY_LIMIT_MIB as f64;
-        figures.report_bounded(
+        experiment_report.add_bounded_value(
             format!("{}: peak over the bound", case.name),
             excess_mib,
             MAX_EXCESS_MIB,
@@ -118,17 +122,22 @@
         invalid_outcomes += count_invalid_outcomes(&case.requests, &outcomes);
         // Parts of "find" queries are idempotent and may be repeated; parts of "fix" queries must not be.
         let non_idempotent = case.requests.first().is_some_and(|request| request.query_class == "fix");
-        repeated_count += if non_idempotent { repeated_parts(&cluster.nodes, |_| true).len() } else { 0 };
+        repeated_count += if non_idempotent { repeated_part_ids(&cluster.nodes, |_| true).len() } else { 0 };
         query_count += outcomes.len();
     }
-    figures.report("large scans asked", query_count as f64, "");
-    figures.report_bounded("large scans without one answer in time", invalid_outcomes as f64, 0.0, "");
-    figures.report_bounded("fix-request parts that ran twice", repeated_count as f64, 0.0, "");
+    experiment_report.add_value("large scans asked", query_count as f64, "");
+    experiment_report.add_bounded_value(
+        "large scans without one answer in time",
+        invalid_outcomes as f64,
+        0.0,
+        "",
+    );
+    experiment_report.add_bounded_value("fix-request parts that ran twice", repeated_count as f64, 0.0, "");
     if options.includes("copies") {
-        report_copied_bytes(options, &mut figures);
+        report_copied_bytes(options, &mut experiment_report);
     }
     if options.includes("beside") {
-        report_small_queries(options, &mut figures)?;
+        report_small_queries(options, &mut experiment_report)?;
     }
-    Ok(figures)
+    Ok(experiment_report)
 }
--- a/crates/dunepond-testkit/src/experiments/bodies/small_queries.rs
+++ b/crates/dunepond-testkit/src/experiments/bodies/small_queries.rs
@@ -8,8 +8,8 @@
 
 use super::{RunOptions, cluster};
 use crate::body_cluster::{BodyCluster, BodyNodeBehavior, BodyRequest, body_request, mib_bytes};
-use crate::load::{Load, LoadReport};
-use crate::report::Figures;
+use crate::load::{LoadReport, Workload};
+use crate::report::ExperimentReport;
 
 /// Upper bound on the p99 of small queries next to large bodies divided by that of small queries alone in the same run.
 const MAX_LATENCY_RATIO: f64 = 1.5;
@@ -57,8 +57,8 @@
 impl SmallQueries<'_> {
     fn run(&self, seed: u64) -> LoadReport {
         let number = self.runs.fetch_add(1, Ordering::Relaxed) + 1;
-        let load = Load {
-            to: self.cluster.broker.address,
+        let load = Workload {
+            broker_address: self.cluster.broker.address,
             requests_per_second: REQUESTS_PER_SECOND,
             duration_seconds: self.seconds,
             seed,
@@ -113,7 +113,10 @@
 }
 
 /// Measures in several rounds and compares medians, so that a stall of the machine in one round does not decide the result.
-pub(super) fn report_small_queries(options: &RunOptions, figures: &mut Figures) -> anyhow::Result<()> {
+pub(super) fn report_small_queries(
+    options: &RunOptions,
+    experiment_report: &mut ExperimentReport,
+) -> anyhow::Result<()> {
     let (round_count, seconds) = if options.quick { (3, 1.0) } else { (7, 2.0) };
     let cluster = cluster(options, &[BodyNodeBehavior::Serve; 3], true, "1MiB");
     let small_queries = SmallQueries { cluster: &cluster, seconds, runs: AtomicU64::new(0) };
@@ -128,33 +131,38 @@
     }
     let served = served.into_inner();
     ensure!(served > 0, "none of the 64 MiB bodies was answered with status 200 while small queries ran");
-    report(figures, &rounds, served);
+    report(experiment_report, &rounds, served);
     Ok(())
 }
 
-fn report(figures: &mut Figures, rounds: &Rounds, served: u64) {
+fn report(experiment_report: &mut ExperimentReport, rounds: &Rounds, served: u64) {
     let alone = RoundP99s::of(&rounds.alone);
     let with_files = RoundP99s::of(&rounds.with_files);
     let with_stalls = RoundP99s::of(&rounds.with_stalls);
-    figures.report("small scans alone, p99, median of rounds", 1e3 * alone.median, "ms");
+    experiment_report.add_value("small scans alone, p99, median of rounds", 1e3 * alone.median, "ms");
     let name = "beside 64 MiB bodies in files, p99, median of rounds";
-    figures.report(name, 1e3 * with_files.median, "ms");
-    figures.report("the same, worst round", 1e3 * with_files.max, "ms");
+    experiment_report.add_value(name, 1e3 * with_files.median, "ms");
+    experiment_report.add_value("the same, worst round", 1e3 * with_files.max, "ms");
     let name = "the same with a disk that stalls, p99, median of rounds";
-    figures.report(name, 1e3 * with_stalls.median, "ms");
-    figures.report("the same, worst round", 1e3 * with_stalls.max, "ms");
-    figures.report("64 MiB bodies served meanwhile", served as f64, "");
+    experiment_report.add_value(name, 1e3 * with_stalls.median, "ms");
+    experiment_report.add_value("the same, worst round", 1e3 * with_stalls.max, "ms");
+    experiment_report.add_value("64 MiB bodies served meanwhile", served as f64, "");
     let ratio = with_files.median / alone.median;
-    figures.report_bounded("p99 beside files, against alone", ratio, MAX_LATENCY_RATIO, "times");
+    experiment_report.add_bounded_value("p99 beside files, against alone", ratio, MAX_LATENCY_RATIO, "times");
     let ratio = with_stalls.median / alone.median;
-    figures.report_bounded("p99 beside a stalling disk, against alone", ratio, MAX_LATENCY_RATIO, "times");
+    experiment_report.add_bounded_value(
+        "p99 beside a stalling disk, against alone",
+        ratio,
+        MAX_LATENCY_RATIO,
+        "times",
+    );
     let all_rounds = rounds.alone.iter().chain(&rounds.with_files).chain(&rounds.with_stalls);
     let not_served: u64 = all_rounds.map(|round| round.failed + round.rejected).sum();
-    figures.report_bounded("small scans lost or refused", not_served as f64, 0.0, "");
+    experiment_report.add_bounded_value("small scans lost or refused", not_served as f64, 0.0, "");
     let curves = vec![
         rounds.alone[0].latency_curve("alone"),
         rounds.with_files[0].latency_curve("files"),
         rounds.with_stalls[0].latency_curve("stalling disk"),
     ];
-    figures.plot("small-scans", "percent of small scans", "ms", curves);
+    experiment_report.add_plot("small-scans", "percent of small scans", "ms", curves);
 }
--- a/crates/dunepond-testkit/src/experiments/consensus.rs
+++ b/crates/dunepond-testkit/src/experiments/consensus.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 use super::RunOptions;
-use crate::auditor::{AuditEvent, AuditPhase, longest_contradiction};
+use crate::auditor::{AuditEvent, AuditPhase, longest_version_conflict_seconds};
 use crate::fleet::{Fleet, FleetOptions, served_ratio};
 use crate::links::{HEALTHY, LinkConditions};
 use crate::processes::{BrokerProcess, wait_until};
-use crate::report::{Curve, Figures};
+use crate::report::{Curve, ExperimentReport};
 
 /// Duration of the load without a partition, and of the load that continues once a change under a partition is active.
 const LOAD_DURATION: Duration = Duration::from_secs(2);
@@ -43,32 +43,37 @@
 }
 
 /// Makes changes under load, and then one more under a partition.
-fn run_changes(run_options: &RunOptions, figures: &mut Figures) {
+fn run_changes(run_options: &RunOptions, experiment_report: &mut ExperimentReport) {
     let scale = match run_options.quick {
         true => Scale { brokers: 5, rounds: 3, request_pause: REQUEST_PAUSE },
         false => Scale { brokers: 30, rounds: 8, request_pause: 10 * REQUEST_PAUSE },
     };
     let mut fleet = Fleet::start_with_version(fleet_options(run_options, 5, scale.brokers));
     let objective_seconds = fleet.options.query_timeout_seconds / 2.0;
-    let clients = fleet.clients(0..scale.brokers, scale.request_pause);
+    let clients = fleet.start_clients(0..scale.brokers, scale.request_pause);
     thread::sleep(LOAD_DURATION);
     let baseline = served_ratio(&clients.stop(), objective_seconds, &[]);
-    report_changes(figures, &mut fleet, &scale);
+    report_changes(experiment_report, &mut fleet, &scale);
     eprintln!("partitioned ...");
     let partitioned = serve_partitioned(&mut fleet, &scale, objective_seconds);
-    figures.report("scans served within the target time, undisturbed", baseline, "");
-    figures.report("scans served within the target time, cut in two", partitioned, "");
+    experiment_report.add_value("scans served within the target time, undisturbed", baseline, "");
+    experiment_report.add_value("scans served within the target time, cut in two", partitioned, "");
     let missed = 1.0 - partitioned / baseline;
-    figures.report_bounded("missed by the cut, of those served undisturbed", missed, MAX_MISSED_RATIO, "");
-    report_audit(figures, &fleet);
+    experiment_report.add_bounded_value(
+        "missed by the cut, of those served undisturbed",
+        missed,
+        MAX_MISSED_RATIO,
+        "",
+    );
+    report_audit(experiment_report, &fleet);
 }
 
 /// Proposes one version after another and reports how long each takes until it is active at all brokers.
-fn report_changes(figures: &mut Figures, fleet: &mut Fleet, scale: &Scale) {
-    let max_seconds = fleet.options.lease_bound_seconds + 3.0 * fleet.options.lease_seconds;
+fn report_changes(experiment_report: &mut ExperimentReport, fleet: &mut Fleet, scale: &Scale) {
+    let max_seconds = fleet.options.switch_bound_seconds + 3.0 * fleet.options.lease_seconds;
     let segments = fleet.options.segment_count as u64;
     let mut change_seconds = Vec::new();
-    let clients = fleet.clients(0..scale.brokers, scale.request_pause);
+    let clients = fleet.start_clients(0..scale.brokers, scale.request_pause);
     for number in 2..2 + scale.rounds {
         let moved_segments = [number % segments, (number + 2) % segments];
         let filled_segments = [(number + 4) % segments];
@@ -79,17 +84,17 @@
         );
         let began = Instant::now();
         fleet.propose(number as usize % scale.brokers, &next_version);
-        fleet.wait_active(0..scale.brokers, number);
+        fleet.wait_for_active_version(0..scale.brokers, number);
         change_seconds.push(began.elapsed().as_secs_f64());
     }
     clients.stop();
     change_seconds.sort_by(f64::total_cmp);
     let quantile =
         |quantile: f64| change_seconds[((change_seconds.len() - 1) as f64 * quantile).round() as usize];
-    figures.report("time to agree, p50", quantile(0.5), "s");
-    figures.report("time to agree, p99", quantile(0.99), "s");
+    experiment_report.add_value("time to agree, p50", quantile(0.5), "s");
+    experiment_report.add_value("time to agree, p99", quantile(0.99), "s");
     let late_count = change_seconds.iter().filter(|seconds| **seconds > max_seconds).count();
-    figures.report_bounded(
+    experiment_report.add_bounded_value(
         "changes in force later than the bound and three leases",
         late_count as f64,
         0.0,
@@ -105,66 +110,67 @@
     // Non-idempotent queries of segments that move are rejected in the joint phase, with or without a partition.
     let next_version = fleet.config_version(number, &[0], &[]);
     fleet.propose(majority[0], &next_version);
-    let is_joint = |i: &usize| fleet.phase(*i).is_some_and(|recorded| recorded.phase == AuditPhase::Joint);
+    let is_joint =
+        |i: &usize| fleet.last_phase(*i).is_some_and(|recorded| recorded.phase == AuditPhase::Joint);
     wait_until(|| majority.iter().any(is_joint));
     fleet.partition(&[&minority, &majority]);
-    let clients = fleet.clients(0..scale.brokers, scale.request_pause);
-    fleet.wait_active(majority.iter().copied(), number);
+    let clients = fleet.start_clients(0..scale.brokers, scale.request_pause);
+    fleet.wait_for_active_version(majority.iter().copied(), number);
     thread::sleep(LOAD_DURATION);
     let served = served_ratio(&clients.stop(), objective_seconds, &minority);
-    fleet.links.set_all(&LinkConditions {
+    fleet.links.set_all_conditions(&LinkConditions {
         delay_seconds: 0.01,
         jitter_seconds: 0.01,
         loss_ratio: 0.02,
         ..HEALTHY
     });
-    fleet.wait_active(0..scale.brokers, number);
+    fleet.wait_for_active_version(0..scale.brokers, number);
     served
 }
 
 /// Reports the auditor's findings and the longest contradiction between brokers.
-fn report_audit(figures: &mut Figures, fleet: &Fleet) {
+fn report_audit(experiment_report: &mut ExperimentReport, fleet: &Fleet) {
     let records = fleet.records();
-    let longest = longest_contradiction(&records);
+    let longest = longest_version_conflict_seconds(&records);
     let name = "longest contradiction, against the bound T";
-    figures.report_bounded(name, longest, fleet.options.lease_bound_seconds, "s");
+    experiment_report.add_bounded_value(name, longest, fleet.options.switch_bound_seconds, "s");
     let findings = fleet.audit();
     findings.iter().take(5).for_each(|finding| eprintln!("{finding}"));
-    figures.report_bounded("findings of the auditor", findings.len() as f64, 0.0, "");
+    experiment_report.add_bounded_value("findings of the auditor", findings.len() as f64, 0.0, "");
     let is_attempt = |event: &AuditEvent| matches!(event, AuditEvent::AttemptSent { .. });
-    let attempts = records.lines.iter().filter(|record| is_attempt(&record.event)).count();
-    figures.report("dispatches that it judged", attempts as f64, "");
+    let attempts = records.entries.iter().filter(|record| is_attempt(&record.event)).count();
+    experiment_report.add_value("dispatches that it judged", attempts as f64, "");
 }
 
 /// Reports the messages per broker and second while nothing changes, by the number of brokers.
-fn report_message_rates(run_options: &RunOptions, figures: &mut Figures) {
+fn report_message_rates(run_options: &RunOptions, experiment_report: &mut ExperimentReport) {
     let sizes: &[usize] = if run_options.quick { &[3, 7] } else { &[3, 7, 15, 30] };
     let mut points = Vec::new();
     for &size in sizes {
         let fleet = Fleet::start_with_version(fleet_options(run_options, 3, size));
-        let (before, began) = (fleet.links.total_delivered(), Instant::now());
+        let (before, began) = (fleet.links.total_delivered_count(), Instant::now());
         thread::sleep(Duration::from_secs(2));
-        let sent = (fleet.links.total_delivered() - before) as f64;
+        let sent = (fleet.links.total_delivered_count() - before) as f64;
         let rate = sent / size as f64 / began.elapsed().as_secs_f64();
-        figures.report(format!("messages a broker and second, {size} brokers"), rate, "");
+        experiment_report.add_value(format!("messages a broker and second, {size} brokers"), rate, "");
         points.push((size as f64, rate));
     }
     let growth = points[points.len() - 1].1 / points[0].1;
-    figures.report_bounded(
+    experiment_report.add_bounded_value(
         "messages a broker, in the largest fleet against the least",
         growth,
         MAX_MESSAGE_GROWTH,
         "times",
     );
     let curve = Curve { name: "messages".to_string(), points };
-    figures.plot("talk", "brokers", "messages a broker and second", vec![curve]);
+    experiment_report.add_plot("talk", "brokers", "messages a broker and second", vec![curve]);
 }
 
 /// Compares the event loop's CPU time per query with the control plane off, on without any version, and on with an active
 /// map, all under the same load at the same time. On a busy machine rounds vary by a tenth in either direction, which moves
 /// the median to either side of the bound. The median is therefore only reported, and the bound applies to the lower
 /// quartile, which exceeds it only if there is a real cost.
-fn compare_loop_cpu(run_options: &RunOptions, figures: &mut Figures) {
+fn compare_loop_cpu(run_options: &RunOptions, experiment_report: &mut ExperimentReport) {
     let start_idle_fleet = |control_plane_enabled| {
         Fleet::start_ready(FleetOptions {
             control_plane_enabled,
@@ -182,7 +188,7 @@
     let (mut baseline, mut ratios) = (Vec::new(), [Vec::new(), Vec::new()]);
     for _ in 0..rounds {
         let before = fleets.each_ref().map(total_loop_cpu);
-        let clients = fleets.each_ref().map(|fleet| fleet.clients(0..3, Duration::from_millis(2)));
+        let clients = fleets.each_ref().map(|fleet| fleet.start_clients(0..3, Duration::from_millis(2)));
         thread::sleep(Duration::from_millis(250));
         let query_counts = clients.map(|clients| clients.stop().len() as f64);
         let cpu_per_query: [f64; 3] =
@@ -190,16 +196,16 @@
         baseline.push(cpu_per_query[0]);
         (0..2).for_each(|i| ratios[i].push(cpu_per_query[i + 1] / cpu_per_query[0]));
     }
-    figures.report("processor time of the loop a scan, fleet off", 1e6 * median(baseline), "us");
+    experiment_report.add_value("processor time of the loop a scan, fleet off", 1e6 * median(baseline), "us");
     for (case, mut case_ratios) in ["with nothing agreed on", "with a map in force"].into_iter().zip(ratios) {
         case_ratios.sort_by(f64::total_cmp);
-        figures.report(
+        experiment_report.add_value(
             format!("the same, on {case} against off, median"),
             case_ratios[case_ratios.len() / 2],
             "times",
         );
         let lower_quartile = case_ratios[case_ratios.len() / 4];
-        figures.report_bounded(
+        experiment_report.add_bounded_value(
             format!("the same, on {case} against off, lower quartile"),
             lower_quartile,
             MAX_CPU_RATIO,
@@ -209,17 +215,17 @@
 }
 
 /// Runs the experiment.
-pub fn run(run_options: &RunOptions) -> anyhow::Result<Figures> {
-    let mut figures = Figures::default();
+pub fn run(run_options: &RunOptions) -> anyhow::Result<ExperimentReport> {
+    let mut experiment_report = ExperimentReport::default();
     for (case, run_case) in [
-        ("changes", run_changes as fn(&RunOptions, &mut Figures)),
+        ("changes", run_changes as fn(&RunOptions, &mut ExperimentReport)),
         ("talk", report_message_rates),
         ("cpu", compare_loop_cpu),
     ] {
         if run_options.includes(case) {
             eprintln!("{case} ...");
-            run_case(run_options, &mut figures);
+            run_case(run_options, &mut experiment_report);
         }
     }
-    Ok(figures)
+    Ok(experiment_report)
 }
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/components.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/components.rs
@@ -12,7 +12,7 @@
 
 use super::RunOptions;
 use super::fit::fit_growth;
-use crate::report::{Curve, Figures};
+use crate::report::{Curve, ExperimentReport};
 
 /// Largest encoded version that a broker accepts, in bytes.
 const MAX_VERSION_BYTES: f64 = (3 << 20) as f64;
@@ -31,7 +31,7 @@
 }
 
 /// Reports the size of a version, the time to verify its map and the time to compute its digest, by the number of segments.
-fn report_maps(options: &RunOptions, figures: &mut Figures) {
+fn report_maps(options: &RunOptions, experiment_report: &mut ExperimentReport) {
     let sizes: &[u64] =
         if options.quick { &[100, 1000, 10_000] } else { &[100, 1000, 10_000, 30_000, 100_000] };
     let constraints = dunepond_shard_map::MapConstraints { min_replicas: 1, min_zones: 1 };
@@ -47,13 +47,17 @@
             ))
         });
         let digest_ms = elapsed_ms(|| drop(black_box(version.digest())));
-        figures.report(format!("{size} segments: a version"), encoded_bytes, "bytes to each broker");
-        figures.report(format!("{size} segments: its proof, at each broker"), verify_ms, "ms");
-        figures.report(format!("{size} segments: its digest"), digest_ms, "ms");
+        experiment_report.add_value(
+            format!("{size} segments: a version"),
+            encoded_bytes,
+            "bytes to each broker",
+        );
+        experiment_report.add_value(format!("{size} segments: its proof, at each broker"), verify_ms, "ms");
+        experiment_report.add_value(format!("{size} segments: its digest"), digest_ms, "ms");
         version_bytes.push((*size as f64, encoded_bytes));
         proof_times.push((*size as f64, verify_ms));
         if *size <= 30_000 {
-            figures.report_bounded(
+            experiment_report.add_bounded_value(
                 format!("{size} segments: within what a host takes"),
                 encoded_bytes,
                 MAX_VERSION_BYTES,
@@ -63,13 +67,17 @@
     }
     for (name, points) in [("bytes of a version", version_bytes), ("proof of a map", proof_times)] {
         let fit = fit_growth(&points);
-        figures.report(format!("{name} grow with segments as S^x: {}", fit.growth), fit.power, "x");
+        experiment_report.add_value(
+            format!("{name} grow with segments as S^x: {}", fit.growth),
+            fit.power,
+            "x",
+        );
     }
 }
 
 /// Reports the size of the carried counts and the time to update balances from them, by the number of brokers. Each broker
 /// sends all counts that it knows to one other broker per second.
-fn report_counts(options: &RunOptions, figures: &mut Figures) {
+fn report_counts(options: &RunOptions, experiment_report: &mut ExperimentReport) {
     let sizes: &[usize] = if options.quick { &[10, 30, 100] } else { &[10, 30, 100, 300, 1000, 3000] };
     let (mut count_bytes, mut update_times) = (Vec::new(), Vec::new());
     for size in sizes {
@@ -94,15 +102,19 @@
         // Brokers do this update every second. A sample of the pairs would not show its cost, so larger fleets are skipped.
         if *size <= 300 {
             let update_ms = elapsed_ms(|| balances.update_counts(0.0, &counts));
-            figures.report(
+            experiment_report.add_value(
                 format!("{size} brokers, {PARTNER_COUNT} partners: a look at the counts"),
                 update_ms,
                 "ms",
             );
             update_times.push((*size as f64, update_ms));
         }
-        figures.report(format!("{size} brokers: counts as told each second"), encoded_bytes, "bytes");
-        figures.report(
+        experiment_report.add_value(
+            format!("{size} brokers: counts as told each second"),
+            encoded_bytes,
+            "bytes",
+        );
+        experiment_report.add_value(
             format!("{size} brokers: cells of counts"),
             counts.cell_count() as f64,
             "of 100,000 taken",
@@ -111,7 +123,7 @@
     }
     for (name, points) in [("counts told", count_bytes), ("a look at the counts", update_times)] {
         let fit = fit_growth(&points);
-        figures.report(format!("{name} grow as N^x: {}", fit.growth), fit.power, "x");
+        experiment_report.add_value(format!("{name} grow as N^x: {}", fit.growth), fit.power, "x");
     }
 }
 
@@ -194,12 +206,12 @@
 }
 
 /// Reports the cost of membership per broker, by the number of brokers.
-fn report_membership(options: &RunOptions, figures: &mut Figures) {
+fn report_membership(options: &RunOptions, experiment_report: &mut ExperimentReport) {
     let sizes: &[usize] = if options.quick { &[10, 30] } else { &[10, 30, 100, 300] };
     let (mut messages, mut bytes, mut micros) = (Vec::new(), Vec::new(), Vec::new());
     for size in sizes {
         let Some(cost) = measure_membership(*size, options.seed) else {
-            figures.report_bounded(
+            experiment_report.add_bounded_value(
                 format!("{size} brokers: members that never found each other"),
                 1.0,
                 0.0,
@@ -207,13 +219,21 @@
             );
             continue;
         };
-        figures.report(
+        experiment_report.add_value(
             format!("{size} brokers: membership, messages of a broker"),
             cost.messages,
             "a second",
         );
-        figures.report(format!("{size} brokers: membership, bytes of a broker"), cost.bytes, "a second");
-        figures.report(format!("{size} brokers: membership, time of a broker"), cost.micros, "us a second");
+        experiment_report.add_value(
+            format!("{size} brokers: membership, bytes of a broker"),
+            cost.bytes,
+            "a second",
+        );
+        experiment_report.add_value(
+            format!("{size} brokers: membership, time of a broker"),
+            cost.micros,
+            "us a second",
+        );
         messages.push((*size as f64, cost.messages));
         bytes.push((*size as f64, cost.bytes));
         micros.push((*size as f64, cost.micros));
@@ -222,7 +242,7 @@
     let mut curves = Vec::new();
     for (name, points) in [("messages", &messages), ("bytes", &bytes), ("time", &micros)] {
         let fit = fit_growth(points);
-        figures.report(
+        experiment_report.add_value(
             format!("membership's {name} of a broker grow as N^x: {}", fit.growth),
             fit.power,
             "x",
@@ -230,12 +250,12 @@
         curves.push(Curve { name: name.to_string(), points: to_log10(points) });
     }
 
-    figures.plot("membership", "brokers, powers of ten", "a second, powers of ten", curves);
+    experiment_report.add_plot("membership", "brokers, powers of ten", "a second, powers of ten", curves);
 }
 
 /// Runs the measurements of all components.
-pub fn run(options: &RunOptions, figures: &mut Figures) {
-    report_maps(options, figures);
-    report_counts(options, figures);
-    report_membership(options, figures);
+pub fn run(options: &RunOptions, experiment_report: &mut ExperimentReport) {
+    report_maps(options, experiment_report);
+    report_counts(options, experiment_report);
+    report_membership(options, experiment_report);
 }
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/cost.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/cost.rs
@@ -7,7 +7,7 @@
 
 use super::fit::fit_growth;
 use super::{RunOptions, quantile};
-use crate::report::{Curve, Figures};
+use crate::report::{Curve, ExperimentReport};
 
 /// Broker counts that are simulated.
 const SIZES: [usize; 6] = [10, 30, 100, 300, 1000, 3000];
@@ -62,14 +62,18 @@
 ];
 
 /// Runs the cost measurement at every size and reports how each cost grows with the number of brokers.
-pub fn run(options: &RunOptions, figures: &mut Figures) {
+pub fn run(options: &RunOptions, experiment_report: &mut ExperimentReport) {
     let sizes = SIZES.into_iter().filter(|size| !options.quick || *size <= MAX_QUICK_SIZE);
     let runs: Vec<(usize, ScenarioReport)> = sizes.map(|size| (size, simulate(size, options.seed))).collect();
     let mut rollout_times = Vec::new();
     for (size, report) in &runs {
         let rollout = |q| quantile(report.rollout_seconds.clone(), q).unwrap_or(f64::NAN);
-        figures.report(format!("{size} brokers, at rest: agreed everywhere, p50"), rollout(0.5), "s");
-        figures.report_bounded(
+        experiment_report.add_value(
+            format!("{size} brokers, at rest: agreed everywhere, p50"),
+            rollout(0.5),
+            "s",
+        );
+        experiment_report.add_bounded_value(
             format!("{size} brokers, at rest: agreed everywhere, p99"),
             rollout(0.99),
             report.switch_bound_seconds,
@@ -78,7 +82,7 @@
         rollout_times.push((*size as f64, rollout(0.5)));
     }
     let time = fit_growth(&rollout_times);
-    figures.report_bounded(
+    experiment_report.add_bounded_value(
         format!("time to agree grows as N^x: {}", time.growth),
         time.power,
         MAX_GROWTH_POWER,
@@ -95,19 +99,27 @@
             let broker =
                 quantile((voters..*size).map(|n| per_second(report, n)).collect(), 0.5).unwrap_or(f64::NAN);
             let leader = report.leader.map_or(f64::NAN, |n| per_second(report, n));
-            figures.report(format!("{size} brokers: {} of a broker", cost.name), broker, cost.unit);
-            figures.report(format!("{size} brokers: {} of the leader", cost.name), leader, cost.unit);
+            experiment_report.add_value(
+                format!("{size} brokers: {} of a broker", cost.name),
+                broker,
+                cost.unit,
+            );
+            experiment_report.add_value(
+                format!("{size} brokers: {} of the leader", cost.name),
+                leader,
+                cost.unit,
+            );
             broker_points.push((*size as f64, broker));
             leader_points.push((*size as f64, leader));
         }
         let (broker, leader) = (fit_growth(&broker_points), fit_growth(&leader_points));
-        figures.report_bounded(
+        experiment_report.add_bounded_value(
             format!("{} of a broker grow as N^x: {}", cost.name, broker.growth),
             broker.power,
             MAX_GROWTH_POWER,
             "x",
         );
-        figures.report(
+        experiment_report.add_value(
             format!("{} of the leader grow as N^x: {}", cost.name, leader.growth),
             leader.power,
             "x",
@@ -115,7 +127,7 @@
         if cost.name == "messages"
             && let Some((_, messages)) = leader_points.last()
         {
-            figures.report_bounded(
+            experiment_report.add_bounded_value(
                 "the leader's messages in the largest fleet",
                 *messages,
                 MAX_LEADER_MESSAGES_PER_SECOND,
@@ -127,5 +139,5 @@
         curves.push(Curve { name: format!("{}, a broker", cost.name), points: to_log10(broker_points) });
         curves.push(Curve { name: format!("{}, the leader", cost.name), points: to_log10(leader_points) });
     }
-    figures.plot("cost", "brokers, powers of ten", "a second, powers of ten", curves);
+    experiment_report.add_plot("cost", "brokers, powers of ten", "a second, powers of ten", curves);
 }
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/mod.rs
@@ -8,7 +8,7 @@
 use dunepond_simulation::scenario::{Scenario, ScenarioConfig, ScenarioReport};
 
 use super::RunOptions;
-use crate::report::Figures;
+use crate::report::ExperimentReport;
 
 /// Broker counts of the quick runs with faults, each with its number of seeds.
 const QUICK_RUNS: [(usize, u64); 2] = [(10, 4), (30, 1)];
@@ -37,12 +37,12 @@
 }
 
 /// Reports the times and counts of all runs at one size, and the longest time that a broker was alone on an old version.
-fn report_fault_runs(figures: &mut Figures, brokers: usize, reports: &[ScenarioReport]) {
+fn report_fault_runs(experiment_report: &mut ExperimentReport, brokers: usize, reports: &[ScenarioReport]) {
     let mut report_quantiles = |what: &str, select: fn(&ScenarioReport) -> &Vec<f64>| {
         let samples: Vec<f64> = reports.iter().flat_map(select).copied().collect();
         for (name, q) in [("p50", 0.5), ("p99", 0.99)] {
             if let Some(value) = quantile(samples.clone(), q) {
-                figures.report(
+                experiment_report.add_value(
                     format!("{brokers} brokers, faults: {what}, {name} of {}", samples.len()),
                     value,
                     "s",
@@ -55,8 +55,9 @@
     report_quantiles("a fill done until settled", |report| &report.settlement_seconds);
     report_quantiles("settled until a broker has heard", |report| &report.notice_seconds);
     let sum = |select: fn(&ScenarioReport) -> usize| reports.iter().map(select).sum::<usize>() as f64;
-    let mut report_count =
-        |what: &str, value| figures.report(format!("{brokers} brokers, faults: {what}"), value, "");
+    let mut report_count = |what: &str, value| {
+        experiment_report.add_value(format!("{brokers} brokers, faults: {what}"), value, "")
+    };
     report_count("versions in force", sum(|report| report.activated));
     report_count("versions withdrawn", sum(|report| report.withdrawn));
     report_count("proposals refused", sum(|report| report.rejected));
@@ -65,7 +66,7 @@
     report_count("troubles", sum(|report| report.faults.iter().map(|fault| fault.count).sum()));
     let longest = reports.iter().map(|report| report.longest_alone_seconds).fold(0.0, f64::max);
     let bound = reports.first().map_or(0.0, |report| report.switch_bound_seconds);
-    figures.report_bounded(
+    experiment_report.add_bounded_value(
         format!("{brokers} brokers, faults: longest on an old version alone"),
         longest,
         bound,
@@ -74,7 +75,7 @@
 }
 
 /// Runs consecutive seeds at one size. Prints each failed seed with the command that reproduces it.
-fn run_fault_seeds(figures: &mut Figures, brokers: usize, seeds: std::ops::Range<u64>) {
+fn run_fault_seeds(experiment_report: &mut ExperimentReport, brokers: usize, seeds: std::ops::Range<u64>) {
     let mut failed = 0;
     let mut reports = Vec::new();
     for seed in seeds {
@@ -86,33 +87,33 @@
             }
         }
     }
-    figures.report_bounded(
+    experiment_report.add_bounded_value(
         format!("{brokers} brokers, faults: plays that broke, of {}", reports.len() + failed),
         failed as f64,
         0.0,
         "",
     );
-    report_fault_runs(figures, brokers, &reports);
+    report_fault_runs(experiment_report, brokers, &reports);
 }
 
 /// Runs the experiment.
-pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
-    let mut figures = Figures::default();
+pub fn run(options: &RunOptions) -> anyhow::Result<ExperimentReport> {
+    let mut experiment_report = ExperimentReport::default();
     if let Some(brokers) = options.broker_count {
-        run_fault_seeds(&mut figures, brokers, options.seed..options.seed + options.seed_count);
-        return Ok(figures);
+        run_fault_seeds(&mut experiment_report, brokers, options.seed..options.seed + options.seed_count);
+        return Ok(experiment_report);
     }
     if options.includes("cost") {
-        cost::run(options, &mut figures);
+        cost::run(options, &mut experiment_report);
     }
     if options.includes("parts") {
-        components::run(options, &mut figures);
+        components::run(options, &mut experiment_report);
     }
     if options.includes("faults") {
         let sizes: &[(usize, u64)] = if options.quick { &QUICK_RUNS } else { &FULL_RUNS };
         for (brokers, seeds) in sizes {
-            run_fault_seeds(&mut figures, *brokers, options.seed..options.seed + seeds);
+            run_fault_seeds(&mut experiment_report, *brokers, options.seed..options.seed + seeds);
         }
     }
-    Ok(figures)
+    Ok(experiment_report)
 }
--- a/crates/dunepond-testkit/src/experiments/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/mod.rs
@@ -15,7 +15,7 @@
 
 use std::path::PathBuf;
 
-use crate::report::Figures;
+use crate::report::ExperimentReport;
 
 /// Options of one experiment run, as given on the command line.
 pub struct RunOptions {
@@ -47,7 +47,7 @@
     /// One-line description of what the experiment measures.
     pub summary: &'static str,
     /// Runs the experiment and returns the figures that it measured.
-    pub run: fn(&RunOptions) -> anyhow::Result<Figures>,
+    pub run: fn(&RunOptions) -> anyhow::Result<ExperimentReport>,
 }
 
 /// All experiments, in the order in which they are listed.
--- a/crates/dunepond-testkit/src/experiments/prefilter/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/prefilter/mod.rs
@@ -5,7 +5,7 @@
 
 use super::RunOptions;
 use crate::prefilter_cluster::{ProbeBehavior, REPLICA_GROUP_COUNT};
-use crate::report::{Curve, Figures};
+use crate::report::{Curve, ExperimentReport};
 use side::{Queries, Side, SideReport, run_sides};
 
 /// Upper bound on the parts searched with the prefilter divided by those without it, where the prefilter saves nothing.
@@ -63,8 +63,8 @@
 }
 
 /// Runs the experiment.
-pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
-    let mut figures = Figures::default();
+pub fn run(options: &RunOptions) -> anyhow::Result<ExperimentReport> {
+    let mut experiment_report = ExperimentReport::default();
     let mut totals = Totals::default();
     let count = if options.quick { QUICK_QUERY_COUNT } else { QUERY_COUNT };
     let (mut work_saved, mut latency_percents) = (Vec::new(), Vec::new());
@@ -72,7 +72,7 @@
         eprintln!("{match_percent}% match ...");
         let queries = Queries { match_percent, count };
         let [off, on] = compare_at_rate(options, queries, &mut totals);
-        report_rate(&mut figures, match_percent, &off, &on);
+        report_rate(&mut experiment_report, match_percent, &off, &on);
         let x = match_percent as f64;
         work_saved.push((x, 100.0 * (1.0 - on.searched_per_query / off.searched_per_query)));
         latency_percents.push((x, 100.0 * on.p50_against(&off).median));
@@ -81,7 +81,7 @@
         Curve { name: "work saved".to_string(), points: work_saved },
         Curve { name: "p50 on, percent of off".to_string(), points: latency_percents },
     ];
-    figures.plot("work-saved", "percent of shards that match", "percent", curves);
+    experiment_report.add_plot("work-saved", "percent of shards that match", "percent", curves);
     for scenario in fault_scenarios() {
         eprintln!("{} ...", scenario.name);
         // A match rate at which the prefilter prunes many segments.
@@ -93,13 +93,13 @@
         };
         let [baseline, side] = run_sides(options, queries, [honest_side(""), faulty_side]);
         totals.add(&side);
-        report_scenario(&mut figures, scenario.name, &baseline, &side);
+        report_scenario(&mut experiment_report, scenario.name, &baseline, &side);
     }
-    figures.report("nodes, one a cell", REPLICA_GROUP_COUNT as f64, "");
-    figures.report("scans asked", totals.queries as f64, "");
-    figures.report_bounded("answers falsely whole", totals.falsely_complete as f64, 0.0, "");
-    figures.report_bounded("scans without an answer in time", totals.late as f64, 0.0, "");
-    Ok(figures)
+    experiment_report.add_value("nodes, one a cell", REPLICA_GROUP_COUNT as f64, "");
+    experiment_report.add_value("scans asked", totals.queries as f64, "");
+    experiment_report.add_bounded_value("answers falsely whole", totals.falsely_complete as f64, 0.0, "");
+    experiment_report.add_bounded_value("scans without an answer in time", totals.late as f64, 0.0, "");
+    Ok(experiment_report)
 }
 
 /// A side whose nodes all answer truthfully and whose content does not change.
@@ -128,54 +128,72 @@
 }
 
 /// Reports work and latency at one match rate.
-fn report_rate(figures: &mut Figures, match_percent: u64, off: &SideReport, on: &SideReport) {
+fn report_rate(
+    experiment_report: &mut ExperimentReport,
+    match_percent: u64,
+    off: &SideReport,
+    on: &SideReport,
+) {
     let name = |what: &str| format!("{match_percent}% match: {what}");
-    figures.report(name("parts searched a scan, off"), off.searched_per_query, "");
-    figures.report(name("parts searched a scan, on"), on.searched_per_query, "");
-    figures.report(name("questions a scan"), on.probes_per_query, "");
-    figures.report(name("bytes of questions and answers a scan"), on.probe_bytes_per_query, "");
+    experiment_report.add_value(name("parts searched a scan, off"), off.searched_per_query, "");
+    experiment_report.add_value(name("parts searched a scan, on"), on.searched_per_query, "");
+    experiment_report.add_value(name("questions a scan"), on.probes_per_query, "");
+    experiment_report.add_value(name("bytes of questions and answers a scan"), on.probe_bytes_per_query, "");
     for (what, quantile) in [("p50", 0.5), ("p99", 0.99)] {
-        figures.report(name(&format!("{what}, off")), 1e3 * off.latency_seconds(quantile), "ms");
-        figures.report(name(&format!("{what}, on")), 1e3 * on.latency_seconds(quantile), "ms");
+        experiment_report.add_value(name(&format!("{what}, off")), 1e3 * off.latency_seconds(quantile), "ms");
+        experiment_report.add_value(name(&format!("{what}, on")), 1e3 * on.latency_seconds(quantile), "ms");
     }
     let ratio = on.searched_per_query / off.searched_per_query;
     match match_percent {
         1 => {
-            figures.report(name("parts searched, on against off"), ratio, "times");
+            experiment_report.add_value(name("parts searched, on against off"), ratio, "times");
             let best_ratio = on.min_searched_per_query / off.searched_per_query;
             let name = name("parts searched, on against off, best round");
-            figures.report_bounded(name, best_ratio, MAX_REMAINING_RATIO, "times");
+            experiment_report.add_bounded_value(name, best_ratio, MAX_REMAINING_RATIO, "times");
         }
         100 => {
-            figures.report_bounded(
+            experiment_report.add_bounded_value(
                 name("parts searched, on against off"),
                 ratio,
                 MAX_SEARCHED_RATIO,
                 "times",
             );
             let ratios = on.p50_against(off);
-            figures.report(name("p50, on against off, middle of rounds"), ratios.median, "times");
+            experiment_report.add_value(
+                name("p50, on against off, middle of rounds"),
+                ratios.median,
+                "times",
+            );
             let name = name("p50, on against off, best round");
-            figures.report_bounded(name, ratios.min, MAX_LATENCY_RATIO, "times");
+            experiment_report.add_bounded_value(name, ratios.min, MAX_LATENCY_RATIO, "times");
         }
-        _ => figures.report(name("parts searched, on against off"), ratio, "times"),
+        _ => experiment_report.add_value(name("parts searched, on against off"), ratio, "times"),
     }
 }
 
 /// Reports latency under a fault, compared with queries without the prefilter.
-fn report_scenario(figures: &mut Figures, scenario: &str, baseline: &SideReport, side: &SideReport) {
+fn report_scenario(
+    experiment_report: &mut ExperimentReport,
+    scenario: &str,
+    baseline: &SideReport,
+    side: &SideReport,
+) {
     let name = |what: &str| format!("{scenario}: {what}");
-    figures.report(name("parts searched a scan"), side.searched_per_query, "");
-    figures.report(name("p50"), 1e3 * side.latency_seconds(0.5), "ms");
+    experiment_report.add_value(name("parts searched a scan"), side.searched_per_query, "");
+    experiment_report.add_value(name("p50"), 1e3 * side.latency_seconds(0.5), "ms");
     let ratios = side.p50_against(baseline);
-    figures.report(name("p50 against searched plainly, middle of rounds"), ratios.median, "times");
+    experiment_report.add_value(
+        name("p50 against searched plainly, middle of rounds"),
+        ratios.median,
+        "times",
+    );
     let best_name = name("p50 against searched plainly, best round");
-    figures.report_bounded(best_name, ratios.min, MAX_LATENCY_RATIO, "times");
+    experiment_report.add_bounded_value(best_name, ratios.min, MAX_LATENCY_RATIO, "times");
     let long_ratio = (side.long_ratio() - baseline.long_ratio()).max(0.0);
     let figure_name = name("share over the target time, beyond plainly");
-    figures.report_bounded(figure_name, long_ratio, MAX_LONG_RATIO, "");
-    figures.report(name("p99"), 1e3 * side.latency_seconds(0.99), "ms");
-    figures.report(name("refused"), side.rejected as f64, "");
+    experiment_report.add_bounded_value(figure_name, long_ratio, MAX_LONG_RATIO, "");
+    experiment_report.add_value(name("p99"), 1e3 * side.latency_seconds(0.99), "ms");
+    experiment_report.add_value(name("refused"), side.rejected as f64, "");
 }
 
 /// Returns all fault scenarios.
@@ -183,9 +201,9 @@
     let with_stable_content = |name, behavior| FaultScenario { name, behavior, content_changes: false };
     let with_changing_content = |name, behavior| FaultScenario { name, behavior, content_changes: true };
     vec![
-        with_stable_content("one node stalls", every_nth(usize::MAX, ProbeBehavior::Stall)),
-        with_stable_content("a third stall", every_nth(3, ProbeBehavior::Stall)),
-        with_stable_content("all stall", every_nth(1, ProbeBehavior::Stall)),
+        with_stable_content("one node stalls", every_nth(usize::MAX, ProbeBehavior::Hang)),
+        with_stable_content("a third stall", every_nth(3, ProbeBehavior::Hang)),
+        with_stable_content("all stall", every_nth(1, ProbeBehavior::Hang)),
         with_stable_content("a third deny all", every_nth(3, ProbeBehavior::DenyAll)),
         with_changing_content(
             "a third say the old truth, content moves",
--- a/crates/dunepond-testkit/src/experiments/prefilter/side.rs
+++ b/crates/dunepond-testkit/src/experiments/prefilter/side.rs
@@ -8,11 +8,11 @@
 use hdrhistogram::Histogram;
 
 use super::RunOptions;
-use crate::load::{Load, LoadReport};
+use crate::load::{LoadReport, Workload};
 use crate::prefilter_cluster::{
-    Corpus, PrefilterCluster, ProbeBehavior, SEGMENT_COUNT, parse_answer, query_request, term,
+    Corpus, PrefilterCluster, ProbeBehavior, SEGMENT_COUNT, parse_response, query_request, term,
 };
-use crate::stand_ins::Answer;
+use crate::stand_ins::Response;
 
 /// Segments that each query covers.
 const QUERY_SEGMENTS: usize = 24;
@@ -126,14 +126,14 @@
 }
 
 impl Counts {
-    fn record(&self, corpus: &Corpus, query: &Query, sent: Instant, answer: Option<&Answer>) {
+    fn record(&self, corpus: &Corpus, query: &Query, sent: Instant, answer: Option<&Response>) {
         let now = Instant::now();
         self.answers.fetch_add(1, Ordering::Relaxed);
         let Some(answer) = answer else {
             self.late.fetch_add(1, Ordering::Relaxed);
             return;
         };
-        let results = parse_answer(answer);
+        let results = parse_response(answer);
         if results.is_falsely_complete(corpus, &query.term, &query.segments, sent, now) {
             self.falsely_complete.fetch_add(1, Ordering::Relaxed);
         }
@@ -172,9 +172,9 @@
         let mut rounds = Vec::new();
         for round in 0..ROUNDS {
             barrier.wait();
-            let searches_before = cluster.searches();
+            let searches_before = cluster.search_count();
             let report = run_round(options, queries, round, &cluster, &counts);
-            let searches = (cluster.searches() - searches_before) as f64;
+            let searches = (cluster.search_count() - searches_before) as f64;
             min_searched_per_query =
                 min_searched_per_query.min(searches / report.latencies.len().max(1) as f64);
             rounds.push(report);
@@ -189,9 +189,9 @@
     let answers = counts.answers.load(Ordering::Relaxed).max(1) as f64;
     let failed: u64 = rounds.iter().map(|round| round.failed).sum();
     SideReport {
-        searched_per_query: cluster.searches() as f64 / answers,
+        searched_per_query: cluster.search_count() as f64 / answers,
         min_searched_per_query,
-        probes_per_query: cluster.probes() as f64 / answers,
+        probes_per_query: cluster.probe_count() as f64 / answers,
         probe_bytes_per_query: cluster.probe_bytes() as f64 / answers,
         falsely_complete: counts.falsely_complete.load(Ordering::Relaxed),
         late: counts.late.load(Ordering::Relaxed) + failed,
@@ -210,8 +210,8 @@
     counts: &Arc<Counts>,
 ) -> LoadReport {
     let match_percent = queries.match_percent;
-    let load = Load {
-        to: cluster.broker.address,
+    let load = Workload {
+        broker_address: cluster.broker.address,
         requests_per_second: REQUESTS_PER_SECOND,
         duration_seconds: queries.count / REQUESTS_PER_SECOND / ROUNDS as f64,
         seed: options.seed + round,
--- a/crates/dunepond-testkit/src/experiments/quota.rs
+++ b/crates/dunepond-testkit/src/experiments/quota.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use super::RunOptions;
-use crate::auditor::limits::{QUOTA_UNITS, peak_units};
+use crate::auditor::quotas::{QUOTA_UNITS, peak_units};
 use crate::fleet::{Fleet, FleetOptions, QueryOutcome, RetryBudget, outcome_ratio};
-use crate::links::{CUT, HEALTHY};
+use crate::links::{HEALTHY, PARTITIONED};
 use crate::processes::wait_until;
-use crate::report::{Curve, Figures};
+use crate::report::{Curve, ExperimentReport};
 use crate::stand_ins::NodeBehavior;
 
 /// Brokers in each fleet.
@@ -79,12 +79,12 @@
 
 impl Fleets {
     fn start(options: &RunOptions) -> Self {
-        let fleet_options = |extra_lines: Vec<String>| FleetOptions {
+        let fleet_options = |extra_kdl_lines: Vec<String>| FleetOptions {
             seed: options.seed,
-            balancers: BROKER_COUNT,
-            tenant_quota: TENANT_QUOTA,
+            configured_broker_count: BROKER_COUNT,
+            tenant_quota_per_second: TENANT_QUOTA,
             retry_budget: RetryBudget { ratio: RETRY_RATIO, min_retries: 20.0 },
-            extra_lines,
+            extra_kdl_lines,
             ..FleetOptions::new(&options.program, 3, BROKER_COUNT)
         };
         Self {
@@ -102,16 +102,16 @@
 
     /// Runs clients of one broker in each fleet for this long.
     fn load(&self, broker: usize, time: Duration) -> Outcomes {
-        let leased = self.leased.clients([broker], REQUEST_PAUSE);
-        let even = self.even.clients([broker], REQUEST_PAUSE);
+        let leased = self.leased.start_clients([broker], REQUEST_PAUSE);
+        let even = self.even.start_clients([broker], REQUEST_PAUSE);
         thread::sleep(time);
         Outcomes { leased: leased.stop(), even: even.stop() }
     }
 }
 
 /// Runs the experiment.
-pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
-    let mut figures = Figures::default();
+pub fn run(options: &RunOptions) -> anyhow::Result<ExperimentReport> {
+    let mut experiment_report = ExperimentReport::default();
     let fleets = Fleets::start(options);
     let time = if options.quick { Duration::from_secs(4) } else { Duration::from_secs(20) };
     let mut leased_outcomes = Vec::new();
@@ -122,84 +122,93 @@
         // Both fleets get the same load before and during the measurement, so that only the split of the quota differs.
         leased_outcomes.extend(fleets.load(broker, SETTLE_DURATION).leased);
         let outcomes = fleets.load(broker, time);
-        report_traffic(&mut figures, name, &outcomes, time);
+        report_traffic(&mut experiment_report, name, &outcomes, time);
         leased_outcomes.extend(outcomes.leased);
     }
     fleets.set_behavior(NodeBehavior::Serve);
-    leased_outcomes.extend(report_cold_node(&mut figures, &fleets).leased);
+    leased_outcomes.extend(report_cold_node(&mut experiment_report, &fleets).leased);
     // Quotas only rank queries when the brokers are overloaded; this traffic is below that.
     let name = "served in any window against the quota, leases";
-    figures.report_bounded(name, peak_quota_ratio(&leased_outcomes), MAX_QUOTA_RATIO, "times");
+    experiment_report.add_bounded_value(name, peak_quota_ratio(&leased_outcomes), MAX_QUOTA_RATIO, "times");
     eprintln!("partitioned, killed and restarted ...");
-    report_failures(&mut figures, fleets.leased)?;
-    Ok(figures)
+    report_failures(&mut experiment_report, fleets.leased)?;
+    Ok(experiment_report)
 }
 
 /// Reports the share of queries that was not served in each fleet.
-fn report_traffic(figures: &mut Figures, name: &str, outcomes: &Outcomes, time: Duration) {
+fn report_traffic(experiment_report: &mut ExperimentReport, name: &str, outcomes: &Outcomes, time: Duration) {
     let rate = outcomes.leased.len() as f64 / time.as_secs_f64();
     let (leased, even) = (missed_ratio(&outcomes.leased), missed_ratio(&outcomes.even));
-    figures.report(format!("traffic {name}: scans a second, offered"), rate, "");
-    figures.report(format!("traffic {name}: not served, even parts"), even, "share");
-    figures.report(format!("traffic {name}: not served, leases"), leased, "share");
+    experiment_report.add_value(format!("traffic {name}: scans a second, offered"), rate, "");
+    experiment_report.add_value(format!("traffic {name}: not served, even parts"), even, "share");
+    experiment_report.add_value(format!("traffic {name}: not served, leases"), leased, "share");
     // This ratio has no bound: clients wait for each answer, so they send fewer queries where more of them fail.
     let ratio = leased / even.max(1e-9);
-    figures.report(format!("traffic {name}: not served, leases against even parts"), ratio, "times");
+    experiment_report.add_value(
+        format!("traffic {name}: not served, leases against even parts"),
+        ratio,
+        "times",
+    );
 }
 
 /// Reports the parts that a node in slow start gets per second under traffic at one broker.
-fn report_cold_node(figures: &mut Figures, fleets: &Fleets) -> Outcomes {
+fn report_cold_node(experiment_report: &mut ExperimentReport, fleets: &Fleets) -> Outcomes {
     let parts = |fleet: &Fleet| fleet.nodes[COLD_NODE].part_arrivals().len() as f64;
-    let clients = [&fleets.leased, &fleets.even].map(|fleet| fleet.clients([3], REQUEST_PAUSE));
-    fleets.leased.report_restarted(&[COLD_NODE]);
-    fleets.even.report_restarted(&[COLD_NODE]);
+    let clients = [&fleets.leased, &fleets.even].map(|fleet| fleet.start_clients([3], REQUEST_PAUSE));
+    fleets.leased.report_nodes_restarted(&[COLD_NODE]);
+    fleets.even.report_nodes_restarted(&[COLD_NODE]);
     let (leased_before, even_before) = (parts(&fleets.leased), parts(&fleets.even));
     thread::sleep(COLD_DURATION);
     let per_second = |parts: f64| parts / COLD_DURATION.as_secs_f64();
     let even = per_second(parts(&fleets.even) - even_before);
     let leased = per_second(parts(&fleets.leased) - leased_before);
-    figures.report("parts a second at a node that has just started, even parts", even, "");
-    figures.report("parts a second at a node that has just started, leases", leased, "");
+    experiment_report.add_value("parts a second at a node that has just started, even parts", even, "");
+    experiment_report.add_value("parts a second at a node that has just started, leases", leased, "");
     let [leased, even] = clients.map(|clients| clients.stop());
     Outcomes { leased, even }
 }
 
 /// Partitions and kills the broker with the largest share while the other brokers request it, and reports whether the sum of
 /// all shares stays within each quota.
-fn report_failures(figures: &mut Figures, mut fleet: Fleet) -> anyhow::Result<()> {
-    let clients = fleet.clients(0..BROKER_COUNT, REQUEST_PAUSE);
-    fleet.links.set_around(&["n4"], &CUT);
+fn report_failures(experiment_report: &mut ExperimentReport, mut fleet: Fleet) -> anyhow::Result<()> {
+    let clients = fleet.start_clients(0..BROKER_COUNT, REQUEST_PAUSE);
+    fleet.links.set_conditions_around(&["n4"], &PARTITIONED);
     thread::sleep(Duration::from_secs(3));
-    fleet.links.set_all(&HEALTHY);
+    fleet.links.set_all_conditions(&HEALTHY);
     thread::sleep(Duration::from_secs(1));
     fleet.brokers[4].kill();
     fleet.brokers[4].start();
-    let restarted = wait_until(|| fleet.brokers[4].ready());
+    let restarted = wait_until(|| fleet.brokers[4].is_ready());
     thread::sleep(Duration::from_secs(2));
     clients.stop();
-    figures.report_bounded("brokers that did not come back", f64::from(u8::from(!restarted)), 0.0, "");
+    experiment_report.add_bounded_value(
+        "brokers that did not come back",
+        f64::from(u8::from(!restarted)),
+        0.0,
+        "",
+    );
     let records = fleet.records();
     let peaks = peak_units(&records);
     anyhow::ensure!(!peaks.is_empty(), "no share of any quota was leased during the experiment");
     for (bound, units) in &peaks {
         let name = format!("largest sum of all parts of '{bound}', over its window");
-        figures.report_bounded(name, *units as f64 / QUOTA_UNITS as f64, 1.0, "wholes");
+        experiment_report.add_bounded_value(name, *units as f64 / QUOTA_UNITS as f64, 1.0, "wholes");
     }
     let findings = fleet.audit();
     findings.iter().take(5).for_each(|finding| eprintln!("{finding}"));
-    figures.report_bounded("findings of the auditor", findings.len() as f64, 0.0, "");
-    figures.plot("sums", "seconds", "share of the whole", quota_curves(&records));
+    experiment_report.add_bounded_value("findings of the auditor", findings.len() as f64, 0.0, "");
+    experiment_report.add_plot("sums", "seconds", "share of the whole", quota_curves(&records));
     Ok(())
 }
 
 /// Returns a curve of the sum of all leased shares over time for each quota.
 fn quota_curves(records: &crate::auditor::Records) -> Vec<Curve> {
-    let intervals = crate::auditor::limits::quota_intervals(records);
+    let intervals = crate::auditor::quotas::quota_intervals(records);
     let names: std::collections::BTreeSet<_> =
-        intervals.iter().map(|interval| interval.bound.clone()).collect();
+        intervals.iter().map(|interval| interval.quota.clone()).collect();
     let start = intervals.iter().map(|interval| interval.from).fold(f64::INFINITY, f64::min);
     let curve = |name: &String| {
-        let sums = crate::auditor::limits::sums(&intervals, name);
+        let sums = crate::auditor::quotas::quota_sums(&intervals, name);
         let points = sums.into_iter().map(|sum| (sum.at - start, sum.units as f64 / QUOTA_UNITS as f64));
         Curve { name: name.clone(), points: points.collect() }
     };
--- a/crates/dunepond-testkit/src/experiments/rebalance.rs
+++ b/crates/dunepond-testkit/src/experiments/rebalance.rs
@@ -8,12 +8,13 @@
 use serde_json::{Value, json};
 
 use super::RunOptions;
-use crate::auditor::{AuditPhase, Finding, longest_contradiction};
+use crate::auditor::{AuditPhase, Finding, longest_version_conflict_seconds};
 use crate::fleet::{
-    Fleet, FleetOptions, NON_IDEMPOTENT_CLASS, QUERY_CLASSES, QueryOutcome, SEGMENT_BYTES, latency_quantile,
+    Fleet, FleetOptions, NON_IDEMPOTENT_CLASS, QUERY_CLASSES, QueryOutcome, SEGMENT_BYTES,
+    latency_quantile_seconds,
 };
 use crate::processes::wait_until;
-use crate::report::{Curve, Figures};
+use crate::report::{Curve, ExperimentReport};
 
 /// Pause of each client between two requests.
 const REQUEST_PAUSE: Duration = Duration::from_millis(15);
@@ -51,9 +52,9 @@
     /// active at all brokers.
     fn run_move(&mut self, id: &str) -> bool {
         self.fleet.propose_plan(1, &self.plan(id));
-        let (brokers, number) = (self.fleet.options.brokers, self.last_version + 2);
+        let (brokers, number) = (self.fleet.options.broker_count, self.last_version + 2);
         let is_active = |i| {
-            let recorded = self.fleet.phase(i);
+            let recorded = self.fleet.last_phase(i);
             recorded.is_some_and(|state| state.phase == AuditPhase::Active && state.last_version == number)
         };
         if !wait_until(|| (0..brokers).all(is_active)) {
@@ -72,7 +73,7 @@
 
 /// Whether the query is of the class that must not run twice.
 fn is_non_idempotent(outcome: &QueryOutcome) -> bool {
-    QUERY_CLASSES[outcome.kind] == NON_IDEMPOTENT_CLASS
+    QUERY_CLASSES[outcome.query_class_index] == NON_IDEMPOTENT_CLASS
 }
 
 /// Returns the number of rejected non-idempotent queries, and the longest time for which those of one segment were rejected,
@@ -84,7 +85,7 @@
         outcomes.iter().filter(|outcome| is_non_idempotent(outcome) && outcome.status == Some(429)).collect();
     for outcome in &rejected {
         let began = outcome.started_at.duration_since(first).as_secs_f64();
-        let span = spans.entry(outcome.segment).or_insert((began, began + outcome.latency_seconds));
+        let span = spans.entry(outcome.first_segment_id).or_insert((began, began + outcome.latency_seconds));
         span.1 = span.1.max(began + outcome.latency_seconds);
     }
     (rejected.len(), spans.values().map(|(from, to)| to - from).fold(0.0, f64::max))
@@ -108,12 +109,12 @@
 }
 
 /// Runs the experiment.
-pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
+pub fn run(options: &RunOptions) -> anyhow::Result<ExperimentReport> {
     let rounds = if options.quick { 4 } else { 16 };
-    let mut figures = Figures::default();
+    let mut experiment_report = ExperimentReport::default();
     let fleet_options = || FleetOptions {
         seed: options.seed,
-        extra_lines: vec!["moves \"OWN.plan\" at-once=4 settle=0.1".to_string()],
+        extra_kdl_lines: vec!["moves \"OWN.plan\" at-once=4 settle=0.1".to_string()],
         ..FleetOptions::new(&options.program, 3, 5)
     };
     let mut fleets = [(); 2].map(|()| MovingFleet {
@@ -121,34 +122,34 @@
         last_version: 1,
         at_original_owners: true,
     });
-    fleets.iter().for_each(|moving| moving.fleet.filler.set_fill_seconds(FILL_SECONDS));
+    fleets.iter().for_each(|moving| moving.fleet.fill_service.set_fill_seconds(FILL_SECONDS));
     let measured = measure(&mut fleets, rounds);
-    report_latencies(&mut figures, &measured);
-    report_rejections(&mut figures, &measured, &fleets[0].fleet.options);
+    report_latencies(&mut experiment_report, &measured);
+    report_rejections(&mut experiment_report, &measured, &fleets[0].fleet.options);
     let done = (rounds - measured.failed_moves) * MOVED_SEGMENTS.len();
-    let moved_bytes: u64 = fleets.iter().map(|moving| moving.fleet.filler.moved_bytes()).sum();
+    let moved_bytes: u64 = fleets.iter().map(|moving| moving.fleet.fill_service.moved_bytes()).sum();
     let ratio = moved_bytes as f64 / (done as u64 * SEGMENT_BYTES).max(1) as f64;
-    figures.report_bounded("bytes moved, against the least possible", ratio, 1.0, "times");
-    report_findings(&mut figures, &fleets);
+    experiment_report.add_bounded_value("bytes moved, against the least possible", ratio, 1.0, "times");
+    report_findings(&mut experiment_report, &fleets);
     let curves = vec![
         latency_curve("undisturbed", &measured.undisturbed),
         latency_curve("beside a move", &measured.moved),
     ];
-    figures.plot("times", "percent of replayable scans", "ms", curves);
-    Ok(figures)
+    experiment_report.add_plot("times", "percent of replayable scans", "ms", curves);
+    Ok(experiment_report)
 }
 
 /// Runs all rounds; the two fleets alternate in moving.
 fn measure(fleets: &mut [MovingFleet; 2], rounds: usize) -> Measured {
     let mut measured = Measured::default();
-    let brokers = fleets[0].fleet.options.brokers;
+    let brokers = fleets[0].fleet.options.broker_count;
     for round in 0..rounds {
         eprintln!("round {} of {rounds} ...", round + 1);
         let moving_index = round % 2;
-        let loads = fleets.each_ref().map(|moving| moving.fleet.clients(0..brokers, REQUEST_PAUSE));
+        let loads = fleets.each_ref().map(|moving| moving.fleet.start_clients(0..brokers, REQUEST_PAUSE));
         thread::sleep(AROUND_MOVE_DURATION);
         // One of the two fills fails half way and resumes from there.
-        fleets[moving_index].fleet.filler.fail_next(1);
+        fleets[moving_index].fleet.fill_service.fail_next_fills(1);
         measured.failed_moves += usize::from(!fleets[moving_index].run_move(&format!("round-{round}")));
         thread::sleep(AROUND_MOVE_DURATION);
         let [first, second] = loads.map(|load| load.stop());
@@ -165,42 +166,64 @@
 
 /// Returns the p99 latency of idempotent queries in milliseconds.
 fn p99_ms(outcomes: &[QueryOutcome]) -> f64 {
-    1e3 * latency_quantile(outcomes, QueryOutcome::is_idempotent, 0.99)
+    1e3 * latency_quantile_seconds(outcomes, QueryOutcome::is_idempotent, 0.99)
 }
 
 /// Reports the latency of idempotent queries next to a move, compared with the undisturbed fleet.
-fn report_latencies(figures: &mut Figures, measured: &Measured) {
+fn report_latencies(experiment_report: &mut ExperimentReport, measured: &Measured) {
     let (undisturbed, moved) = (p99_ms(&measured.undisturbed), p99_ms(&measured.moved));
-    figures.report("scans beside a move", measured.moved.len() as f64, "");
-    figures.report("replayable scans, p99, undisturbed", undisturbed, "ms");
-    figures.report("replayable scans, p99, beside a move", moved, "ms");
+    experiment_report.add_value("scans beside a move", measured.moved.len() as f64, "");
+    experiment_report.add_value("replayable scans, p99, undisturbed", undisturbed, "ms");
+    experiment_report.add_value("replayable scans, p99, beside a move", moved, "ms");
     let mut ratios = measured.p99_ratios.clone();
     ratios.sort_by(f64::total_cmp);
     let (pooled, median) = (moved / undisturbed, ratios[ratios.len() / 2]);
-    figures.report("p99 beside a move, against undisturbed, all rounds together", pooled, "times");
-    figures.report("the same, median of rounds", median, "times");
+    experiment_report.add_value(
+        "p99 beside a move, against undisturbed, all rounds together",
+        pooled,
+        "times",
+    );
+    experiment_report.add_value("the same, median of rounds", median, "times");
     // Other load on the machine raises one of the two ratios; a real cost of a move raises both.
-    figures.report_bounded("the same, the lesser of both", pooled.min(median), MAX_LATENCY_RATIO, "times");
+    experiment_report.add_bounded_value(
+        "the same, the lesser of both",
+        pooled.min(median),
+        MAX_LATENCY_RATIO,
+        "times",
+    );
 }
 
 /// Reports the queries that were rejected or failed next to a move.
-fn report_rejections(figures: &mut Figures, measured: &Measured, fleet_options: &FleetOptions) {
+fn report_rejections(
+    experiment_report: &mut ExperimentReport,
+    measured: &Measured,
+    fleet_options: &FleetOptions,
+) {
     let rejected = measured.undisturbed.iter().filter(|outcome| outcome.status == Some(429)).count();
-    figures.report("fixes turned away during switches", measured.rejected_non_idempotent as f64, "");
-    figures.report("scans turned away where nothing moved", rejected as f64, "");
+    experiment_report.add_value(
+        "fixes turned away during switches",
+        measured.rejected_non_idempotent as f64,
+        "",
+    );
+    experiment_report.add_value("scans turned away where nothing moved", rejected as f64, "");
     let idempotent = measured.moved.iter().filter(|outcome| !is_non_idempotent(outcome));
     let not_served = idempotent.clone().filter(|outcome| outcome.status != Some(200)).count();
     let ratio = not_served as f64 / idempotent.count().max(1) as f64;
-    figures.report_bounded("replayable scans not served beside a move", ratio, MAX_NOT_SERVED_RATIO, "share");
-    let bound = fleet_options.lease_bound_seconds + fleet_options.lease_seconds;
+    experiment_report.add_bounded_value(
+        "replayable scans not served beside a move",
+        ratio,
+        MAX_NOT_SERVED_RATIO,
+        "share",
+    );
+    let bound = fleet_options.switch_bound_seconds + fleet_options.lease_seconds;
     let name = "longest time for which fixes of a segment are turned away";
-    figures.report_bounded(name, measured.longest_rejection_seconds, bound, "s");
+    experiment_report.add_bounded_value(name, measured.longest_rejection_seconds, bound, "s");
     let failed = measured.failed_moves as f64;
-    figures.report_bounded("moves that did not come to their end", failed, 0.0, "");
+    experiment_report.add_bounded_value("moves that did not come to their end", failed, 0.0, "");
 }
 
 /// Reports the auditor's findings in both fleets.
-fn report_findings(figures: &mut Figures, fleets: &[MovingFleet; 2]) {
+fn report_findings(experiment_report: &mut ExperimentReport, fleets: &[MovingFleet; 2]) {
     let findings: Vec<_> = fleets.iter().flat_map(|moving| moving.fleet.audit()).collect();
     findings.iter().take(5).for_each(|finding| eprintln!("{finding}"));
     let count =
@@ -213,18 +236,29 @@
     };
     let falsely_complete =
         |finding: &Finding| matches!(finding, Finding::FalselyComplete { .. } | Finding::MixedEpochs { .. });
-    figures.report_bounded("non-replayable parts doubled, or at two owners", count(ran_twice), 0.0, "");
-    figures.report_bounded("answers falsely whole", count(falsely_complete), 0.0, "");
-    figures.report_bounded("findings of the auditor in all", findings.len() as f64, 0.0, "");
-    let contradictions = fleets.iter().map(|moving| longest_contradiction(&moving.fleet.records()));
-    figures.report_bounded("longest contradiction", contradictions.fold(0.0, f64::max), 0.0, "s");
+    experiment_report.add_bounded_value(
+        "non-replayable parts doubled, or at two owners",
+        count(ran_twice),
+        0.0,
+        "",
+    );
+    experiment_report.add_bounded_value("answers falsely whole", count(falsely_complete), 0.0, "");
+    experiment_report.add_bounded_value("findings of the auditor in all", findings.len() as f64, 0.0, "");
+    let contradictions =
+        fleets.iter().map(|moving| longest_version_conflict_seconds(&moving.fleet.records()));
+    experiment_report.add_bounded_value(
+        "longest contradiction",
+        contradictions.fold(0.0, f64::max),
+        0.0,
+        "s",
+    );
 }
 
 /// Returns the latency of idempotent queries in milliseconds by percentile.
 fn latency_curve(name: &str, outcomes: &[QueryOutcome]) -> Curve {
     let point = |percent: u32| {
         let percent = f64::from(percent);
-        (percent, 1e3 * latency_quantile(outcomes, QueryOutcome::is_idempotent, percent / 100.0))
+        (percent, 1e3 * latency_quantile_seconds(outcomes, QueryOutcome::is_idempotent, percent / 100.0))
     };
     Curve { name: name.to_string(), points: (0..100).map(point).collect() }
 }
