--- a/crates/dunepond-testkit/src/experiments/restart.rs
+++ b/crates/dunepond-testkit/src/experiments/restart.rs
@@ -8,8 +8,8 @@
 use serde_json::json;
 
 use super::RunOptions;
-use crate::load::{Load, LoadReport};
-use crate::report::Figures;
+use crate::load::{LoadReport, Workload};
+use crate::report::ExperimentReport;
 use crate::restart_cluster::{RestartCluster, SEGMENT_COUNT, unix_ms};
 use crate::stand_ins::{Broker, Client, NodeBehavior, query_request};
 
@@ -38,8 +38,8 @@
 
 /// Sends queries of four segments each to the broker for this long.
 fn run_load(broker: &Broker, seconds: f64, seed: u64, prefix: &'static str) -> LoadReport {
-    let load = Load {
-        to: broker.address,
+    let load = Workload {
+        broker_address: broker.address,
         requests_per_second: REQUESTS_PER_SECOND,
         duration_seconds: seconds,
         seed,
@@ -84,8 +84,14 @@
     run_load(&first, 3.0, seed + 1, "b");
     first.signal("KILL");
     first.exit_code();
-    let parts_to_hung =
-        || cluster.nodes.iter().step_by(HUNG_NODE_INTERVAL).map(|node| node.frames('A').len()).sum::<usize>();
+    let parts_to_hung = || {
+        cluster
+            .nodes
+            .iter()
+            .step_by(HUNG_NODE_INTERVAL)
+            .map(|node| node.frames_of_type('A').len())
+            .sum::<usize>()
+    };
     let before = parts_to_hung();
     let second = cluster.start_broker(kdl);
     let report = run_load(&second, seconds, seed + 2, "c");
@@ -158,7 +164,7 @@
 /// Kills and restarts the broker about every 300 ms while all nodes fail their parts except one in slow start.
 fn run_crash_loop(options: &RunOptions, kdl: &str, seconds: f64) -> CrashLoop {
     let mut cluster = RestartCluster::new(&options.program, NODE_COUNT);
-    cluster.restart_node(1, unix_ms());
+    cluster.publish_node_restart(1, unix_ms());
     // All other nodes fail, so that every part needs retries.
     cluster.set_behavior_of_every(1, NodeBehavior::ReplyStatus("fault"));
     cluster.nodes[1].set_behavior(NodeBehavior::Serve);
@@ -196,18 +202,18 @@
 }
 
 /// Runs the experiment.
-pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
-    let mut figures = Figures::default();
-    report_outages(options, &mut figures);
+pub fn run(options: &RunOptions) -> anyhow::Result<ExperimentReport> {
+    let mut experiment_report = ExperimentReport::default();
+    report_outages(options, &mut experiment_report);
     eprintln!("ordinary path ...");
     // Each side has a cluster of its own, so that its nodes do not do work of the other side.
     let cluster = RestartCluster::new(&options.program, NODE_COUNT);
     let other = RestartCluster::new(&options.program, NODE_COUNT);
-    report_cost_without_faults(options, &mut figures, &cluster, &other)?;
-    report_starts(options, &mut figures, &cluster);
+    report_cost_without_faults(options, &mut experiment_report, &cluster, &other)?;
+    report_starts(options, &mut experiment_report, &cluster);
     eprintln!("crash loops ...");
-    report_crash_loops(options, &mut figures);
-    Ok(figures)
+    report_crash_loops(options, &mut experiment_report);
+    Ok(experiment_report)
 }
 
 /// A value for each side of a comparison.
@@ -219,7 +225,7 @@
 }
 
 /// Runs all outages on both sides and reports the queries that were late, rejected or lost.
-fn report_outages(options: &RunOptions, figures: &mut Figures) {
+fn report_outages(options: &RunOptions, experiment_report: &mut ExperimentReport) {
     let seconds = if options.quick { 3.0 } else { 10.0 };
     let mut not_served = Sides { with: 0.0, without: 0.0 };
     let mut sent_to_hung = Sides { with: 0, without: 0 };
@@ -243,23 +249,23 @@
         if round == 0 {
             let curves =
                 vec![with.report.latency_curve("with the folder"), without.report.latency_curve("without")];
-            figures.plot("first-seconds", "percent of scans", "ms", curves);
+            experiment_report.add_plot("first-seconds", "percent of scans", "ms", curves);
         }
     }
-    figures.report("scans a run after the start", REQUESTS_PER_SECOND * seconds, "");
-    figures.report("late or lost without the folder, all runs", not_served.without, "");
-    figures.report("late or lost with the folder, all runs", not_served.with, "");
+    experiment_report.add_value("scans a run after the start", REQUESTS_PER_SECOND * seconds, "");
+    experiment_report.add_value("late or lost without the folder, all runs", not_served.without, "");
+    experiment_report.add_value("late or lost with the folder, all runs", not_served.with, "");
     let name = "late or lost, with against without, middle of runs";
-    figures.report_bounded(name, median(ratios), MAX_MISSED_RATIO, "times");
-    figures.report("parts sent to nodes that hang, without", sent_to_hung.without as f64, "");
-    figures.report("parts sent to nodes that hang, with", sent_to_hung.with as f64, "");
+    experiment_report.add_bounded_value(name, median(ratios), MAX_MISSED_RATIO, "times");
+    experiment_report.add_value("parts sent to nodes that hang, without", sent_to_hung.without as f64, "");
+    experiment_report.add_value("parts sent to nodes that hang, with", sent_to_hung.with as f64, "");
 }
 
 /// Reports what snapshots cost without any faults. Both sides get the same load at the same time in each round, so that other
 /// load on the machine affects both.
 fn report_cost_without_faults(
     options: &RunOptions,
-    figures: &mut Figures,
+    experiment_report: &mut ExperimentReport,
     cluster: &RestartCluster,
     other: &RestartCluster,
 ) -> anyhow::Result<()> {
@@ -268,8 +274,8 @@
     let mut bytes_an_hour = 0.0;
     for round in 0..rounds {
         // State persisted in the previous round would save this one retries, so the folder starts empty.
-        std::fs::remove_dir_all(&cluster.folder)?;
-        std::fs::create_dir(&cluster.folder)?;
+        std::fs::remove_dir_all(&cluster.state_folder)?;
+        std::fs::create_dir(&cluster.state_folder)?;
         let with = cluster.start_broker(&format!("{STATE_KDL}counters every=0.5\n"));
         let without = other.start_broker("");
         let (barrier, seed) = (&Barrier::new(2), options.seed + round);
@@ -285,22 +291,22 @@
     }
     let p99_ms =
         |side: &[Round]| 1e3 * median(side.iter().map(|round| round.report.latency_seconds(0.99)).collect());
-    figures.report("p99 without snapshots, middle of rounds", p99_ms(&sides.without), "ms");
-    figures.report("p99 with a snapshot a second, middle of rounds", p99_ms(&sides.with), "ms");
+    experiment_report.add_value("p99 without snapshots, middle of rounds", p99_ms(&sides.without), "ms");
+    experiment_report.add_value("p99 with a snapshot a second, middle of rounds", p99_ms(&sides.with), "ms");
     let cpu_micros = |side: &[Round]| {
         1e6 * side.iter().map(|round| round.loop_cpu_seconds_per_query).sum::<f64>() / side.len() as f64
     };
     let (with, without) = (cpu_micros(&sides.with), cpu_micros(&sides.without));
-    figures.report("core time of the loop a scan, without", without, "us");
-    figures.report("core time of the loop a scan, with", with, "us");
+    experiment_report.add_value("core time of the loop a scan, without", without, "us");
+    experiment_report.add_value("core time of the loop a scan, with", with, "us");
     let name = "core time of the loop, with against without";
-    figures.report_bounded(name, with / without, MAX_CPU_RATIO, "times");
-    figures.report("bytes written an hour", bytes_an_hour, "bytes");
+    experiment_report.add_bounded_value(name, with / without, MAX_CPU_RATIO, "times");
+    experiment_report.add_value("bytes written an hour", bytes_an_hour, "bytes");
     Ok(())
 }
 
 /// Reports the time from the start of a broker to its first served query, and what the folder adds to it.
-fn report_starts(options: &RunOptions, figures: &mut Figures, cluster: &RestartCluster) {
+fn report_starts(options: &RunOptions, experiment_report: &mut ExperimentReport, cluster: &RestartCluster) {
     let count = if options.quick { 5 } else { 9 };
     let (mut without, mut added_seconds) = (Vec::new(), Vec::new());
     for _ in 0..count {
@@ -311,22 +317,26 @@
         added_seconds.push(start_with - start_without);
     }
     let name = "start to first scan served, without, middle of starts";
-    figures.report(name, 1e3 * median(without), "ms");
+    experiment_report.add_value(name, 1e3 * median(without), "ms");
     let name = "start to first scan served, with less without, middle of starts";
-    figures.report_bounded(name, 1e3 * median(added_seconds), MAX_EXTRA_START_MS, "ms");
+    experiment_report.add_bounded_value(name, 1e3 * median(added_seconds), MAX_EXTRA_START_MS, "ms");
 }
 
 /// Reports retries over the budget and the load of a node in slow start during crash loops.
-fn report_crash_loops(options: &RunOptions, figures: &mut Figures) {
+fn report_crash_loops(options: &RunOptions, experiment_report: &mut ExperimentReport) {
     let seconds = if options.quick { 3.0 } else { 20.0 };
     let with = run_crash_loop(options, STATE_KDL, seconds);
     let without = run_crash_loop(options, "", seconds);
     let over_budget = |side: &CrashLoop| (-side.budget_margin).max(0.0);
     let name = "crash loop: further dispatches over the budget, with";
-    figures.report_bounded(name, over_budget(&with), 0.0, "");
-    figures.report("crash loop: further dispatches over the budget, without", over_budget(&without), "");
+    experiment_report.add_bounded_value(name, over_budget(&with), 0.0, "");
+    experiment_report.add_value(
+        "crash loop: further dispatches over the budget, without",
+        over_budget(&without),
+        "",
+    );
     let name = "crash loop: parts to a cold node in a second, without";
-    figures.report(name, without.max_cold_parts, "");
+    experiment_report.add_value(name, without.max_cold_parts, "");
     let name = "crash loop: parts to a cold node in a second, with";
-    figures.report_bounded(name, with.max_cold_parts, without.max_cold_parts.max(1.0), "");
+    experiment_report.add_bounded_value(name, with.max_cold_parts, without.max_cold_parts.max(1.0), "");
 }
--- a/crates/dunepond-testkit/src/experiments/search.rs
+++ b/crates/dunepond-testkit/src/experiments/search.rs
@@ -12,8 +12,8 @@
 use serde_json::value::RawValue;
 
 use super::RunOptions;
-use crate::load::{Load, LoadReport};
-use crate::report::Figures;
+use crate::load::{LoadReport, Workload};
+use crate::report::ExperimentReport;
 use crate::search_cluster::{NodeProtocol, SearchCluster, SearchNodeBehavior, http_request as api_request};
 
 /// Query rate.
@@ -74,8 +74,8 @@
     behaviors.iter().for_each(|(node, behavior)| cluster.nodes[*node].set_behavior(*behavior));
     let to = if api { cluster.api_address } else { cluster.broker.address };
     let run_load = |prefix: &'static str, seconds: f64| {
-        let load = Load {
-            to,
+        let load = Workload {
+            broker_address: to,
             requests_per_second: REQUESTS_PER_SECOND,
             duration_seconds: seconds,
             seed: options.seed,
@@ -97,7 +97,7 @@
     let load_report = run_load("c", seconds);
     let cpu_seconds_per_query =
         (process_cpu_seconds(cluster.broker.pid()) - before) / load_report.latencies.len().max(1) as f64;
-    RunResult { load_report, cpu_seconds_per_query, repeated_parts: cluster.repeated_parts() }
+    RunResult { load_report, cpu_seconds_per_query, repeated_parts: cluster.repeated_part_count() }
 }
 
 /// Returns the median time to merge ten parts of 1,000 hits each, in milliseconds, without parsing them.
@@ -137,14 +137,14 @@
 }
 
 /// Runs the experiment.
-pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
-    let mut figures = Figures::default();
+pub fn run(options: &RunOptions) -> anyhow::Result<ExperimentReport> {
+    let mut experiment_report = ExperimentReport::default();
     let seconds = if options.quick { 1.5 } else { 8.0 };
     let mut costs = BTreeMap::new();
     let mut not_served = 0u64;
     let scenarios: [(&str, &[(usize, SearchNodeBehavior)]); 3] = [
         ("all serve", &[]),
-        ("one faults", &[(0, SearchNodeBehavior::Fault)]),
+        ("one faults", &[(0, SearchNodeBehavior::ReportFailure)]),
         ("one hangs", &[(0, SearchNodeBehavior::Hang)]),
     ];
     for (name, behaviors) in scenarios {
@@ -156,11 +156,27 @@
                 // Every query has to be served, through both interfaces and with both node protocols.
                 not_served += total - result.load_report.served;
                 let label = format!("{name}, {interface}, {kind}");
-                figures.report(format!("{label}: served of {total}"), result.load_report.served as f64, "");
-                figures.report(format!("{label}: p50"), 1e3 * result.load_report.latency_seconds(0.5), "ms");
-                figures.report(format!("{label}: p99"), 1e3 * result.load_report.latency_seconds(0.99), "ms");
-                figures.report(format!("{label}: core a scan"), 1e6 * result.cpu_seconds_per_query, "us");
-                figures.report(
+                experiment_report.add_value(
+                    format!("{label}: served of {total}"),
+                    result.load_report.served as f64,
+                    "",
+                );
+                experiment_report.add_value(
+                    format!("{label}: p50"),
+                    1e3 * result.load_report.latency_seconds(0.5),
+                    "ms",
+                );
+                experiment_report.add_value(
+                    format!("{label}: p99"),
+                    1e3 * result.load_report.latency_seconds(0.99),
+                    "ms",
+                );
+                experiment_report.add_value(
+                    format!("{label}: core a scan"),
+                    1e6 * result.cpu_seconds_per_query,
+                    "us",
+                );
+                experiment_report.add_value(
                     format!("{label}: parts that ran twice (copies)"),
                     result.repeated_parts as f64,
                     "",
@@ -169,24 +185,29 @@
             }
         }
     }
-    figures.report_bounded("scans not served whole, all combinations", not_served as f64, 0.0, "");
+    experiment_report.add_bounded_value(
+        "scans not served whole, all combinations",
+        not_served as f64,
+        0.0,
+        "",
+    );
     let cost = |interface, kind| costs.get(&("all serve", interface, kind)).copied().unwrap_or(f64::MAX);
-    figures.report_bounded(
+    experiment_report.add_bounded_value(
         "core a scan, API against first door, frames",
         cost("API", "frames") / cost("first door", "frames"),
         MAX_CPU_RATIO,
         "times",
     );
-    figures.report(
+    experiment_report.add_value(
         "core a scan, API against first door, API nodes",
         cost("API", "API nodes") / cost("first door", "API nodes"),
         "times",
     );
-    figures.report_bounded(
+    experiment_report.add_bounded_value(
         "merging 10 parts of 1,000 hits, median",
         merge_milliseconds(options.seed),
         MAX_MERGE_MS,
         "ms",
     );
-    Ok(figures)
+    Ok(experiment_report)
 }
--- a/crates/dunepond-testkit/src/experiments/settlement/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/settlement/mod.rs
@@ -7,7 +7,7 @@
 use dunepond_settlement::PlanningRule;
 
 use super::RunOptions;
-use crate::report::{Curve, Figures};
+use crate::report::{Curve, ExperimentReport};
 use simulation::{FLOOD, PARTNERS, SimulationResult, settlement_terms, simulate};
 
 /// Traffic mixes that are simulated, besides the flood of demands.
@@ -52,49 +52,50 @@
 
 /// Reports the limits that hold under every rule, and the longest wait, which is bounded only under the rules that take debts
 /// into account.
-fn report_limits(figures: &mut Figures, mix: &str, all_rules: &[RuleResults]) {
+fn report_limits(experiment_report: &mut ExperimentReport, mix: &str, all_rules: &[RuleResults]) {
     let max_of = |results: &[RuleResults], value: fn(&SimulationResult) -> f64| {
         results.iter().flat_map(|rule| &rule.results).map(value).fold(0.0, f64::max)
     };
     let max = |value| max_of(all_rules, value);
-    let mut report_bounded =
-        |what: &str, value, bound, unit| figures.report_bounded(format!("{mix}: {what}"), value, bound, unit);
-    report_bounded("load of a link, of its cap", max(|result| result.max_link_ratio), 1.0 + 1e-9, "");
-    report_bounded("load of a cold node, of its bound", max(|result| result.max_cold_node_ratio), 1.0, "");
-    report_bounded("carried in a window, of the most", max(|result| result.max_carried_ratio), 1.0, "");
+    let mut add_bounded_value = |what: &str, value, bound, unit| {
+        experiment_report.add_bounded_value(format!("{mix}: {what}"), value, bound, unit)
+    };
+    add_bounded_value("load of a link, of its cap", max(|result| result.max_link_ratio), 1.0 + 1e-9, "");
+    add_bounded_value("load of a cold node, of its bound", max(|result| result.max_cold_node_ratio), 1.0, "");
+    add_bounded_value("carried in a window, of the most", max(|result| result.max_carried_ratio), 1.0, "");
     let longest_wait = max_of(&all_rules[2..], |result| result.longest_wait_seconds);
-    report_bounded(
+    add_bounded_value(
         "longest that a partner went without a fill",
         longest_wait,
         1.5 * settlement_terms().window_seconds,
         "s, simulated",
     );
-    report_bounded("book off the truth", max(|result| result.balance_error_bytes), 0.0, "bytes");
-    report_bounded(
+    add_bounded_value("book off the truth", max(|result| result.balance_error_bytes), 0.0, "bytes");
+    add_bounded_value(
         "the liar's counted, of what it carried",
         max(|result| result.counted_ratio),
         1.0,
         "times",
     );
-    report_bounded("cells of counts", max(|result| result.cell_count), 400.0, "");
-    figures.report(
+    add_bounded_value("cells of counts", max(|result| result.cell_count), 400.0, "");
+    experiment_report.add_value(
         format!("{mix}: the liar's disputed, of what it carried"),
         max(|result| result.disputed_ratio),
         "times",
     );
-    figures.report(format!("{mix}: fills of a play"), max(|result| result.fill_count), "");
+    experiment_report.add_value(format!("{mix}: fills of a play"), max(|result| result.fill_count), "");
 }
 
 /// Runs the experiment.
-pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
-    let mut figures = Figures::default();
+pub fn run(options: &RunOptions) -> anyhow::Result<ExperimentReport> {
+    let mut experiment_report = ExperimentReport::default();
     let seconds = if options.quick { 3600.0 } else { 14_400.0 };
     let mut curves = Vec::new();
     for mix in MIXES.into_iter().filter(|mix| options.includes(mix)) {
         let all_rules = RuleResults::simulate_all(mix, options, seconds);
         for rule_results in &all_rules {
             let mut report = |what: &str, value: fn(&SimulationResult) -> f64, unit| {
-                figures.report(
+                experiment_report.add_value(
                     format!("{mix}, {}: {what}", rule_results.rule),
                     rule_results.mean(value),
                     unit,
@@ -110,14 +111,14 @@
                 let ratio = rule_results.mean(|result| result.mean_open_bytes)
                     / other.mean(|result| result.mean_open_bytes);
                 let what = format!("{mix}, {}: open debts, against {}", rule_results.rule, other.rule);
-                figures.report_bounded(what, ratio, MAX_RATIO, "times");
+                experiment_report.add_bounded_value(what, ratio, MAX_RATIO, "times");
             }
             let shortfall = |rule_results: &RuleResults| 1.0 - rule_results.mean(|result| result.jain_index);
             let ratio = shortfall(rule_results) / shortfall(&all_rules[0]);
             let what = format!("{mix}, {}: Jain's index, short of 1, against none", rule_results.rule);
-            figures.report_bounded(what, ratio, MAX_RATIO, "times");
+            experiment_report.add_bounded_value(what, ratio, MAX_RATIO, "times");
         }
-        report_limits(&mut figures, mix, &all_rules);
+        report_limits(&mut experiment_report, mix, &all_rules);
         if mix == "lopsided" {
             let curve = |result: &RuleResults| Curve {
                 name: result.rule.to_string(),
@@ -130,7 +131,7 @@
         let all_rules = RuleResults::simulate_all(FLOOD, options, seconds);
         for rule_results in &all_rules {
             let mut report = |what: &str, value: fn(&SimulationResult) -> f64, unit| {
-                figures.report(
+                experiment_report.add_value(
                     format!("{FLOOD}, {}: {what}", rule_results.rule),
                     rule_results.mean(value),
                     unit,
@@ -145,10 +146,10 @@
             report("served of all", |result| result.served_bytes.iter().sum::<f64>() / 1e6, "MB");
             report("longest without a fill", |result| result.longest_wait_seconds, "s, simulated");
         }
-        report_limits(&mut figures, FLOOD, &all_rules);
+        report_limits(&mut experiment_report, FLOOD, &all_rules);
     }
     if !curves.is_empty() {
-        figures.plot("open-debts", "simulated seconds", "MB", curves);
+        experiment_report.add_plot("open-debts", "simulated seconds", "MB", curves);
     }
-    Ok(figures)
+    Ok(experiment_report)
 }
--- a/crates/dunepond-testkit/src/experiments/shard_map/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/shard_map/mod.rs
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::RunOptions;
-use crate::report::{Curve, Figures};
+use crate::report::{Curve, ExperimentReport};
 use cost::{CHANGED_SEGMENTS, VerificationCost, measure};
 use detection::{inject_into_maps, inject_into_transitions_and_parts};
 use transitions::verify_random_transitions;
@@ -30,73 +30,73 @@
 }
 
 /// Runs the experiment.
-pub fn run(options: &RunOptions) -> anyhow::Result<Figures> {
-    let mut figures = Figures::default();
+pub fn run(options: &RunOptions) -> anyhow::Result<ExperimentReport> {
+    let mut experiment_report = ExperimentReport::default();
     let mut rng = Pcg64Mcg::seed_from_u64(options.seed);
     let rounds = if options.quick { 10 } else { 200 };
-    report_detection(&mut figures, &mut rng, rounds);
-    report_transitions(&mut figures, &mut rng, rounds * 20);
+    report_detection(&mut experiment_report, &mut rng, rounds);
+    report_transitions(&mut experiment_report, &mut rng, rounds * 20);
     let sizes: &[usize] = if options.quick { &[10_000, 100_000] } else { &[10_000, 100_000, 1_000_000] };
     let mut costs = Vec::new();
     for &segments in sizes {
         costs.push(SizedCost { segments, cost: measure(&mut rng, segments, COST_ROUNDS) });
     }
-    report_costs(&mut figures, &costs);
-    Ok(figures)
+    report_costs(&mut experiment_report, &costs);
+    Ok(experiment_report)
 }
 
 /// Reports how many of the injected faults were detected, and the faults that were detected without being injected.
-fn report_detection(figures: &mut Figures, rng: &mut Pcg64Mcg, rounds: usize) {
+fn report_detection(experiment_report: &mut ExperimentReport, rng: &mut Pcg64Mcg, rounds: usize) {
     let in_maps = inject_into_maps(rng, rounds);
     let in_transitions = inject_into_transitions_and_parts(rng, rounds);
     for (what, detection) in [("maps", in_maps), ("moves and scans", in_transitions)] {
         for kind in &detection.missed_kinds {
-            figures.report(format!("{what}: not all named: {kind}"), 1.0, "");
+            experiment_report.add_value(format!("{what}: not all named: {kind}"), 1.0, "");
         }
-        figures.report(format!("{what}: faults planted"), detection.injected as f64, "");
-        figures.report(format!("{what}: named to the letter"), detection.detected as f64, "");
+        experiment_report.add_value(format!("{what}: faults planted"), detection.injected as f64, "");
+        experiment_report.add_value(format!("{what}: named to the letter"), detection.detected as f64, "");
         let missed = (detection.injected - detection.detected) as f64;
-        figures.report_bounded(format!("{what}: planted and not named"), missed, 0.0, "");
+        experiment_report.add_bounded_value(format!("{what}: planted and not named"), missed, 0.0, "");
         let unexpected = detection.unexpected as f64;
-        figures.report_bounded(format!("{what}: named and not planted"), unexpected, 0.0, "");
+        experiment_report.add_bounded_value(format!("{what}: named and not planted"), unexpected, 0.0, "");
     }
 }
 
 /// Reports the verdicts on random valid transitions and the owners of keys in their joint phase.
-fn report_transitions(figures: &mut Figures, rng: &mut Pcg64Mcg, rounds: usize) {
+fn report_transitions(experiment_report: &mut ExperimentReport, rng: &mut Pcg64Mcg, rounds: usize) {
     let counts = verify_random_transitions(rng, rounds);
-    figures.report("moves proved", counts.accepted as f64, "");
-    figures.report("moves refused", counts.rejected as f64, "");
-    figures.report_bounded(
+    experiment_report.add_value("moves proved", counts.accepted as f64, "");
+    experiment_report.add_value("moves refused", counts.rejected as f64, "");
+    experiment_report.add_bounded_value(
         "changes judged otherwise than the whole",
         counts.differing_verdicts as f64,
         0.0,
         "",
     );
-    figures.report("keys looked at in joint steps", counts.keys_checked as f64, "");
-    figures.report("of these without an owner", counts.no_owner as f64, "");
-    figures.report_bounded("of these with two owners", counts.two_owners as f64, 0.0, "");
+    experiment_report.add_value("keys looked at in joint steps", counts.keys_checked as f64, "");
+    experiment_report.add_value("of these without an owner", counts.no_owner as f64, "");
+    experiment_report.add_bounded_value("of these with two owners", counts.two_owners as f64, 0.0, "");
 }
 
 /// Reports the cost of verification at each size, and how it grows with the size.
-fn report_costs(figures: &mut Figures, costs: &[SizedCost]) {
+fn report_costs(experiment_report: &mut ExperimentReport, costs: &[SizedCost]) {
     for SizedCost { segments, cost } in costs {
-        figures.report(format!("{segments} segments: proof"), cost.map, "ns a segment");
-        figures.report(format!("{segments} segments: move"), cost.transition, "ns a segment");
+        experiment_report.add_value(format!("{segments} segments: proof"), cost.map, "ns a segment");
+        experiment_report.add_value(format!("{segments} segments: move"), cost.transition, "ns a segment");
         let name = format!("{segments} segments: change of {CHANGED_SEGMENTS}");
-        figures.report(name, cost.delta, "ns a changed segment");
+        experiment_report.add_value(name, cost.delta, "ns a changed segment");
     }
     if let [smallest, .., largest] = costs {
         let (small, large) = (smallest.cost, largest.cost);
         let growth = large.map / small.map;
-        figures.report_bounded(
+        experiment_report.add_bounded_value(
             "a segment's proof, largest map against smallest",
             growth,
             MAX_GROWTH_RATIO,
             "times",
         );
         let growth = large.delta / small.delta;
-        figures.report_bounded(
+        experiment_report.add_bounded_value(
             "a changed segment, largest map against smallest",
             growth,
             MAX_GROWTH_RATIO,
@@ -104,7 +104,7 @@
         );
         let ratio = large.delta * CHANGED_SEGMENTS as f64 / (large.map * largest.segments as f64);
         let name = "a change against the whole proof, largest map";
-        figures.report_bounded(name, ratio, MAX_DELTA_RATIO, "times");
+        experiment_report.add_bounded_value(name, ratio, MAX_DELTA_RATIO, "times");
     }
     let curve = |name: &str, value: fn(&VerificationCost) -> f64| {
         let point = |sized: &SizedCost| ((sized.segments as f64).log10(), value(&sized.cost) / 1e3);
@@ -115,5 +115,5 @@
         curve("move", |cost| cost.transition),
         curve("change", |cost| cost.delta),
     ];
-    figures.plot("cost", "segments, powers of ten", "µs a segment", curves);
+    experiment_report.add_plot("cost", "segments, powers of ten", "µs a segment", curves);
 }
--- a/crates/dunepond-testkit/src/fleet/clients.rs
+++ b/crates/dunepond-testkit/src/fleet/clients.rs
@@ -30,7 +30,7 @@
                 Some(NodeRun {
                     request_id: request_id.to_string(),
                     segment_id: segment_id.parse().ok()?,
-                    at: monotonic(at),
+                    arrived_at: monotonic(at),
                     node: node.name.clone(),
                 })
             };
@@ -46,9 +46,9 @@
             clock_slack_seconds: CLOCK_SLACK_SECONDS,
             max_query_seconds: self.options.query_timeout_seconds,
             maps: self.maps.clone(),
-            requested: self.requested.lock().unwrap().clone(),
-            runs: self.non_idempotent_runs(),
-            max_debt_bytes: self.known_debt_bytes,
+            requested_segments: self.requested_segments.lock().unwrap().clone(),
+            node_runs: self.non_idempotent_runs(),
+            max_debt_bytes: self.max_debt_bytes,
         };
         self.with_records(|records| audit(records, &truth))
     }
@@ -63,13 +63,13 @@
             &findings[..findings.len().min(5)]
         );
         assert!(
-            self.any_event(|event| matches!(event, AuditEvent::AttemptSent { non_idempotent: true, .. })),
+            self.has_event(|event| matches!(event, AuditEvent::AttemptSent { non_idempotent: true, .. })),
             "expected at least one attempt of a non-idempotent part in the records, got none"
         );
     }
 
     /// Starts one client per broker and query class. Each client sends one query after the other, with a pause in between.
-    pub fn clients(&self, brokers: impl IntoIterator<Item = usize>, pause: Duration) -> Clients {
+    pub fn start_clients(&self, brokers: impl IntoIterator<Item = usize>, pause: Duration) -> Clients {
         let stop = Arc::new(AtomicBool::new(false));
         let mut threads = Vec::new();
         for broker in brokers {
@@ -81,7 +81,7 @@
                     query_class_index,
                     segment_count: self.options.segment_count,
                     timeout_seconds: self.options.query_timeout_seconds,
-                    requested: self.requested.clone(),
+                    requested_segments: self.requested_segments.clone(),
                     connection: None,
                 };
                 let stop = stop.clone();
@@ -98,9 +98,9 @@
     /// Index of the broker that the query was for.
     pub broker: usize,
     /// Index of the query class in [`QUERY_CLASSES`].
-    pub kind: usize,
+    pub query_class_index: usize,
     /// Id of the first segment that the query asked for.
-    pub segment: u64,
+    pub first_segment_id: u64,
     /// Time at which the client began to connect or, on an open connection, to send.
     pub started_at: Instant,
     /// Time from `started_at` until the answer came, the connection ended, or the attempt to connect failed; in seconds.
@@ -114,7 +114,7 @@
 impl QueryOutcome {
     /// Returns whether the query is idempotent, so that its parts may run more than once.
     pub fn is_idempotent(&self) -> bool {
-        QUERY_CLASSES[self.kind] != NON_IDEMPOTENT_CLASS
+        QUERY_CLASSES[self.query_class_index] != NON_IDEMPOTENT_CLASS
     }
 }
 
@@ -130,7 +130,7 @@
     query_class_index: usize,
     segment_count: usize,
     timeout_seconds: f64,
-    requested: Arc<RequestedSegments>,
+    requested_segments: Arc<RequestedSegments>,
     connection: Option<Client>,
 }
 
@@ -153,7 +153,7 @@
         let segments = self.segments_for(number);
         let id = format!("{query_class}-{}-{number}", self.broker_name);
         let requested = segments.iter().map(|segment| *segment as u64).collect();
-        self.requested.lock().unwrap().insert(id.clone(), requested);
+        self.requested_segments.lock().unwrap().insert(id.clone(), requested);
         let started_at = Instant::now();
         let connection = self.connection.take().or_else(|| connect(self.address));
         let sent = connection.is_some();
@@ -164,8 +164,8 @@
         let status = connection.and_then(|connection| self.exchange(connection, &request));
         QueryOutcome {
             broker: self.broker,
-            kind: self.query_class_index,
-            segment: segments[0] as u64,
+            query_class_index: self.query_class_index,
+            first_segment_id: segments[0] as u64,
             started_at,
             latency_seconds: started_at.elapsed().as_secs_f64(),
             status,
@@ -177,7 +177,7 @@
     /// that it closes.
     fn exchange(&mut self, mut connection: Client, request: &str) -> Option<u16> {
         let answer = connection.try_request(request)?;
-        let closes = answer.head.to_ascii_lowercase().contains("connection: close");
+        let closes = answer.header.to_ascii_lowercase().contains("connection: close");
         self.connection = (!closes).then_some(connection);
         Some(answer.status)
     }
@@ -238,17 +238,19 @@
     selected.iter().filter(|outcome| satisfies(outcome)).count() as f64 / selected.len() as f64
 }
 
-/// Returns the fraction of queries that were answered with status 200 within the target latency, in seconds. Non-idempotent
-/// queries to the brokers in `isolated` are left out.
-pub fn served_ratio(outcomes: &[QueryOutcome], target: f64, isolated: &[usize]) -> f64 {
-    let is_selected = |outcome: &QueryOutcome| outcome.is_idempotent() || !isolated.contains(&outcome.broker);
-    let is_served = |outcome: &QueryOutcome| outcome.status == Some(200) && outcome.latency_seconds <= target;
+/// Returns the fraction of queries that were answered with status 200 within the latency objective, in seconds. Non-idempotent
+/// queries to the brokers in `partitioned` are left out.
+pub fn served_ratio(outcomes: &[QueryOutcome], objective_seconds: f64, partitioned: &[usize]) -> f64 {
+    let is_selected =
+        |outcome: &QueryOutcome| outcome.is_idempotent() || !partitioned.contains(&outcome.broker);
+    let is_served =
+        |outcome: &QueryOutcome| outcome.status == Some(200) && outcome.latency_seconds <= objective_seconds;
     outcome_ratio(outcomes, is_selected, is_served)
 }
 
 /// Returns a quantile of the latency, in seconds, of the selected queries that were answered with status 200. `quantile` is
 /// between 0 and 1. Returns NaN if there are no such queries.
-pub fn latency_quantile(
+pub fn latency_quantile_seconds(
     outcomes: &[QueryOutcome],
     is_selected: impl Fn(&QueryOutcome) -> bool,
     quantile: f64,
--- a/crates/dunepond-testkit/src/fleet/mod.rs
+++ b/crates/dunepond-testkit/src/fleet/mod.rs
@@ -5,7 +5,7 @@
 //! a test can apply link faults. The clients return the outcome of each query.
 
 mod clients;
-mod filler;
+mod fill_service;
 mod operator_file;
 mod options;
 mod records;
@@ -26,8 +26,8 @@
 use crate::processes::{BrokerProcess, wait_until};
 use crate::restart_cluster::unix_ms;
 use crate::stand_ins::{DiscoveryServer, Node};
-pub use clients::{Clients, QueryOutcome, latency_quantile, outcome_ratio, served_ratio};
-pub use filler::FillService;
+pub use clients::{Clients, QueryOutcome, latency_quantile_seconds, outcome_ratio, served_ratio};
+pub use fill_service::FillService;
 pub use options::{FleetOptions, RetryBudget};
 use records::RecordReader;
 pub use records::RecordedPhase;
@@ -70,10 +70,10 @@
     /// Discovery server that all brokers watch for the list of nodes.
     pub discovery: DiscoveryServer,
     /// Service that fills replicas at the brokers' request.
-    pub filler: FillService,
+    pub fill_service: FillService,
     /// Upper limit of the first partner's debt to the second, in bytes; `None` if the test knows no limit. The audit checks
     /// settlements against it.
-    pub known_debt_bytes: Option<u64>,
+    pub max_debt_bytes: Option<u64>,
     /// Address at which each broker listens for the other brokers, behind the relays.
     pub peer_addresses: Vec<SocketAddr>,
     /// Folder of the files of all brokers.
@@ -83,7 +83,7 @@
     /// Map of each version that the test has given to a broker or expects from a plan, by the version's number.
     maps: BTreeMap<u64, MapVersion>,
     /// Segments that each request of the fleet's clients asked for, by the request's id.
-    requested: Arc<Mutex<BTreeMap<String, BTreeSet<u64>>>>,
+    requested_segments: Arc<Mutex<BTreeMap<String, BTreeSet<u64>>>>,
 }
 
 /// Returns the name of the broker with this index.
@@ -94,11 +94,11 @@
 impl Fleet {
     /// Starts a fleet and waits until version 1 of the configuration is active at all brokers.
     pub fn start_with_version(options: FleetOptions) -> Self {
-        let all = 0..options.brokers;
+        let all = 0..options.broker_count;
         let mut fleet = Self::start_ready(options);
         let first = fleet.config_version(1, &[], &[]);
         fleet.propose(0, &first);
-        fleet.wait_active(all, 1);
+        fleet.wait_for_active_version(all, 1);
         fleet
     }
 
@@ -116,7 +116,7 @@
     pub fn start_ready(options: FleetOptions) -> Self {
         let fleet = Self::start(options);
         assert!(
-            wait_until(|| fleet.brokers.iter().all(BrokerProcess::ready)),
+            wait_until(|| fleet.brokers.iter().all(BrokerProcess::is_ready)),
             "expected all brokers to be ready before the timeout"
         );
         fleet
@@ -126,11 +126,11 @@
     pub fn last_non_idempotent_node(&self, segment: u64) -> Option<String> {
         let mut runs = self.non_idempotent_runs();
         runs.retain(|run| run.segment_id == segment);
-        runs.into_iter().max_by(|a, b| a.at.total_cmp(&b.at)).map(|run| run.node)
+        runs.into_iter().max_by(|a, b| a.arrived_at.total_cmp(&b.arrived_at)).map(|run| run.node)
     }
 
     /// Has discovery report from now on that the nodes with these indices have just started.
-    pub fn report_restarted(&self, nodes: &[usize]) {
+    pub fn report_nodes_restarted(&self, nodes: &[usize]) {
         let mut endpoints = start::endpoints(&self.nodes, &[]);
         for node in nodes {
             endpoints[*node]["born_ms"] = json!(unix_ms());
@@ -142,9 +142,9 @@
     ///
     /// # Panics
     /// Panics if the fleet has no such node.
-    pub fn report_cold(&self, node: &str) {
+    pub fn report_node_restarted(&self, node: &str) {
         let index = self.nodes.iter().position(|known| known.name == node).expect("a node of the fleet");
-        self.report_restarted(&[index]);
+        self.report_nodes_restarted(&[index]);
     }
 
     /// Has discovery report from now on that exactly the nodes with these names are draining.
@@ -153,7 +153,7 @@
     }
 
     /// Sets the disk fault of this broker's folder. [`crate::faulty_disk`] lists the faults. It has an effect only if
-    /// [`FleetOptions::faulty_disks`] is set.
+    /// [`FleetOptions::disk_faults_enabled`] is set.
     pub fn set_disk_fault(&self, broker: usize, fault: &str) {
         fs::write(self.folder.join(format!("{}.disk", broker_name(broker))), fault).unwrap();
     }
@@ -171,15 +171,15 @@
     ///
     /// # Panics
     /// Panics if the logs do not agree within [`crate::processes::WAIT_TIMEOUT`].
-    pub fn leader(&self) -> usize {
-        self.leader_of(&(0..self.options.brokers).collect::<Vec<_>>())
+    pub fn wait_for_leader(&self) -> usize {
+        self.wait_for_leader_of(&(0..self.options.broker_count).collect::<Vec<_>>())
     }
 
     /// Waits until the logs of these brokers name the same leader and returns the leader's index.
     ///
     /// # Panics
     /// Panics if the logs do not agree within [`crate::processes::WAIT_TIMEOUT`].
-    pub fn leader_of(&self, brokers: &[usize]) -> usize {
+    pub fn wait_for_leader_of(&self, brokers: &[usize]) -> usize {
         let leader_logged_by = |broker: &BrokerProcess| {
             let log = broker.log_text();
             let (_, name) = log.lines().rev().find_map(|line| line.split_once("fleet: led by "))?;
--- a/crates/dunepond-testkit/src/fleet/operator_file.rs
+++ b/crates/dunepond-testkit/src/fleet/operator_file.rs
@@ -42,7 +42,7 @@
             self.broker.address,
             self.own_path("state"),
             options.lease_seconds,
-            options.lease_bound_seconds
+            options.switch_bound_seconds
         )?;
         self.write_peers(text)?;
         writeln!(text, "  key \"{}\"", self.folder.join("key").display())?;
@@ -60,7 +60,7 @@
             SEGMENT_BYTES >> 20
         )?;
         let own_prefix = self.folder.join(&self.broker.name).display().to_string();
-        for line in &options.extra_lines {
+        for line in &options.extra_kdl_lines {
             writeln!(text, "  {}", line.replace("OWN", &own_prefix))?;
         }
         writeln!(text, "  map least-holders=2 least-zones=1 most-changed=1.0\n}}")
@@ -70,7 +70,7 @@
     /// to it.
     fn write_peers(&self, text: &mut String) -> fmt::Result {
         for (index, peer) in self.peers.iter().enumerate() {
-            let kind = if index < self.options.voters { "voter" } else { "peer" };
+            let kind = if index < self.options.voter_count { "voter" } else { "peer" };
             let address = if peer.name == self.broker.name {
                 peer.address
             } else {
@@ -86,7 +86,7 @@
         for (index, partner) in PARTNERS.iter().enumerate() {
             let (zone, tenant) = (ZONES[index], TENANTS[index]);
             write!(text, "  partner \"{partner}\" zones=\"{zone}\" customers=\"{tenant}\"")?;
-            if self.options.metered {
+            if self.options.metering_enabled {
                 write!(text, " metered=\"on\"")?;
             }
             let brokers: Vec<_> =
--- a/crates/dunepond-testkit/src/fleet/options.rs
+++ b/crates/dunepond-testkit/src/fleet/options.rs
@@ -8,17 +8,17 @@
     /// Path of the testkit's own executable, which runs each broker as a subcommand.
     pub program: PathBuf,
     /// Number of voters. The first brokers are the voters.
-    pub voters: usize,
+    pub voter_count: usize,
     /// Number of brokers, voters included.
-    pub brokers: usize,
+    pub broker_count: usize,
     /// Number of nodes.
-    pub nodes: usize,
+    pub node_count: usize,
     /// Number of segments that the key space is divided into.
     pub segment_count: usize,
     /// Duration of a lease, in seconds.
     pub lease_seconds: f64,
     /// Longest time that a change of version waits for the leases on the previous version to end, in seconds.
-    pub lease_bound_seconds: f64,
+    pub switch_bound_seconds: f64,
     /// Query timeout of all query classes, in seconds.
     pub query_timeout_seconds: f64,
     /// Time, in seconds, after which a change is withdrawn if its fills are not complete.
@@ -31,22 +31,22 @@
     /// split the debts between partners in advance so that each can do so on its own.
     pub slow_start_seconds: Option<f64>,
     /// Whether each partner's brokers also count the work of its own nodes.
-    pub metered: bool,
+    pub metering_enabled: bool,
     /// Whether the operator's files configure the control plane. If not, the files are empty.
     pub control_plane_enabled: bool,
     /// Whether brokers write audit records.
     pub audit_enabled: bool,
     /// Additional lines for the `fleet` node of the operator's files. In each line `OWN` is replaced by a path that is unique
     /// to the broker: the fleet's folder followed by the broker's name.
-    pub extra_lines: Vec<String>,
+    pub extra_kdl_lines: Vec<String>,
     /// Number of brokers that the settings state.
-    pub balancers: usize,
+    pub configured_broker_count: usize,
     /// Quota of each tenant, in queries per second.
-    pub tenant_quota: f64,
+    pub tenant_quota_per_second: f64,
     /// Retry budget in the versions of the configuration.
     pub retry_budget: RetryBudget,
     /// Whether the brokers' folders fail as [`super::Fleet::set_disk_fault`] says. Copies of such a folder do not fail.
-    pub faulty_disks: bool,
+    pub disk_faults_enabled: bool,
 }
 
 /// Limit on retries and hedged requests in the versions of the configuration.
@@ -61,28 +61,28 @@
 
 impl FleetOptions {
     /// Returns the options of a small fleet with short timeouts.
-    pub fn new(program: &Path, voters: usize, brokers: usize) -> Self {
+    pub fn new(program: &Path, voter_count: usize, broker_count: usize) -> Self {
         Self {
             program: program.to_path_buf(),
-            voters,
-            brokers,
-            nodes: 6,
+            voter_count,
+            broker_count,
+            node_count: 6,
             segment_count: 6,
             lease_seconds: 1.2,
-            lease_bound_seconds: 3.0,
+            switch_bound_seconds: 3.0,
             query_timeout_seconds: 0.6,
             fill_deadline_seconds: 20.0,
             seed: 1,
             partner_brokers: Default::default(),
             slow_start_seconds: None,
-            metered: false,
+            metering_enabled: false,
             control_plane_enabled: true,
             audit_enabled: true,
-            extra_lines: Vec::new(),
-            balancers: 1,
-            tenant_quota: 1e6,
+            extra_kdl_lines: Vec::new(),
+            configured_broker_count: 1,
+            tenant_quota_per_second: 1e6,
             retry_budget: RetryBudget { ratio: 0.1, min_retries: 20.0 },
-            faulty_disks: false,
+            disk_faults_enabled: false,
         }
     }
 }
--- a/crates/dunepond-testkit/src/fleet/records.rs
+++ b/crates/dunepond-testkit/src/fleet/records.rs
@@ -85,10 +85,10 @@
     }
 
     /// Returns the phase that this broker recorded last, if any.
-    pub fn phase(&self, broker: usize) -> Option<RecordedPhase> {
+    pub fn last_phase(&self, broker: usize) -> Option<RecordedPhase> {
         let name = broker_name(broker);
         self.with_records(|records| {
-            let own_records = records.lines.iter().rev().filter(|record| record.broker == name);
+            let own_records = records.entries.iter().rev().filter(|record| record.broker == name);
             own_records.map(|record| &record.event).find_map(phase_of)
         })
     }
@@ -97,15 +97,15 @@
     ///
     /// # Panics
     /// Panics if it is not within [`crate::processes::WAIT_TIMEOUT`].
-    pub fn wait_active(&self, brokers: impl IntoIterator<Item = usize> + Clone, number: u64) {
+    pub fn wait_for_active_version(&self, brokers: impl IntoIterator<Item = usize> + Clone, number: u64) {
         let is_active = |broker| {
-            let recorded = self.phase(broker);
+            let recorded = self.last_phase(broker);
             recorded.is_some_and(|recorded| {
                 recorded.phase == AuditPhase::Active && recorded.last_version == number
             })
         };
         let active = wait_until(|| brokers.clone().into_iter().all(is_active));
-        let phases: Vec<_> = brokers.into_iter().map(|i| (broker_name(i), self.phase(i))).collect();
+        let phases: Vec<_> = brokers.into_iter().map(|i| (broker_name(i), self.last_phase(i))).collect();
         assert!(
             active,
             "expected version {number} to be active at all brokers before the timeout, got {phases:?}"
@@ -117,18 +117,18 @@
     /// # Panics
     /// Panics if it is not within [`crate::processes::WAIT_TIMEOUT`].
     pub fn wait_for_phase(&self, broker: usize, phase: AuditPhase) {
-        let reached = wait_until(|| self.phase(broker).is_some_and(|recorded| recorded.phase == phase));
+        let reached = wait_until(|| self.last_phase(broker).is_some_and(|recorded| recorded.phase == phase));
         assert!(
             reached,
             "expected {} to be in phase {phase:?} before the timeout, got {:?}",
             broker_name(broker),
-            self.phase(broker)
+            self.last_phase(broker)
         );
     }
 
     /// Returns whether any broker recorded an event that matches.
-    pub fn any_event(&self, matches: impl Fn(&AuditEvent) -> bool) -> bool {
-        self.with_records(|records| records.lines.iter().any(|record| matches(&record.event)))
+    pub fn has_event(&self, matches: impl Fn(&AuditEvent) -> bool) -> bool {
+        self.with_records(|records| records.entries.iter().any(|record| matches(&record.event)))
     }
 
     /// Prints the records of all brokers, except those of single queries. Consecutive records of the same phase, which a broker
@@ -136,7 +136,7 @@
     pub(super) fn print_records(&self) {
         self.with_records(|records| {
             let mut last_phases = BTreeMap::new();
-            for AuditRecord { at, broker, incarnation, event } in &records.lines {
+            for AuditRecord { at, broker, incarnation, event } in &records.entries {
                 let skipped = match event {
                     AuditEvent::AttemptSent { .. }
                     | AuditEvent::Answer { .. }
--- a/crates/dunepond-testkit/src/fleet/start.rs
+++ b/crates/dunepond-testkit/src/fleet/start.rs
@@ -24,15 +24,15 @@
         let folder = stand_ins::scratch_path("fleet");
         fs::create_dir(&folder).unwrap();
         fs::write(folder.join("key"), SHARED_KEY).unwrap();
-        let nodes: Vec<_> = (0..options.nodes).map(|i| Node::start(&format!("s-{i}"))).collect();
+        let nodes: Vec<_> = (0..options.node_count).map(|i| Node::start(&format!("s-{i}"))).collect();
         let endpoints = endpoints(&nodes, &[]);
         let discovery = DiscoveryServer::start(endpoints.clone());
-        let peers: Vec<_> = (0..options.brokers)
+        let peers: Vec<_> = (0..options.broker_count)
             .map(|i| Peer { name: broker_name(i), address: unique_loopback_address() })
             .collect();
         let addresses: Vec<_> = peers.iter().map(|peer| (peer.name.clone(), peer.address)).collect();
         let links = Links::between(&addresses, options.seed).unwrap();
-        let filler = FillService::start();
+        let fill_service = FillService::start();
         let mut config = stand_ins::config(discovery.address, endpoints);
         config["settings"] = settings(&options);
         let prepare_broker = |broker: &Peer| {
@@ -42,7 +42,7 @@
                 broker,
                 peers,
                 links: &links,
-                fill_service: filler.address,
+                fill_service: fill_service.address,
                 folder: &folder,
             };
             prepare_broker(&file, config.clone())
@@ -53,13 +53,13 @@
             brokers,
             nodes,
             discovery,
-            filler,
-            known_debt_bytes: None,
+            fill_service,
+            max_debt_bytes: None,
             peer_addresses: peers.iter().map(|peer| peer.address).collect(),
-            record_reader: Mutex::new(RecordReader::new(&folder, options.brokers)),
+            record_reader: Mutex::new(RecordReader::new(&folder, options.broker_count)),
             folder,
             maps: BTreeMap::new(),
-            requested: Arc::default(),
+            requested_segments: Arc::default(),
             options,
         }
     }
@@ -80,7 +80,7 @@
     let (operator_file, disk) = (to_text(&operator_file), to_text(&file.folder.join("disk")));
     let mut arguments = vec!["broker", "--operator", &operator_file, "--disk", &disk];
     let disk_faults_file = to_text(&own_path("disk"));
-    if file.options.faulty_disks {
+    if file.options.disk_faults_enabled {
         arguments.extend(["--fleet-disk", &disk_faults_file]);
     }
     BrokerProcess::new(&file.options.program, name, address, &own_path("state"))
@@ -112,8 +112,8 @@
     });
     settings["services"] = json!(query_classes);
     settings["projects"] =
-        json!(TENANTS.map(|name| json!({"name": name, "quotaPerS": options.tenant_quota})));
-    settings["balancers"] = json!(options.balancers);
+        json!(TENANTS.map(|name| json!({"name": name, "quotaPerS": options.tenant_quota_per_second})));
+    settings["balancers"] = json!(options.configured_broker_count);
     let replica_group = &mut settings["familyInfo"];
     (replica_group["slabs"], replica_group["secondStep"]) = (json!(options.segment_count), json!([0, 0, 0]));
     (replica_group["leastShare"], replica_group["wholeAt"]) =
--- a/crates/dunepond-testkit/src/fleet/versions.rs
+++ b/crates/dunepond-testkit/src/fleet/versions.rs
@@ -49,7 +49,7 @@
 
     /// Writes a version to the file that a broker reads versions from, without having the broker read it. Also remembers the
     /// version's map for the audit.
-    pub fn place_version(&mut self, broker: usize, version: &Value) {
+    pub fn write_version(&mut self, broker: usize, version: &Value) {
         let number = version["number"].as_u64().unwrap();
         let epoch = version["map"]["epoch"].as_u64().unwrap_or(0);
         let segments = version["map"]["segments"].as_array().into_iter().flatten();
@@ -61,12 +61,12 @@
 
     /// Writes a version to the broker's version file and has the broker propose it.
     pub fn propose(&mut self, broker: usize, version: &Value) {
-        self.place_version(broker, version);
+        self.write_version(broker, version);
         self.brokers[broker].reload_config();
     }
 
     /// Writes a plan to the broker's plan file and has the broker propose it. Needs the line `moves "OWN.plan"` in
-    /// [`super::FleetOptions::extra_lines`].
+    /// [`super::FleetOptions::extra_kdl_lines`].
     pub fn propose_plan(&self, broker: usize, plan: &Value) {
         self.write_file(broker, "plan", plan);
         self.brokers[broker].reload_config();
--- a/crates/dunepond-testkit/src/frames.rs
+++ b/crates/dunepond-testkit/src/frames.rs
@@ -1,5 +1,5 @@
 //! The frame protocol between broker and nodes, as stand-in nodes read and write it. A frame has four bytes of length,
-//! one letter for its type, and its content.
+//! one byte for its type, and its content.
 
 use std::io::{self, Read};
 
@@ -14,19 +14,19 @@
 /// Type of a frame with the answer to a prefilter probe.
 pub const PROBE_ANSWER: u8 = b'Q';
 
-/// Encodes a frame of the type `letter`.
-pub fn encode(letter: u8, text: &str) -> Vec<u8> {
+/// Encodes a frame of this type; `text` is its content.
+pub fn encode(frame_type: u8, text: &str) -> Vec<u8> {
     let mut frame = (text.len() as u32 + 1).to_be_bytes().to_vec();
-    frame.push(letter);
+    frame.push(frame_type);
     frame.extend_from_slice(text.as_bytes());
     frame
 }
 
 /// A received frame.
 pub struct Frame {
-    /// Letter for the type of the frame.
-    pub letter: u8,
-    /// Content of the frame, without the letter.
+    /// Type of the frame, such as [`PART`].
+    pub frame_type: u8,
+    /// Content of the frame, without the byte of its type.
     pub content: Vec<u8>,
 }
 
@@ -46,6 +46,6 @@
     stream.read_exact(&mut length)?;
     let mut content = vec![0; u32::from_be_bytes(length) as usize];
     stream.read_exact(&mut content)?;
-    let letter = content.remove(0);
-    Ok(Frame { letter, content })
+    let frame_type = content.remove(0);
+    Ok(Frame { frame_type, content })
 }
--- a/crates/dunepond-testkit/src/links/mod.rs
+++ b/crates/dunepond-testkit/src/links/mod.rs
@@ -35,7 +35,7 @@
     /// Limit of the throughput, in bytes per second; `None` if there is no limit.
     pub bytes_per_second: Option<f64>,
     /// Whether the link is cut: datagrams are lost, and streams are stalled until the link is no longer cut.
-    pub cut: bool,
+    pub partitioned: bool,
     /// Whether all data is discarded, although the relay accepts connections. Meanwhile, it opens no new ones to the
     /// target.
     pub half_open: bool,
@@ -49,11 +49,11 @@
     reorder_ratio: 0.0,
     duplicate_ratio: 0.0,
     bytes_per_second: None,
-    cut: false,
+    partitioned: false,
     half_open: false,
 };
 /// Conditions of a link that is cut.
-pub const CUT: LinkConditions = LinkConditions { cut: true, ..HEALTHY };
+pub const PARTITIONED: LinkConditions = LinkConditions { partitioned: true, ..HEALTHY };
 /// Delay of a retransmission: the shortest one that operating systems use.
 const RETRANSMIT_DELAY_SECONDS: f64 = 0.2;
 /// Additional delay of a reordered datagram.
@@ -65,7 +65,7 @@
     /// Number of resets so far; each change breaks all open connections.
     resets: watch::Sender<u64>,
     /// Number of delivered chunks and datagrams.
-    delivered: AtomicU64,
+    delivered_count: AtomicU64,
     recording: recording::Recording,
 }
 
@@ -112,7 +112,7 @@
             Arc::new(Direction {
                 conditions,
                 resets,
-                delivered: AtomicU64::new(0),
+                delivered_count: AtomicU64::new(0),
                 recording: Default::default(),
             })
         };
@@ -145,22 +145,22 @@
     }
 
     /// Sets the conditions of the link from `from` to `to`.
-    pub fn set(&self, from: &str, to: &str, conditions: &LinkConditions) {
+    pub fn set_conditions(&self, from: &str, to: &str, conditions: &LinkConditions) {
         self.directions[&(from.to_string(), to.to_string())].conditions.send_replace(conditions.clone());
     }
 
     /// Sets the conditions of all links.
-    pub fn set_all(&self, conditions: &LinkConditions) {
+    pub fn set_all_conditions(&self, conditions: &LinkConditions) {
         for direction in self.directions.values() {
             direction.conditions.send_replace(conditions.clone());
         }
     }
 
     /// Sets the conditions of all links to or from one of these processes.
-    pub fn set_around(&self, names: &[&str], conditions: &LinkConditions) {
+    pub fn set_conditions_around(&self, names: &[&str], conditions: &LinkConditions) {
         for (from, to) in self.directions.keys() {
             if names.contains(&from.as_str()) || names.contains(&to.as_str()) {
-                self.set(from, to, conditions);
+                self.set_conditions(from, to, conditions);
             }
         }
     }
@@ -171,12 +171,12 @@
         let group_of = |name: &str| groups.iter().position(|group| group.contains(&name));
         for (from, to) in self.directions.keys() {
             let same_group = group_of(from).is_some() && group_of(from) == group_of(to);
-            self.set(from, to, if same_group { &HEALTHY } else { &CUT });
+            self.set_conditions(from, to, if same_group { &HEALTHY } else { &PARTITIONED });
         }
     }
 
     /// Resets all connections between the two processes.
-    pub fn reset(&self, a: &str, b: &str) {
+    pub fn reset_connections(&self, a: &str, b: &str) {
         for (from, to) in [(a, b), (b, a)] {
             self.directions[&(from.to_string(), to.to_string())].resets.send_modify(|count| *count += 1);
         }
@@ -184,9 +184,9 @@
 
     /// Starts to record the data from `from` to `to`. Resets their connections, so that streams are recorded from their
     /// beginning.
-    pub fn record(&self, from: &str, to: &str) {
+    pub fn start_recording(&self, from: &str, to: &str) {
         self.directions[&(from.to_string(), to.to_string())].recording.start();
-        self.reset(from, to);
+        self.reset_connections(from, to);
     }
 
     /// Stops the recording and delivers the recorded data to `to` again. Returns the numbers of streams and datagrams.
@@ -200,13 +200,13 @@
     }
 
     /// Returns the number of stream chunks and datagrams that were delivered from `from` to `to`.
-    pub fn delivered(&self, from: &str, to: &str) -> u64 {
-        self.directions[&(from.to_string(), to.to_string())].delivered.load(Ordering::Relaxed)
+    pub fn delivered_count(&self, from: &str, to: &str) -> u64 {
+        self.directions[&(from.to_string(), to.to_string())].delivered_count.load(Ordering::Relaxed)
     }
 
     /// Returns the number of stream chunks and datagrams that were delivered on all links.
-    pub fn total_delivered(&self) -> u64 {
-        self.directions.values().map(|direction| direction.delivered.load(Ordering::Relaxed)).sum()
+    pub fn total_delivered_count(&self) -> u64 {
+        self.directions.values().map(|direction| direction.delivered_count.load(Ordering::Relaxed)).sum()
     }
 
     /// Returns the names of the processes.
--- a/crates/dunepond-testkit/src/links/tcp.rs
+++ b/crates/dunepond-testkit/src/links/tcp.rs
@@ -36,8 +36,8 @@
     let mut backward_resets = relay.backward.resets.subscribe();
     // Connects to the target only once neither direction is cut any more.
     let connect = async {
-        wait_until_clear(&relay.forward, |conditions| conditions.cut || conditions.half_open).await;
-        wait_until_clear(&relay.backward, |conditions| conditions.cut).await;
+        wait_until_clear(&relay.forward, |conditions| conditions.partitioned || conditions.half_open).await;
+        wait_until_clear(&relay.backward, |conditions| conditions.partitioned).await;
         TcpStream::connect(relay.target).await
     };
     let far = tokio::select! {
@@ -138,12 +138,12 @@
 ) -> io::Result<()> {
     while let Some((due, bytes)) = chunks.recv().await {
         sleep_until(due).await;
-        wait_until_clear(direction, |conditions| conditions.cut).await;
+        wait_until_clear(direction, |conditions| conditions.partitioned).await;
         if bytes.is_empty() {
             return to.shutdown().await;
         }
         to.write_all(&bytes).await?;
-        direction.delivered.fetch_add(1, Ordering::Relaxed);
+        direction.delivered_count.fetch_add(1, Ordering::Relaxed);
     }
     Ok(())
 }
--- a/crates/dunepond-testkit/src/links/udp.rs
+++ b/crates/dunepond-testkit/src/links/udp.rs
@@ -63,7 +63,8 @@
     ) {
         let conditions = direction.conditions.borrow().clone();
         direction.recording.record_datagram(bytes);
-        if conditions.cut || conditions.half_open || self.rng.random::<f64>() < conditions.loss_ratio {
+        if conditions.partitioned || conditions.half_open || self.rng.random::<f64>() < conditions.loss_ratio
+        {
             return;
         }
         let now = Instant::now();
@@ -83,21 +84,21 @@
                     Some(to) => socket.send_to(bytes, to).await,
                     None => socket.send(bytes).await,
                 };
-                direction.delivered.fetch_add(u64::from(sent.is_ok()), Ordering::Relaxed);
+                direction.delivered_count.fetch_add(u64::from(sent.is_ok()), Ordering::Relaxed);
                 continue;
             }
             let (direction, socket, bytes) = (direction.clone(), socket.clone(), bytes.to_vec());
             tokio::spawn(async move {
                 sleep_until(due).await;
                 // Datagrams in flight when the link is cut are lost.
-                if direction.conditions.borrow().cut {
+                if direction.conditions.borrow().partitioned {
                     return;
                 }
                 let sent = match to {
                     Some(to) => socket.send_to(&bytes, to).await,
                     None => socket.send(&bytes).await,
                 };
-                direction.delivered.fetch_add(u64::from(sent.is_ok()), Ordering::Relaxed);
+                direction.delivered_count.fetch_add(u64::from(sent.is_ok()), Ordering::Relaxed);
             });
         }
     }
--- a/crates/dunepond-testkit/src/load.rs
+++ b/crates/dunepond-testkit/src/load.rs
@@ -12,7 +12,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::report::Curve;
-use crate::stand_ins::{Answer, Client, query_request};
+use crate::stand_ins::{Client, Response, query_request};
 
 /// Number of clients that send the requests. A client has one request in flight at a time, so that this must exceed the
 /// largest number of requests in flight.
@@ -23,9 +23,9 @@
 const LATENCY_DIGITS: u8 = 3;
 
 /// A workload of queries with Poisson arrivals at a fixed mean rate.
-pub struct Load {
-    /// Address of the broker.
-    pub to: SocketAddr,
+pub struct Workload {
+    /// Address at which the broker takes the requests.
+    pub broker_address: SocketAddr,
     /// Mean arrival rate, in requests per second.
     pub requests_per_second: f64,
     /// Time over which requests arrive, in seconds.
@@ -77,7 +77,7 @@
 
 /// State that the clients of a workload share.
 struct SharedWorkload<R, A> {
-    to: SocketAddr,
+    broker_address: SocketAddr,
     /// When each request is due, by its number.
     arrivals: Vec<Instant>,
     /// Number of the next request that a client sends.
@@ -87,10 +87,10 @@
     report: Mutex<LoadReport>,
 }
 
-impl<R: Fn(usize) -> String, A: Fn(usize, Instant, Option<&Answer>)> SharedWorkload<R, A> {
+impl<R: Fn(usize) -> String, A: Fn(usize, Instant, Option<&Response>)> SharedWorkload<R, A> {
     /// Sends requests, each when it is due, until none is left. Connects again after a request without an answer.
     fn run_client(&self) {
-        let mut client = Client::connect_to(self.to);
+        let mut client = Client::connect_to(self.broker_address);
         loop {
             let number = self.next_number.fetch_add(1, Ordering::Relaxed);
             let Some(&due) = self.arrivals.get(number) else { return };
@@ -101,14 +101,14 @@
             (self.on_answer)(number, sent_at, answer.as_ref());
             let status = answer.map(|answer| answer.status);
             if status.is_none() {
-                client = Client::connect_to(self.to);
+                client = Client::connect_to(self.broker_address);
             }
             self.report.lock().unwrap().record(due, status);
         }
     }
 }
 
-impl Load {
+impl Workload {
     /// Runs the workload with small queries and returns its results.
     pub fn run(&self) -> LoadReport {
         let prefix = self.id_prefix;
@@ -122,12 +122,12 @@
     pub fn run_with(
         &self,
         build_request: impl Fn(usize) -> String + Send + Sync + 'static,
-        on_answer: impl Fn(usize, Instant, Option<&Answer>) + Send + Sync + 'static,
+        on_answer: impl Fn(usize, Instant, Option<&Response>) + Send + Sync + 'static,
     ) -> LoadReport {
         let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, LATENCY_DIGITS);
         let latencies = latencies.expect("the bounds of the histogram are valid");
         let workload = Arc::new(SharedWorkload {
-            to: self.to,
+            broker_address: self.broker_address,
             arrivals: self.draw_arrivals(),
             next_number: AtomicUsize::new(0),
             build_request,
--- a/crates/dunepond-testkit/src/main.rs
+++ b/crates/dunepond-testkit/src/main.rs
@@ -122,7 +122,7 @@
                 format!("experiment '{name}' does not exist; `list` shows all experiments")
             })?;
             let program = std::env::current_exe()?;
-            let figures = (experiment.run)(&RunOptions {
+            let experiment_report = (experiment.run)(&RunOptions {
                 program,
                 quick,
                 seed,
@@ -130,7 +130,7 @@
                 broker_count: brokers,
                 seed_count,
             })?;
-            if !figures.finish(experiment.name, out.as_deref())? {
+            if !experiment_report.print_and_write(experiment.name, out.as_deref())? {
                 return Ok(ExitCode::FAILURE);
             }
         }
--- a/crates/dunepond-testkit/src/memory_store.rs
+++ b/crates/dunepond-testkit/src/memory_store.rs
@@ -12,13 +12,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultPlan {
     /// No fault is injected.
-    Serve,
+    NoFault,
     /// The process stops during the call with this number, which may have taken effect partly. All later calls fail.
-    StopAt(usize),
+    StopAtCall(usize),
     /// The call with this number fails with `EIO`; no other call fails.
-    FailAt(usize),
+    FailCall(usize),
     /// The disk is full: creating files and writing fails with `ENOSPC`.
-    Full,
+    DiskFull,
 }
 
 /// The content of a file.
@@ -34,7 +34,7 @@
 struct State {
     plan: FaultPlan,
     /// Number of calls since the plan was set.
-    calls: usize,
+    call_count: usize,
     /// Whether the process has stopped, so that all calls fail.
     stopped: bool,
     inodes: Vec<Inode>,
@@ -56,8 +56,8 @@
 impl Default for MemoryStore {
     fn default() -> Self {
         Self(Arc::new(Mutex::new(State {
-            plan: FaultPlan::Serve,
-            calls: 0,
+            plan: FaultPlan::NoFault,
+            call_count: 0,
             stopped: false,
             inodes: Vec::new(),
             current_names: BTreeMap::new(),
@@ -80,14 +80,16 @@
         if self.stopped {
             return Err(io::Error::other("the process has stopped"));
         }
-        self.calls += 1;
+        self.call_count += 1;
         match self.plan {
-            FaultPlan::StopAt(call) if call == self.calls => {
+            FaultPlan::StopAtCall(call) if call == self.call_count => {
                 self.stopped = true;
                 Ok(true)
             }
-            FaultPlan::FailAt(call) if call == self.calls => Err(io::Error::from_raw_os_error(libc::EIO)),
-            FaultPlan::Full if writes => Err(io::Error::from_raw_os_error(libc::ENOSPC)),
+            FaultPlan::FailCall(call) if call == self.call_count => {
+                Err(io::Error::from_raw_os_error(libc::EIO))
+            }
+            FaultPlan::DiskFull if writes => Err(io::Error::from_raw_os_error(libc::ENOSPC)),
             _ => Ok(false),
         }
     }
@@ -110,12 +112,12 @@
     /// Sets the faults to inject, and restarts the count of calls.
     pub fn set_plan(&self, plan: FaultPlan) {
         let mut state = self.0.lock().unwrap();
-        (state.plan, state.calls) = (plan, 0);
+        (state.plan, state.call_count) = (plan, 0);
     }
 
     /// Returns the number of calls since the plan was set.
-    pub fn calls(&self) -> usize {
-        self.0.lock().unwrap().calls
+    pub fn call_count(&self) -> usize {
+        self.0.lock().unwrap().call_count
     }
 
     /// Returns the number of bytes that have been written so far.
@@ -127,7 +129,7 @@
     /// machine loses some of the data that was not synced, as drawn from `seed`. Removes the fault plan.
     pub fn crash(&self, machine_crashed: bool, mut seed: u64) {
         let mut state = self.0.lock().unwrap();
-        (state.stopped, state.plan, state.calls) = (false, FaultPlan::Serve, 0);
+        (state.stopped, state.plan, state.call_count) = (false, FaultPlan::NoFault, 0);
         if !machine_crashed {
             return;
         }
@@ -234,7 +236,7 @@
         let inode = *state.current_names.get(from).ok_or(io::ErrorKind::NotFound)?;
         // A process that stops during a rename has not renamed the file if the call's number is even, and has renamed
         // it otherwise.
-        if stops && state.calls.is_multiple_of(2) {
+        if stops && state.call_count.is_multiple_of(2) {
             return State::stopped_error();
         }
         state.set_name(to, Some(inode));
--- a/crates/dunepond-testkit/src/prefilter_cluster/mod.rs
+++ b/crates/dunepond-testkit/src/prefilter_cluster/mod.rs
@@ -17,7 +17,7 @@
 use crate::stand_ins::{self, DiscoveryServer};
 pub use corpus::{Corpus, term};
 pub use node::{Node, ProbeBehavior};
-pub use query::{SegmentResults, parse_answer, query_request};
+pub use query::{SegmentResults, parse_response, query_request};
 
 /// Number of replica groups, each with one node.
 pub const REPLICA_GROUP_COUNT: usize = 12;
@@ -69,18 +69,18 @@
         std::fs::write(&operator_file, operator_kdl).unwrap();
         let mut command = Command::new(program);
         command.arg("broker").arg("--operator").arg(&operator_file).arg("--disk").arg("/dev/null");
-        let broker = stand_ins::Broker::from_child(stand_ins::launch_command(command, &config));
+        let broker = stand_ins::Broker::wait_until_listening(stand_ins::launch_command(command, &config));
         Self { broker, nodes, corpus, discovery, operator_file }
     }
 
     /// Returns the number of parts that the nodes have searched so far.
-    pub fn searches(&self) -> usize {
-        self.nodes.iter().map(Node::searches).sum()
+    pub fn search_count(&self) -> usize {
+        self.nodes.iter().map(Node::search_count).sum()
     }
 
     /// Returns the number of probes that the nodes have received so far.
-    pub fn probes(&self) -> usize {
-        self.nodes.iter().map(Node::probes).sum()
+    pub fn probe_count(&self) -> usize {
+        self.nodes.iter().map(Node::probe_count).sum()
     }
 
     /// Returns the total size of the probes and their answers so far, in bytes.
@@ -89,9 +89,9 @@
     }
 
     /// Returns the number of parts that ran more than once over all nodes.
-    pub fn repeated_parts(&self) -> usize {
+    pub fn repeated_part_count(&self) -> usize {
         let counts = self.nodes.iter().flat_map(|node| node.counters.runs.lock().unwrap().clone());
-        part_runs::repeated(counts).len()
+        part_runs::repeated_part_ids(counts).len()
     }
 
     /// Replaces the operator's file and makes the broker reload it (SIGHUP).
--- a/crates/dunepond-testkit/src/prefilter_cluster/node.rs
+++ b/crates/dunepond-testkit/src/prefilter_cluster/node.rs
@@ -25,7 +25,7 @@
     /// Answers from the bloom filters of its segments' current versions.
     Honest,
     /// Never answers a probe.
-    Stall,
+    Hang,
     /// Answers like [`ProbeBehavior::Honest`] after a delay in milliseconds.
     ReplyAfterMillis(u64),
     /// Reports that no segment can match.
@@ -67,14 +67,14 @@
 #[derive(Clone)]
 pub struct Node {
     /// The node's index in the cluster, which determines its replica group.
-    pub number: usize,
+    pub index: usize,
     address: SocketAddr,
     corpus: Arc<Corpus>,
     behavior: Arc<Mutex<ProbeBehavior>>,
     /// Duration of a search. The lock is held during a search, so that a node runs one at a time.
     search_time: Arc<Mutex<Duration>>,
     /// Whether searches, too, report no match, whatever the segment contains.
-    pub hides_matches: Arc<Mutex<bool>>,
+    pub reports_no_matches: Arc<Mutex<bool>>,
     pub(super) counters: Arc<Counters>,
 }
 
@@ -87,20 +87,15 @@
 
 impl Node {
     /// Starts a node that searches one part at a time and takes `search_time` for each.
-    pub fn start(
-        number: usize,
-        corpus: &Arc<Corpus>,
-        behavior: ProbeBehavior,
-        search_time: Duration,
-    ) -> Self {
+    pub fn start(index: usize, corpus: &Arc<Corpus>, behavior: ProbeBehavior, search_time: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let node = Self {
-            number,
+            index,
             address: listener.local_addr().unwrap(),
             corpus: corpus.clone(),
             behavior: Arc::new(Mutex::new(behavior)),
             search_time: Arc::new(Mutex::new(search_time)),
-            hides_matches: Arc::default(),
+            reports_no_matches: Arc::default(),
             counters: Arc::default(),
         };
         let shared_node = node.clone();
@@ -121,7 +116,7 @@
             let text = frame.text_lossy();
             let Some((line, term)) = text.split_once('\n') else { continue };
             let fields: Vec<_> = line.split(' ').collect();
-            match frame.letter {
+            match frame.frame_type {
                 PART => self.search(&mut stream, fields[0], fields[1].parse().unwrap(), term)?,
                 PROBE => {
                     self.counters.probes.fetch_add(1, Ordering::Relaxed);
@@ -148,7 +143,7 @@
             thread::sleep(*search_time);
         }
         let (version, matches) = self.corpus.search(segment, term);
-        let found = matches && !*self.hides_matches.lock().unwrap();
+        let found = matches && !*self.reports_no_matches.lock().unwrap();
         let value = if found { term } else { "" };
         let text = format!("{id} hit 1 v={version},n={}\n{value}", u8::from(found));
         stream.write_all(&frames::encode(ANSWER, &text))
@@ -164,7 +159,7 @@
     ) -> std::io::Result<ConnectionAction> {
         let behavior = *self.behavior.lock().unwrap();
         match behavior {
-            ProbeBehavior::Stall => return Ok(ConnectionAction::KeepOpen),
+            ProbeBehavior::Hang => return Ok(ConnectionAction::KeepOpen),
             ProbeBehavior::ReplyAfterMillis(delay) => thread::sleep(Duration::from_millis(delay)),
             ProbeBehavior::RejectProbe => {
                 stream.write_all(&frames::encode(PROTOCOL_ERROR, "an unknown letter"))?;
@@ -193,24 +188,24 @@
 
     /// Returns whether the node has a replica of a segment.
     pub fn holds_segment(&self, segment: usize) -> bool {
-        let group = self.number % REPLICA_GROUP_COUNT;
+        let group = self.index % REPLICA_GROUP_COUNT;
         (0..REPLICAS_PER_SEGMENT).any(|replica| (segment + replica) % REPLICA_GROUP_COUNT == group)
     }
 
     /// Returns the number of probes received so far.
-    pub fn probes(&self) -> usize {
+    pub fn probe_count(&self) -> usize {
         self.counters.probes.load(Ordering::Relaxed)
     }
 
     /// Returns the number of parts searched so far.
-    pub fn searches(&self) -> usize {
+    pub fn search_count(&self) -> usize {
         self.counters.searches.load(Ordering::Relaxed)
     }
 
     /// Returns the node's entry in the endpoint list of discovery, with this health.
     pub fn endpoint(&self, health: &str) -> Value {
-        json!({"host": format!("s-{}", self.number), "dial": self.address.to_string(), "site": "a", "class": "m",
-            "block": self.number % REPLICA_GROUP_COUNT, "health": health, "share": 1.0, "born_ms": 0})
+        json!({"host": format!("s-{}", self.index), "dial": self.address.to_string(), "site": "a", "class": "m",
+            "block": self.index % REPLICA_GROUP_COUNT, "health": health, "share": 1.0, "born_ms": 0})
     }
 }
 
--- a/crates/dunepond-testkit/src/prefilter_cluster/query.rs
+++ b/crates/dunepond-testkit/src/prefilter_cluster/query.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 use super::Corpus;
-use crate::stand_ins::Answer;
+use crate::stand_ins::Response;
 
 /// Returns the HTTP request of a query that searches these segments for a term; `budget` is its time budget, in seconds.
 pub fn query_request(query_class: &str, id: &str, segments: &[usize], budget: f64, term: &str) -> String {
@@ -34,7 +34,7 @@
 }
 
 /// Extracts the results for each segment from an answer.
-pub fn parse_answer(answer: &Answer) -> SegmentResults {
+pub fn parse_response(answer: &Response) -> SegmentResults {
     let segment = |entry: &Value| entry["bucket"].as_u64().unwrap_or(u64::MAX) as usize;
     let list = |key: &str| answer.body[key].as_array().cloned().unwrap_or_default();
     let found = list("found");
--- a/crates/dunepond-testkit/src/processes.rs
+++ b/crates/dunepond-testkit/src/processes.rs
@@ -48,7 +48,7 @@
     /// Folder of the broker, which is kept between incarnations.
     pub folder: PathBuf,
     /// Path of the log file, with the output of all incarnations.
-    pub log: PathBuf,
+    pub log_file: PathBuf,
     /// The process of the current incarnation; `None` before the start and after the end.
     child: Option<Child>,
 }
@@ -64,7 +64,7 @@
             environment: Vec::new(),
             address,
             folder: folder.to_path_buf(),
-            log: stand_ins::scratch_path("log"),
+            log_file: stand_ins::scratch_path("log"),
             child: None,
         }
     }
@@ -88,7 +88,7 @@
     pub fn start(&mut self) {
         assert!(self.child.is_none(), "{} is already running", self.name);
         fs::create_dir_all(&self.folder).unwrap();
-        let log = OpenOptions::new().create(true).append(true).open(&self.log).unwrap();
+        let log = OpenOptions::new().create(true).append(true).open(&self.log_file).unwrap();
         let mut command = Command::new(&self.program);
         command.args(&self.arguments).env_clear().envs(self.environment.iter().cloned());
         command.stdin(Stdio::null()).stdout(log.try_clone().unwrap()).stderr(log);
@@ -97,7 +97,7 @@
     }
 
     /// Whether the broker answers a request to `/ready` with status 200.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let request_ready = || -> io::Result<bool> {
             let mut stream = TcpStream::connect_timeout(&self.address, Duration::from_millis(500))?;
             stream.set_read_timeout(Some(Duration::from_millis(500)))?;
@@ -175,7 +175,7 @@
 
     /// Returns the log of all incarnations; empty if it cannot be read.
     pub fn log_text(&self) -> String {
-        fs::read(&self.log).map_or(String::new(), |bytes| String::from_utf8_lossy(&bytes).into_owned())
+        fs::read(&self.log_file).map_or(String::new(), |bytes| String::from_utf8_lossy(&bytes).into_owned())
     }
 
     /// Copies the broker's folder to a scratch folder, for [`BrokerProcess::restore_folder`] or
@@ -267,7 +267,7 @@
                 &text[start..]
             );
         }
-        let _ = fs::remove_file(&self.log);
+        let _ = fs::remove_file(&self.log_file);
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
--- a/crates/dunepond-testkit/src/report.rs
+++ b/crates/dunepond-testkit/src/report.rs
@@ -11,7 +11,7 @@
 const PLOT_SIZE: (u32, u32) = (800, 480);
 
 /// A measured value.
-pub struct Figure {
+pub struct MeasuredValue {
     /// Description of the value.
     pub name: String,
     /// The measured value.
@@ -42,52 +42,52 @@
     pub curves: Vec<Curve>,
 }
 
-/// All measured values and plots of an experiment.
+/// Measured values and plots of one experiment.
 #[derive(Default)]
-pub struct Figures {
+pub struct ExperimentReport {
     /// Measured values, in the order in which they are printed.
-    pub figures: Vec<Figure>,
+    pub values: Vec<MeasuredValue>,
     /// Plots of the experiment.
     pub plots: Vec<Plot>,
 }
 
-impl Figures {
+impl ExperimentReport {
     /// Adds a value without a bound.
-    pub fn report(&mut self, name: impl Into<String>, value: f64, unit: &'static str) {
-        self.figures.push(Figure { name: name.into(), value, upper_bound: None, unit });
+    pub fn add_value(&mut self, name: impl Into<String>, value: f64, unit: &'static str) {
+        self.values.push(MeasuredValue { name: name.into(), value, upper_bound: None, unit });
     }
 
     /// Adds a value with the largest permitted value `upper_bound`.
-    pub fn report_bounded(
+    pub fn add_bounded_value(
         &mut self,
         name: impl Into<String>,
         value: f64,
         upper_bound: f64,
         unit: &'static str,
     ) {
-        self.figures.push(Figure { name: name.into(), value, upper_bound: Some(upper_bound), unit });
+        self.values.push(MeasuredValue { name: name.into(), value, upper_bound: Some(upper_bound), unit });
     }
 
     /// Adds a plot.
-    pub fn plot(&mut self, name: &str, x_axis: &'static str, y_axis: &'static str, curves: Vec<Curve>) {
+    pub fn add_plot(&mut self, name: &str, x_axis: &'static str, y_axis: &'static str, curves: Vec<Curve>) {
         self.plots.push(Plot { name: name.to_string(), x_axis, y_axis, curves });
     }
 
-    /// Prints all values and then the verdict, and writes the JSON file and the plots into the folder `out`, if it is
+    /// Prints all values, and then whether all of them are within their bounds, and writes the JSON file and the plots into the folder `out`, if it is
     /// given. Returns whether all values are within their bounds.
     ///
     /// # Errors
     /// Returns an error if a file cannot be written.
-    pub fn finish(&self, experiment: &str, out: Option<&Path>) -> anyhow::Result<bool> {
+    pub fn print_and_write(&self, experiment: &str, out: Option<&Path>) -> anyhow::Result<bool> {
         println!("{}", self.table());
         if let Some(out) = out {
             self.write_files(experiment, out)?;
         }
         let exceeded: Vec<_> = self
-            .figures
+            .values
             .iter()
-            .filter(|figure| !figure.within_bound())
-            .map(|figure| figure.name.as_str())
+            .filter(|measured| !measured.within_bound())
+            .map(|measured| measured.name.as_str())
             .collect();
         match exceeded.is_empty() {
             true => println!("{experiment}: held"),
@@ -101,15 +101,15 @@
         let mut table = Table::new();
         table.load_preset(comfy_table::presets::UTF8_HORIZONTAL_ONLY);
         table.set_header(["figure", "value", "at most", "", ""]);
-        for figure in &self.figures {
-            let value = format!("{:.3}", figure.value);
-            let bound = figure.upper_bound.map_or(String::new(), |bound| format!("{bound:.3}"));
-            let verdict = match figure.upper_bound {
+        for measured in &self.values {
+            let value = format!("{:.3}", measured.value);
+            let bound = measured.upper_bound.map_or(String::new(), |bound| format!("{bound:.3}"));
+            let verdict = match measured.upper_bound {
                 None => "",
-                Some(_) if figure.within_bound() => "held",
+                Some(_) if measured.within_bound() => "held",
                 Some(_) => "FELL SHORT",
             };
-            table.add_row([&figure.name, &value, &bound, figure.unit, verdict]);
+            table.add_row([&measured.name, &value, &bound, measured.unit, verdict]);
         }
         table
     }
@@ -118,15 +118,15 @@
     fn write_files(&self, experiment: &str, out: &Path) -> anyhow::Result<()> {
         std::fs::create_dir_all(out)
             .with_context(|| format!("cannot create the folder {}", out.display()))?;
-        let figures: Vec<_> = self
-            .figures
+        let values: Vec<_> = self
+            .values
             .iter()
-            .map(|figure| {
-                json!({"name": figure.name, "value": figure.value, "most": figure.upper_bound, "unit": figure.unit,
-                    "held": figure.within_bound()})
+            .map(|measured| {
+                json!({"name": measured.name, "value": measured.value, "most": measured.upper_bound,
+                    "unit": measured.unit, "held": measured.within_bound()})
             })
             .collect();
-        let text = serde_json::to_string_pretty(&json!({"experiment": experiment, "figures": figures}))?;
+        let text = serde_json::to_string_pretty(&json!({"experiment": experiment, "figures": values}))?;
         std::fs::write(out.join(format!("{experiment}.json")), text)?;
         for plot in &self.plots {
             plot.draw(&out.join(format!("{experiment}-{}.svg", plot.name)))?;
@@ -135,7 +135,7 @@
     }
 }
 
-impl Figure {
+impl MeasuredValue {
     fn within_bound(&self) -> bool {
         self.upper_bound.is_none_or(|bound| self.value <= bound)
     }
--- a/crates/dunepond-testkit/src/restart_cluster.rs
+++ b/crates/dunepond-testkit/src/restart_cluster.rs
@@ -30,7 +30,7 @@
     /// The discovery server that lists the nodes.
     pub discovery: DiscoveryServer,
     /// The broker's state folder, which is kept between incarnations.
-    pub folder: PathBuf,
+    pub state_folder: PathBuf,
     /// The file that selects the fault of the state folder's disk; see [`crate::faulty_disk`].
     pub faults_file: PathBuf,
     operator_file: PathBuf,
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct NodeAttempt {
     /// Time at which the node received the attempt.
-    pub at: Instant,
+    pub arrived_at: Instant,
     /// Id of the part.
     pub part_id: String,
     /// Index of the node in the cluster.
@@ -60,14 +60,14 @@
     /// Starts `node_count` nodes and the discovery server, but no broker. `program` is the testkit program, which hosts brokers.
     pub fn new(program: &Path, node_count: usize) -> Self {
         let nodes: Vec<_> = (0..node_count).map(|i| Node::start(&format!("s-{i}"))).collect();
-        let folder = stand_ins::scratch_path("state");
-        std::fs::create_dir(&folder).unwrap();
+        let state_folder = stand_ins::scratch_path("state");
+        std::fs::create_dir(&state_folder).unwrap();
         let mut cluster = Self {
             program: program.to_path_buf(),
             started_at_ms: vec![0; nodes.len()],
             nodes,
             discovery: DiscoveryServer::start(Vec::new()),
-            folder,
+            state_folder,
             faults_file: stand_ins::scratch_path("disk"),
             operator_file: stand_ins::scratch_path("kdl"),
             adjust_config: |_| {},
@@ -90,7 +90,7 @@
 
     /// Publishes a new start time of a node's process, in milliseconds since the Unix epoch, so that the node appears to have
     /// restarted. The stand-in itself keeps running.
-    pub fn restart_node(&mut self, node: usize, started_at_ms: u64) {
+    pub fn publish_node_restart(&mut self, node: usize, started_at_ms: u64) {
         self.started_at_ms[node] = started_at_ms;
         self.discovery.publish(self.endpoints());
     }
@@ -98,7 +98,7 @@
     /// Starts the next incarnation of the broker. `operator_kdl` is the text of the operator's file, in which each `FOLDER` is
     /// replaced by the path of the state folder.
     pub fn start_broker(&self, operator_kdl: &str) -> Broker {
-        let text = operator_kdl.replace("FOLDER", self.folder.to_str().unwrap());
+        let text = operator_kdl.replace("FOLDER", self.state_folder.to_str().unwrap());
         std::fs::write(&self.operator_file, text).unwrap();
         let mut config = stand_ins::config(self.discovery.address, self.endpoints());
         let family = &mut config["settings"]["familyInfo"];
@@ -110,7 +110,7 @@
         (self.adjust_config)(&mut config);
         let mut command = Command::new(&self.program);
         command.arg("broker").arg("--operator").arg(&self.operator_file).arg("--disk").arg(&self.faults_file);
-        let mut broker = Broker::from_child(stand_ins::launch_command(command, &config));
+        let mut broker = Broker::wait_until_listening(stand_ins::launch_command(command, &config));
         broker.suppress_log = true;
         broker
     }
@@ -133,9 +133,9 @@
         let mut attempts = Vec::new();
         for (node, stand_in) in self.nodes.iter().enumerate() {
             let arrivals = stand_in.part_arrivals().into_iter();
-            attempts.extend(arrivals.map(|(at, part_id)| NodeAttempt { at, part_id, node }));
+            attempts.extend(arrivals.map(|(arrived_at, part_id)| NodeAttempt { arrived_at, part_id, node }));
         }
-        attempts.sort_by_key(|attempt| attempt.at);
+        attempts.sort_by_key(|attempt| attempt.arrived_at);
         attempts
     }
 
@@ -156,9 +156,11 @@
             if seen_parts.insert(attempt.part_id) {
                 continue;
             }
-            let at = attempt.at;
-            retries.push(at);
-            let in_window = |time: &&Instant| **time <= at && (at - **time).as_secs_f64() <= window_seconds;
+            let arrived_at = attempt.arrived_at;
+            retries.push(arrived_at);
+            let in_window = |time: &&Instant| {
+                **time <= arrived_at && (arrived_at - **time).as_secs_f64() <= window_seconds
+            };
             let spent = retries.iter().filter(in_window).count() as f64;
             let earned = BUDGET_PER_QUERY * request_times.iter().filter(in_window).count() as f64;
             smallest_margin = smallest_margin.min(min_retries + ratio * earned - spent);
@@ -169,7 +171,7 @@
 
 impl Drop for RestartCluster {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.state_folder);
         let _ = std::fs::remove_file(&self.faults_file);
         let _ = std::fs::remove_file(&self.operator_file);
     }
--- a/crates/dunepond-testkit/src/search_cluster/mod.rs
+++ b/crates/dunepond-testkit/src/search_cluster/mod.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 
 use crate::part_runs;
-use crate::stand_ins::{self, Answer, Broker, Client, DiscoveryServer};
+use crate::stand_ins::{self, Broker, Client, DiscoveryServer, Response};
 pub use documents::{DOCUMENTS_PER_SEGMENT, SEGMENT_COUNT, ranked_documents, score};
 pub use node::{Node, NodeProtocol, SearchNodeBehavior};
 
@@ -94,7 +94,8 @@
             "search listen=\"127.0.0.1:0\" searches=20\nsearch-nodes \"127.0.0.2\"\n{extra_operator_kdl}"
         );
         std::fs::write(&operator_file, operator_kdl).unwrap();
-        let broker = Broker::from_child(stand_ins::launch_command(command(&operator_file), &config));
+        let broker =
+            Broker::wait_until_listening(stand_ins::launch_command(command(&operator_file), &config));
         let api_address = broker
             .startup_log
             .lines()
@@ -104,19 +105,19 @@
     }
 
     /// Sends a request to the search API on a new connection and waits for the answer.
-    pub fn request(&self, method: &str, target: &str, body: &str) -> Answer {
+    pub fn request(&self, method: &str, target: &str, body: &str) -> Response {
         Client::connect_to(self.api_address).request(&http_request(method, target, body))
     }
 
     /// Returns the number of parts that ran more than once over all nodes.
-    pub fn repeated_parts(&self) -> usize {
+    pub fn repeated_part_count(&self) -> usize {
         let counts = self.nodes.iter().flat_map(|node| node.runs.lock().unwrap().clone());
-        part_runs::repeated(counts).len()
+        part_runs::repeated_part_ids(counts).len()
     }
 
     /// Returns the total number of part runs on all nodes; a part that ran twice counts twice.
-    pub fn runs(&self) -> u32 {
-        self.nodes.iter().map(Node::runs).sum()
+    pub fn run_count(&self) -> u32 {
+        self.nodes.iter().map(Node::run_count).sum()
     }
 }
 
--- a/crates/dunepond-testkit/src/search_cluster/node.rs
+++ b/crates/dunepond-testkit/src/search_cluster/node.rs
@@ -27,9 +27,9 @@
     /// Answers parts of even-numbered segments and never those of odd-numbered ones.
     HangOddSegments,
     /// Reports that the part failed.
-    Fault,
+    ReportFailure,
     /// Rejects the part as overloaded, without running it.
-    Refuse,
+    Reject,
     /// Closes the connection after reading the whole part, without an answer.
     Close,
     /// Over the search API, closes the connection in the middle of a response's header; in frames, without an answer.
@@ -72,8 +72,8 @@
 /// What a node does with one part.
 enum PartAction {
     Ignore,
-    Fault,
-    Refuse,
+    ReportFailure,
+    Reject,
     Close,
     CloseInHeader,
     /// Answers with the hits of the search.
@@ -118,14 +118,14 @@
     /// rejected as overloaded.
     fn decide(&self, id: &str, segment: usize) -> (SearchNodeBehavior, PartAction) {
         let behavior = *self.behavior.lock().unwrap();
-        if behavior != SearchNodeBehavior::Refuse {
+        if behavior != SearchNodeBehavior::Reject {
             *self.runs.lock().unwrap().entry(id.to_string()).or_default() += 1;
         }
         let action = match behavior {
             SearchNodeBehavior::Hang => PartAction::Ignore,
             SearchNodeBehavior::HangOddSegments if segment % 2 == 1 => PartAction::Ignore,
-            SearchNodeBehavior::Fault => PartAction::Fault,
-            SearchNodeBehavior::Refuse => PartAction::Refuse,
+            SearchNodeBehavior::ReportFailure => PartAction::ReportFailure,
+            SearchNodeBehavior::Reject => PartAction::Reject,
             SearchNodeBehavior::Close => PartAction::Close,
             SearchNodeBehavior::CloseInHeader => PartAction::CloseInHeader,
             _ => PartAction::Serve,
@@ -138,7 +138,7 @@
         stream.set_nodelay(true)?;
         loop {
             let frame = frames::read(&mut stream)?;
-            if frame.letter != PART {
+            if frame.frame_type != PART {
                 continue;
             }
             let text = frame.text_lossy();
@@ -149,8 +149,8 @@
             let answer = match action {
                 PartAction::Ignore => continue,
                 PartAction::Close | PartAction::CloseInHeader => return Ok(()),
-                PartAction::Fault => format!("{id} fault 0 -\n"),
-                PartAction::Refuse => format!("{id} overload 0 -\n"),
+                PartAction::ReportFailure => format!("{id} fault 0 -\n"),
+                PartAction::Reject => format!("{id} overload 0 -\n"),
                 PartAction::Serve => {
                     format!("{id} hit 1 -\n{}", search_response(segment, request, behavior))
                 }
@@ -170,10 +170,10 @@
                 PartAction::Ignore => {}
                 PartAction::Close => return Ok(()),
                 PartAction::CloseInHeader => return out.write_all(b"HTTP/1.1 200 OK\r\nContent-Le"),
-                PartAction::Fault => {
+                PartAction::ReportFailure => {
                     out.write_all(api_error(500, "search_phase_execution_exception").as_bytes())?;
                 }
-                PartAction::Refuse => {
+                PartAction::Reject => {
                     out.write_all(api_error(429, "rejected_execution_exception").as_bytes())?;
                 }
                 PartAction::Serve => {
@@ -190,7 +190,7 @@
     }
 
     /// Returns the total number of part runs on this node; a part that ran twice counts twice.
-    pub fn runs(&self) -> u32 {
+    pub fn run_count(&self) -> u32 {
         self.runs.lock().unwrap().values().sum()
     }
 
--- a/crates/dunepond-testkit/src/shutdown/client.rs
+++ b/crates/dunepond-testkit/src/shutdown/client.rs
@@ -16,7 +16,7 @@
 /// Maximum number of unanswered requests on the connection of a [`ClientBehavior::Pipelined`] client.
 const MAX_PIPELINED: usize = 3;
 /// Number of segments in the settings of the stand-ins.
-const SEGMENTS: usize = 6;
+const SEGMENT_COUNT: usize = 6;
 /// By the specification of the shutdown test, an answer that comes later than this after the client's timeout counts as lost.
 const ANSWER_GRACE: Duration = Duration::from_millis(500);
 
@@ -85,7 +85,7 @@
     /// When the client closed the connection without having received the answer; `None` if it did not.
     pub disconnected_at: Option<Instant>,
     /// When and how the connection ended before the answer came; `None` if it did not.
-    pub ended: Option<(Instant, ConnectionEnd)>,
+    pub connection_ended: Option<(Instant, ConnectionEnd)>,
 }
 
 /// The broker that a client sends requests to, and the times of its shutdown. All clients of the broker share it.
@@ -146,15 +146,15 @@
 
     /// Removes the first answer from the input and returns its status; `None` if no complete answer is there.
     fn next_answer(&mut self) -> Option<u16> {
-        let head_length = self.input.windows(4).position(|four| four == b"\r\n\r\n")? + 4;
-        let head = String::from_utf8_lossy(&self.input[..head_length]).into_owned();
-        let length = head.split_once("Content-Length: ")?.1.split('\r').next()?.parse::<usize>().ok()?;
-        if self.input.len() < head_length + length {
+        let header_length = self.input.windows(4).position(|four| four == b"\r\n\r\n")? + 4;
+        let header = String::from_utf8_lossy(&self.input[..header_length]).into_owned();
+        let length = header.split_once("Content-Length: ")?.1.split('\r').next()?.parse::<usize>().ok()?;
+        if self.input.len() < header_length + length {
             return None;
         }
-        self.input.drain(..head_length + length);
-        self.close_announced |= head.contains("Connection: close");
-        head.split(' ').nth(1)?.parse().ok()
+        self.input.drain(..header_length + length);
+        self.close_announced |= header.contains("Connection: close");
+        header.split(' ').nth(1)?.parse().ok()
     }
 
     /// Writes bytes and returns whether all of them could be written.
@@ -219,7 +219,7 @@
         }
         if let Some(end) = connection.end {
             for index in connection.pending.drain(..) {
-                self.requests[index].ended = Some((Instant::now(), end));
+                self.requests[index].connection_ended = Some((Instant::now(), end));
             }
             self.connection = None;
         } else if connection.close_announced
@@ -274,8 +274,8 @@
         let idempotent = !self.rng.random_bool(self.endpoint.non_idempotent_ratio);
         let query_class = if idempotent { "find" } else { "fix" };
         let id = format!("{}r{}", self.name, self.requests.len());
-        let segment = self.rng.random_range(0..SEGMENTS);
-        let segments = [segment, (segment + 1) % SEGMENTS];
+        let segment = self.rng.random_range(0..SEGMENT_COUNT);
+        let segments = [segment, (segment + 1) % SEGMENT_COUNT];
         let segments = if idempotent { &segments[..] } else { &segments[..1] };
         let budget = format!("{:.3}", self.endpoint.timeout.as_secs_f64());
         let text = query_request(query_class, &id, segments, &budget);
@@ -297,7 +297,7 @@
                 written_at: Instant::now(),
                 answered: None,
                 disconnected_at: None,
-                ended: None,
+                connection_ended: None,
             });
         }
         let pause = match self.behavior {
--- a/crates/dunepond-testkit/src/shutdown/mod.rs
+++ b/crates/dunepond-testkit/src/shutdown/mod.rs
@@ -5,7 +5,7 @@
 
 mod client;
 mod plan;
-mod verdict;
+mod report;
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpStream};
@@ -26,8 +26,8 @@
 use client::{BrokerEndpoint, Client};
 pub use client::{ClientBehavior, Request};
 pub use plan::{BrokerPlan, Pause, ShutdownPlan};
-pub use verdict::{Attempts, Verdict, ViolatedRequest, Violation};
-use verdict::{BrokerTimeline, RunConditions, StopInterval};
+pub use report::{Attempts, ShutdownReport, ViolatedRequest, Violation};
+use report::{BrokerTimeline, RunConditions, StopInterval};
 
 /// Time for which clients send requests before the first SIGTERM.
 const WARM_UP_TIME: Duration = Duration::from_millis(700);
@@ -38,7 +38,7 @@
 fn config(plan: &ShutdownPlan, discovery: &DiscoveryServer, endpoints: Vec<Value>) -> Value {
     let mut config = stand_ins::config(discovery.address, endpoints);
     config["log"] = json!("info");
-    config["limits"]["sockets"] = json!(plan.sockets);
+    config["limits"]["sockets"] = json!(plan.max_file_descriptors);
     config["settings"]["ceilings"]["mostHeld"] = json!(MAX_IN_FLIGHT);
     stand_ins::set_timeouts(&mut config, 1000.0 * plan.timeout.as_secs_f64());
     config
@@ -111,7 +111,7 @@
 
 /// Starts a broker and waits until it listens. Its log is not printed when it ends.
 fn launch(program: &Path, config: &Value) -> Broker {
-    let mut broker = Broker::from_child(stand_ins::launch_command(Command::new(program), config));
+    let mut broker = Broker::wait_until_listening(stand_ins::launch_command(Command::new(program), config));
     broker.suppress_log = true;
     broker
 }
@@ -119,8 +119,8 @@
 /// Number of runs at the same time. Each has a few brokers and about eighty clients, which mostly wait.
 const MAX_CONCURRENT_RUNS: usize = 3;
 
-/// Draws and runs the plan of each seed, several at the same time. Returns the plans with their verdicts, ordered by seed.
-pub fn run_seeds(program: &Path, seeds: Range<u64>) -> Vec<(ShutdownPlan, Verdict)> {
+/// Draws and runs the plan of each seed, several at the same time. Returns the plans with their reports, ordered by seed.
+pub fn run_seeds(program: &Path, seeds: Range<u64>) -> Vec<(ShutdownPlan, ShutdownReport)> {
     let next_seed = AtomicU64::new(seeds.start);
     let worker = || {
         let seeds = iter::from_fn(|| {
@@ -140,9 +140,9 @@
     results
 }
 
-/// Runs one plan with brokers of this executable and returns the verdict.
-pub fn run_plan(program: &Path, plan: &ShutdownPlan) -> Verdict {
-    let nodes: Vec<_> = (0..plan.nodes).map(|i| Node::start(&format!("s-{i}"))).collect();
+/// Runs one plan with brokers of this executable and returns the report.
+pub fn run_plan(program: &Path, plan: &ShutdownPlan) -> ShutdownReport {
+    let nodes: Vec<_> = (0..plan.node_count).map(|i| Node::start(&format!("s-{i}"))).collect();
     let endpoints: Vec<_> = nodes.iter().map(|node| node.endpoint("ready")).collect();
     let discovery = DiscoveryServer::start(endpoints.clone());
     let config = config(plan, &discovery, endpoints);
@@ -172,18 +172,18 @@
     });
     let requests = clients.into_iter().flat_map(|client| client.join().expect("a client panicked"));
     let requests = requests.collect();
-    let mut verdict = Verdict::default();
+    let mut report = ShutdownReport::default();
     for broker in &mut brokers {
         match broker.exit_code() {
-            None => verdict.killed += 1,
+            None => report.killed_broker_count += 1,
             Some(0) => {}
-            Some(_) => verdict.failed += 1,
+            Some(_) => report.failed_broker_count += 1,
         }
     }
     let conditions =
         RunConditions { brokers: timelines, timeout: plan.timeout, nodes_reject: plan.nodes_reject() };
-    verdict.add_requests(requests, &attempts_at(&nodes), &conditions);
-    verdict
+    report.add_requests(requests, &attempts_at(&nodes), &conditions);
+    report
 }
 
 /// Returns what the clients of the broker with this index share.
@@ -231,7 +231,7 @@
     let after = plan.misbehaving_after_seconds;
     sleep_until(first_signal_at - Duration::from_secs_f64((-after).max(0.0)));
     thread::sleep(Duration::from_secs_f64(after.max(0.0)));
-    for node in nodes.iter().take(plan.misbehaving_nodes) {
+    for node in nodes.iter().take(plan.misbehaving_node_count) {
         node.set_behavior(plan.node_behavior);
     }
     if plan.discovery_stops {
--- a/crates/dunepond-testkit/src/shutdown/plan.rs
+++ b/crates/dunepond-testkit/src/shutdown/plan.rs
@@ -22,9 +22,9 @@
 /// expected to answer what it received.
 const MIN_TIME_AFTER_STALL: Duration = Duration::from_millis(500);
 /// Limit on the file descriptors of a broker that also has many idle connections, so that it runs short of descriptors.
-const FEW_SOCKETS: u64 = 64;
+const FEW_FILE_DESCRIPTORS: u64 = 64;
 /// Limit on the file descriptors of a broker that has no idle connections.
-const MANY_SOCKETS: u64 = 1024;
+const MANY_FILE_DESCRIPTORS: u64 = 1024;
 
 /// A planned interval in which a broker's process is stopped with SIGSTOP.
 #[derive(Clone, Copy, Debug)]
@@ -60,9 +60,9 @@
     /// Query timeout of both query classes.
     pub timeout: Duration,
     /// Number of nodes.
-    pub nodes: usize,
+    pub node_count: usize,
     /// Number of nodes that misbehave. These are the first ones.
-    pub misbehaving_nodes: usize,
+    pub misbehaving_node_count: usize,
     /// Behavior of the misbehaving nodes.
     pub node_behavior: NodeBehavior,
     /// When the nodes begin to misbehave, in seconds after the first SIGTERM to any broker; negative if before it.
@@ -72,7 +72,7 @@
     /// Fraction of the requests that are not idempotent.
     pub non_idempotent_ratio: f64,
     /// Limit on the file descriptors of each broker.
-    pub sockets: u64,
+    pub max_file_descriptors: u64,
     /// Time between the first SIGTERM to one broker and the first SIGTERM to the next.
     pub signal_interval: Duration,
     /// Plan of each broker.
@@ -83,11 +83,11 @@
     /// Draws the plan of a seed. The same seed always gives the same plan.
     pub fn draw(seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let short_of_sockets = rng.random_bool(0.25);
+        let short_of_descriptors = rng.random_bool(0.25);
         let timeout = Duration::from_millis(rng.random_range(300..2_000));
         let brokers = rng.random_range(2..=4);
-        let nodes = rng.random_range(4..=8);
-        let misbehaving_nodes = [nodes / 4, nodes / 2, nodes][rng.random_range(0..3)];
+        let node_count = rng.random_range(4..=8);
+        let misbehaving_node_count = [node_count / 4, node_count / 2, node_count][rng.random_range(0..3)];
         let node_behavior = match rng.random_range(0..10) {
             0..6 => NodeBehavior::Hang,
             6 => NodeBehavior::DelayMillis(timeout.as_millis() as u64 * 4 / 5),
@@ -98,15 +98,21 @@
         Self {
             seed,
             timeout,
-            nodes,
-            misbehaving_nodes,
+            node_count,
+            misbehaving_node_count,
             node_behavior,
             misbehaving_after_seconds: rng.random_range(-0.3..0.9),
             discovery_stops: rng.random_bool(0.2),
             non_idempotent_ratio: rng.random_range(0.2..0.9),
-            sockets: if short_of_sockets { FEW_SOCKETS } else { MANY_SOCKETS },
+            max_file_descriptors: if short_of_descriptors {
+                FEW_FILE_DESCRIPTORS
+            } else {
+                MANY_FILE_DESCRIPTORS
+            },
             signal_interval: Duration::from_millis(rng.random_range(0..600)),
-            brokers: (0..brokers).map(|_| BrokerPlan::draw(&mut rng, timeout, short_of_sockets)).collect(),
+            brokers: (0..brokers)
+                .map(|_| BrokerPlan::draw(&mut rng, timeout, short_of_descriptors))
+                .collect(),
         }
     }
 
@@ -123,8 +129,8 @@
 }
 
 impl BrokerPlan {
-    /// Draws the plan of one broker. If `short_of_sockets` is set, it includes many idle connections.
-    fn draw(rng: &mut Pcg64Mcg, timeout: Duration, short_of_sockets: bool) -> Self {
+    /// Draws the plan of one broker. If `short_of_descriptors` is set, it includes many idle connections.
+    fn draw(rng: &mut Pcg64Mcg, timeout: Duration, short_of_descriptors: bool) -> Self {
         let kill_after = timeout + KILL_AFTER_DEADLINE;
         let time_before_kill = |rng: &mut Pcg64Mcg| kill_after.mul_f64(rng.random_range(0.0..1.0));
         let signals = (0..rng.random_range(0..4)).map(|_| {
@@ -140,7 +146,7 @@
             pauses: Self::draw_pauses(rng, kill_after),
             new_connections_until: Duration::from_millis(rng.random_range(200..400)),
             clients,
-            idle_connections: if short_of_sockets { rng.random_range(40..90) } else { 0 },
+            idle_connections: if short_of_descriptors { rng.random_range(40..90) } else { 0 },
         }
     }
 
--- a/crates/dunepond-testkit/src/shutdown/verdict.rs
+++ b/crates/dunepond-testkit/src/shutdown/report.rs
@@ -31,7 +31,7 @@
     /// The request was forwarded to a node and never answered.
     ForwardedUnanswered,
     /// The request was never forwarded, and was unanswered on an open connection when the process was killed.
-    ReadUnanswered,
+    UnansweredAtKill,
     /// The answer came too long after the client's timeout.
     AnsweredLate,
     /// An attempt began too long after the answer or after the client's timeout.
@@ -50,35 +50,35 @@
     /// The request and its outcome.
     pub request: Request,
     /// When the request's last byte was written, in seconds after the first SIGTERM to its broker.
-    pub written_after: f64,
+    pub written_after_seconds: f64,
     /// When the first attempt arrived at a node, in seconds after the first SIGTERM; `None` if there was no attempt.
-    pub forwarded_after: Option<f64>,
+    pub forwarded_after_seconds: Option<f64>,
     /// When the last attempt arrived at a node, in seconds after the first SIGTERM; `None` if there was no attempt.
-    pub last_attempt_after: Option<f64>,
+    pub last_attempt_after_seconds: Option<f64>,
     /// When the answer came, in seconds after the first SIGTERM; `None` if there was no answer.
-    pub answered_after: Option<f64>,
+    pub answered_after_seconds: Option<f64>,
 }
 
 /// Result of one or several runs: counts of requests and brokers, and the violations.
 #[derive(Clone, Debug, Default)]
-pub struct Verdict {
+pub struct ShutdownReport {
     /// Number of all requests.
-    pub requests: usize,
+    pub request_count: usize,
     /// Number of requests written after the first SIGTERM to their broker.
-    pub after_signal: usize,
+    pub requests_after_signal: usize,
     /// Number of requests written more than 0.7 s after the first SIGTERM to their broker.
-    pub late_after_signal: usize,
+    pub late_requests_after_signal: usize,
     /// Number of answers, by HTTP status.
-    pub answered: BTreeMap<u16, usize>,
+    pub answers_by_status: BTreeMap<u16, usize>,
     /// Number of requests that were never forwarded and whose connection ended before an answer, as the broker's close crossed
     /// the request on the way. A client can safely send such a request to another broker.
-    pub crossed_by_close: usize,
+    pub unforwarded_at_close: usize,
     /// Violations of the rules, each with its request.
     pub violations: Vec<ViolatedRequest>,
     /// Number of brokers that were still running at the kill.
-    pub killed: usize,
+    pub killed_broker_count: usize,
     /// Number of brokers that exited with a code other than 0.
-    pub failed: usize,
+    pub failed_broker_count: usize,
     /// Shortest time from an answer after the first SIGTERM to the kill of its broker; `None` if there was no such answer.
     pub min_time_to_kill: Option<Duration>,
 }
@@ -130,7 +130,7 @@
     }
 }
 
-impl Verdict {
+impl ShutdownReport {
     /// Checks requests against the rules, and adds them and their violations to this result.
     pub fn add_requests(&mut self, requests: Vec<Request>, attempts: &Attempts, conditions: &RunConditions) {
         for request in requests {
@@ -144,27 +144,27 @@
                 let after = |at: Instant| seconds_after(at, timeline.signalled_at);
                 self.violations.push(ViolatedRequest {
                     violation,
-                    written_after: after(request.written_at),
-                    forwarded_after: first.map(after),
-                    last_attempt_after: last.map(after),
-                    answered_after: request.answered.map(|(at, _)| after(at)),
+                    written_after_seconds: after(request.written_at),
+                    forwarded_after_seconds: first.map(after),
+                    last_attempt_after_seconds: last.map(after),
+                    answered_after_seconds: request.answered.map(|(at, _)| after(at)),
                     request: request.clone(),
                 });
             }
-            if request.answered.is_none() && request.ended.is_some() && first.is_none() {
-                self.crossed_by_close += 1;
+            if request.answered.is_none() && request.connection_ended.is_some() && first.is_none() {
+                self.unforwarded_at_close += 1;
             }
         }
     }
 
     /// Adds a request and its answer to the counts.
     fn count(&mut self, request: &Request, timeline: &BrokerTimeline) {
-        self.requests += 1;
+        self.request_count += 1;
         let after = seconds_after(request.written_at, timeline.signalled_at);
-        self.after_signal += usize::from(after > 0.0);
-        self.late_after_signal += usize::from(after > 0.7);
+        self.requests_after_signal += usize::from(after > 0.0);
+        self.late_requests_after_signal += usize::from(after > 0.7);
         let Some((at, status)) = request.answered else { return };
-        *self.answered.entry(status).or_default() += 1;
+        *self.answers_by_status.entry(status).or_default() += 1;
         if at > timeline.signalled_at {
             let time_to_kill = timeline.killed_at.saturating_duration_since(at);
             self.min_time_to_kill =
@@ -174,16 +174,16 @@
 
     /// Adds the counts and violations of another run.
     pub fn merge(&mut self, other: Self) {
-        self.requests += other.requests;
-        self.after_signal += other.after_signal;
-        self.late_after_signal += other.late_after_signal;
-        self.crossed_by_close += other.crossed_by_close;
-        self.killed += other.killed;
-        self.failed += other.failed;
+        self.request_count += other.request_count;
+        self.requests_after_signal += other.requests_after_signal;
+        self.late_requests_after_signal += other.late_requests_after_signal;
+        self.unforwarded_at_close += other.unforwarded_at_close;
+        self.killed_broker_count += other.killed_broker_count;
+        self.failed_broker_count += other.failed_broker_count;
         self.violations.extend(other.violations);
         self.min_time_to_kill = self.min_time_to_kill.into_iter().chain(other.min_time_to_kill).min();
-        for (status, count) in other.answered {
-            *self.answered.entry(status).or_default() += count;
+        for (status, count) in other.answers_by_status {
+            *self.answers_by_status.entry(status).or_default() += count;
         }
     }
 
@@ -212,10 +212,10 @@
         }
         // A connection that ended at the kill or later was open until the kill.
         (None, None)
-            if request.ended.is_none_or(|(at, _)| at >= timeline.killed_at)
+            if request.connection_ended.is_none_or(|(at, _)| at >= timeline.killed_at)
                 && request.written_at < timeline.killed_at =>
         {
-            violations.insert(Violation::ReadUnanswered);
+            violations.insert(Violation::UnansweredAtKill);
         }
         (None, None) => {}
     }
--- a/crates/dunepond-testkit/src/shutdown/verdict/tests/mod.rs
+++ b/crates/dunepond-testkit/src/shutdown/report/tests/mod.rs
@@ -33,7 +33,7 @@
         written_at: written,
         answered: (!disconnects).then_some((stop.until + ms(1), 429)),
         disconnected_at: disconnects.then_some(stop.from + ms(120)),
-        ended: None,
+        connection_ended: None,
     };
     let timeline = BrokerTimeline {
         signalled_at: stop.from,
@@ -85,7 +85,7 @@
         written_at: stop.from + ms(10),
         answered: None,
         disconnected_at: Some(stop.from + ms(100)),
-        ended: None,
+        connection_ended: None,
     };
     assert!(!stop.delays_attempt(&request, stop.from + ms(100), stop.until + ms(1)));
 }
--- a/crates/dunepond-testkit/src/stand_ins/broker.rs
+++ b/crates/dunepond-testkit/src/stand_ins/broker.rs
@@ -46,7 +46,7 @@
 }
 
 /// Starts the broker program with a configuration. Returns the process, whose standard error is piped, and the path of its
-/// configuration file, for [`Broker::from_child`]. A broker that fails to start reports the reason on standard error.
+/// configuration file, for [`Broker::wait_until_listening`]. A broker that fails to start reports the reason on standard error.
 pub fn launch(config: &Value) -> (Child, PathBuf) {
     launch_command(Command::new(broker_program()), config)
 }
@@ -80,7 +80,7 @@
     /// # Panics
     /// If the process ends before it accepts clients.
     pub fn start(config: &Value) -> Self {
-        Self::from_child(launch(config))
+        Self::wait_until_listening(launch(config))
     }
 
     /// Like [`Broker::start`], but limits the process to `limit` open file descriptors, fewer than its configuration states.
@@ -91,14 +91,14 @@
         let mut command = Command::new("/bin/sh");
         let shell_command = format!("ulimit -n {limit}; exec {}", broker_program().display());
         command.args(["-c", &shell_command]);
-        Self::from_child(launch_command(command, config))
+        Self::wait_until_listening(launch_command(command, config))
     }
 
     /// Waits until a process from [`launch`] or [`launch_command`] accepts clients.
     ///
     /// # Panics
     /// If the process ends before it accepts clients.
-    pub fn from_child((mut child, config_file): (Child, PathBuf)) -> Self {
+    pub fn wait_until_listening((mut child, config_file): (Child, PathBuf)) -> Self {
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
         let mut startup_log = String::new();
         let line = lines.by_ref().map_while(Result::ok).find(|line| {
@@ -119,23 +119,23 @@
     ///
     /// # Panics
     /// If the broker ends before it accepts clients.
-    pub fn start_for(nodes: &[Node]) -> (Self, DiscoveryServer) {
-        Self::start_for_with(nodes, "/name", json!("n1"))
+    pub fn start_with_nodes(nodes: &[Node]) -> (Self, DiscoveryServer) {
+        Self::start_with_config_value(nodes, "/name", json!("n1"))
     }
 
-    /// Like [`Broker::start_for`], but with one value of the configuration replaced. `key` is a JSON pointer.
+    /// Like [`Broker::start_with_nodes`], but with one value of the configuration replaced. `key` is a JSON pointer.
     ///
     /// # Panics
     /// If the configuration has no value at `key`, or the broker ends before it accepts clients.
-    pub fn start_for_with(nodes: &[Node], key: &str, value: Value) -> (Self, DiscoveryServer) {
-        Self::start_for_changed(nodes, |config| *config.pointer_mut(key).unwrap() = value)
+    pub fn start_with_config_value(nodes: &[Node], key: &str, value: Value) -> (Self, DiscoveryServer) {
+        Self::start_with_config(nodes, |config| *config.pointer_mut(key).unwrap() = value)
     }
 
-    /// Like [`Broker::start_for`], but passes the configuration through `adjust_config` first.
+    /// Like [`Broker::start_with_nodes`], but passes the configuration through `adjust_config` first.
     ///
     /// # Panics
     /// If the broker ends before it accepts clients.
-    pub fn start_for_changed(
+    pub fn start_with_config(
         nodes: &[Node],
         adjust_config: impl FnOnce(&mut Value),
     ) -> (Self, DiscoveryServer) {
--- a/crates/dunepond-testkit/src/stand_ins/client.rs
+++ b/crates/dunepond-testkit/src/stand_ins/client.rs
@@ -9,11 +9,11 @@
 
 /// An HTTP response.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// The HTTP status code.
     pub status: u16,
     /// The status line and the header fields, with the empty line that ends them.
-    pub head: String,
+    pub header: String,
     /// The body as JSON, or null if it is not JSON.
     pub body: Value,
 }
@@ -71,35 +71,35 @@
     }
 
     /// Sends a request and waits for the answer; `None` if the connection ends first or the read times out.
-    pub fn try_request(&mut self, request: &str) -> Option<Answer> {
+    pub fn try_request(&mut self, request: &str) -> Option<Response> {
         self.stream.write_all(request.as_bytes()).ok()?;
-        self.read_answer()
+        self.read_response()
     }
 
     /// Sends a request and waits for the answer.
     ///
     /// # Panics
     /// If the connection ends first or the read times out.
-    pub fn request(&mut self, request: &str) -> Answer {
+    pub fn request(&mut self, request: &str) -> Response {
         self.send(request);
-        self.read_answer().expect("expected an answer, but the connection ended or the read timed out")
+        self.read_response().expect("expected an answer, but the connection ended or the read timed out")
     }
 
     /// Reads the next answer; `None` if the connection ends first or the read times out.
     ///
     /// # Panics
     /// If the answer has no valid `Content-Length` or status code.
-    pub fn read_answer(&mut self) -> Option<Answer> {
-        let mut head = String::new();
-        while !head.ends_with("\r\n\r\n") {
-            if self.reader.read_line(&mut head).ok()? == 0 {
+    pub fn read_response(&mut self) -> Option<Response> {
+        let mut header = String::new();
+        while !header.ends_with("\r\n\r\n") {
+            if self.reader.read_line(&mut header).ok()? == 0 {
                 return None;
             }
         }
-        let length = head.split_once("Content-Length: ").unwrap().1.split('\r').next().unwrap();
+        let length = header.split_once("Content-Length: ").unwrap().1.split('\r').next().unwrap();
         let mut body = vec![0; length.parse().unwrap()];
         self.reader.read_exact(&mut body).ok()?;
-        let status = head.split(' ').nth(1).unwrap().parse().unwrap();
-        Some(Answer { status, head, body: serde_json::from_slice(&body).unwrap_or(Value::Null) })
+        let status = header.split(' ').nth(1).unwrap().parse().unwrap();
+        Some(Response { status, header, body: serde_json::from_slice(&body).unwrap_or(Value::Null) })
     }
 }
--- a/crates/dunepond-testkit/src/stand_ins/discovery.rs
+++ b/crates/dunepond-testkit/src/stand_ins/discovery.rs
@@ -10,7 +10,7 @@
 
 use super::WAIT_TIMEOUT;
 
-/// Period over which [`DiscoveryServer::reply_immediately`] counts requests.
+/// Period over which [`DiscoveryServer::measure_immediate_poll_rate`] counts requests.
 const COUNTING_PERIOD: Duration = Duration::from_millis(500);
 
 /// State that the connections of a discovery server share.
@@ -70,7 +70,7 @@
 
     /// From now on answers long polls at once, even if the list has not changed, and closes the connection after each answer if
     /// `close_after_answer` is set. Measures the requests that arrive in the next half second and returns their rate per second.
-    pub fn reply_immediately(&self, close_after_answer: bool) -> f64 {
+    pub fn measure_immediate_poll_rate(&self, close_after_answer: bool) -> f64 {
         let apply_and_count_requests = || {
             let mut state = self.lock();
             state.immediate = true;
@@ -103,7 +103,7 @@
     ///
     /// # Panics
     /// If this does not happen within 10 seconds.
-    pub fn wait_until_read(&self) {
+    pub fn wait_until_newest_version_polled(&self) {
         let is_behind = |state: &mut State| state.polled_from < state.version;
         let result = self.state.1.wait_timeout_while(self.lock(), WAIT_TIMEOUT, is_behind);
         assert!(
--- a/crates/dunepond-testkit/src/stand_ins/mod.rs
+++ b/crates/dunepond-testkit/src/stand_ins/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 pub use broker::{Broker, broker_program, launch, launch_command, scratch_path};
-pub use client::{Answer, Client, query_request};
+pub use client::{Client, Response, query_request};
 pub use config::{config, set_timeouts, settings};
 pub use discovery::DiscoveryServer;
 pub use node::{Node, NodeBehavior};
--- a/crates/dunepond-testkit/src/stand_ins/node.rs
+++ b/crates/dunepond-testkit/src/stand_ins/node.rs
@@ -26,7 +26,7 @@
     /// Never answers.
     Hang,
     /// Never answers on the first connection, which stays open; serves on the others.
-    HangFirst,
+    HangOnFirstConnection,
     /// Never answers parts of this shard; serves the others.
     HangForShard(usize),
     /// Answers parts of this shard after a quarter of a second, and reads nothing else on the connection meanwhile; serves the
@@ -47,7 +47,7 @@
     /// Answers, and sends these bytes directly after the answer.
     ServeThenRaw(&'static [u8]),
     /// Answers, with this text in place of the fields that follow the id in the answer's first line.
-    ServeWithHead(&'static str),
+    ServeWithFields(&'static str),
     /// Sends these bytes unchanged in place of an answer.
     ReplyRaw(&'static [u8]),
     /// Sends an answer to a part that the broker is not waiting for, and then the requested answer.
@@ -62,9 +62,9 @@
     /// Arrival time and id of each part.
     part_arrivals: Vec<(Instant, String)>,
     /// Number of connections accepted.
-    connections: usize,
+    connection_count: usize,
     /// Number of connections that have ended.
-    closed: usize,
+    closed_connection_count: usize,
 }
 
 type SharedRecord = (Mutex<NodeRecord>, Condvar);
@@ -101,11 +101,11 @@
 
     /// Returns the frame of a successful answer, whose value is the part's with the prefix `v-`.
     fn answer(&self) -> Vec<u8> {
-        self.answer_with_head("hit 7 -")
+        self.answer_with_fields("hit 7 -")
     }
 
     /// Returns the frame of an answer with this text after the id in its first line.
-    fn answer_with_head(&self, fields: &str) -> Vec<u8> {
+    fn answer_with_fields(&self, fields: &str) -> Vec<u8> {
         frames::encode(ANSWER, &format!("{} {fields}\nv-{}", self.id, self.value))
     }
 
@@ -131,7 +131,7 @@
 fn action_for(behavior: NodeBehavior, part: &Part, connection: usize, part_number: usize) -> PartAction {
     match behavior {
         NodeBehavior::Hang => PartAction::Ignore,
-        NodeBehavior::HangFirst if connection == 1 => PartAction::Ignore,
+        NodeBehavior::HangOnFirstConnection if connection == 1 => PartAction::Ignore,
         NodeBehavior::HangForShard(shard) if part.is_for_shard(shard) => PartAction::Ignore,
         NodeBehavior::SlowForShard(shard) if part.is_for_shard(shard) => {
             PartAction::SendAfterPause(SLOW_SHARD_DELAY, part.answer())
@@ -143,7 +143,7 @@
             PartAction::Send(part.answer_without_value("fault"))
         }
         NodeBehavior::Serve
-        | NodeBehavior::HangFirst
+        | NodeBehavior::HangOnFirstConnection
         | NodeBehavior::HangForShard(_)
         | NodeBehavior::SlowForShard(_)
         | NodeBehavior::FailEveryNth(_) => PartAction::Send(part.answer()),
@@ -151,7 +151,7 @@
         NodeBehavior::ReportProtocolError => PartAction::Send(frames::encode(PROTOCOL_ERROR, "what is this")),
         NodeBehavior::UnknownFrame => PartAction::Send(frames::encode(UNKNOWN_FRAME_TYPE, "?")),
         NodeBehavior::ServeThenRaw(bytes) => PartAction::Send([&part.answer(), bytes].concat()),
-        NodeBehavior::ServeWithHead(fields) => PartAction::Send(part.answer_with_head(fields)),
+        NodeBehavior::ServeWithFields(fields) => PartAction::Send(part.answer_with_fields(fields)),
         NodeBehavior::ReplyRaw(bytes) => PartAction::Send(bytes.to_vec()),
         NodeBehavior::ServeAfterStaleReply => {
             let stale = frames::encode(ANSWER, "c1.2 hit 7 -\nold");
@@ -181,11 +181,11 @@
                 thread::spawn(move || {
                     let number = {
                         let mut record = record.0.lock().unwrap();
-                        record.connections += 1;
-                        record.connections
+                        record.connection_count += 1;
+                        record.connection_count
                     };
                     let _ = Self::serve(stream, number, &behavior, &record);
-                    record.0.lock().unwrap().closed += 1;
+                    record.0.lock().unwrap().closed_connection_count += 1;
                     record.1.notify_all();
                 });
             }
@@ -204,9 +204,9 @@
         loop {
             let frame = frames::read(&mut stream)?;
             let text = String::from_utf8(frame.content).unwrap();
-            record.0.lock().unwrap().frames.push((char::from(frame.letter), text.clone()));
+            record.0.lock().unwrap().frames.push((char::from(frame.frame_type), text.clone()));
             record.1.notify_all();
-            if frame.letter != PART {
+            if frame.frame_type != PART {
                 continue;
             }
             let part = Part::parse(&text).unwrap();
@@ -247,12 +247,12 @@
     }
 
     /// Returns the number of connections accepted so far.
-    pub fn connections(&self) -> usize {
-        self.record.0.lock().unwrap().connections
+    pub fn connection_count(&self) -> usize {
+        self.record.0.lock().unwrap().connection_count
     }
 
     /// Returns the contents of all frames of this type, in order of arrival.
-    pub fn frames(&self, frame_type: char) -> Vec<String> {
+    pub fn frames_of_type(&self, frame_type: char) -> Vec<String> {
         let record = self.record.0.lock().unwrap();
         record.frames.iter().filter(|frame| frame.0 == frame_type).map(|frame| frame.1.clone()).collect()
     }
@@ -274,8 +274,8 @@
     ///
     /// # Panics
     /// If they do not end within 10 seconds.
-    pub fn wait_for_closed(&self, count: usize) {
-        self.wait(|record| record.closed >= count);
+    pub fn wait_for_closed_connections(&self, count: usize) {
+        self.wait(|record| record.closed_connection_count >= count);
     }
 
     /// Waits until the record satisfies `condition`.
--- a/crates/dunepond-testkit/tests/agree/main.rs
+++ b/crates/dunepond-testkit/tests/agree/main.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use dunepond_testkit::auditor::{AuditPhase, longest_contradiction};
+use dunepond_testkit::auditor::{AuditPhase, longest_version_conflict_seconds};
 use dunepond_testkit::fleet::{Fleet, FleetOptions, QueryOutcome};
 use dunepond_testkit::processes::wait_until;
 
@@ -31,13 +31,13 @@
 
 /// Indexes of all brokers except `excluded`.
 fn all_but(fleet: &Fleet, excluded: usize) -> Vec<usize> {
-    (0..fleet.options.brokers).filter(|i| *i != excluded).collect()
+    (0..fleet.options.broker_count).filter(|i| *i != excluded).collect()
 }
 
 /// Waits until all these brokers are in the joint phase of the change to the version with this number.
 fn wait_for_joint_phase(fleet: &Fleet, brokers: &[usize], version_number: u64) {
     let is_joint = |i: &usize| {
-        let recorded = fleet.phase(*i);
+        let recorded = fleet.last_phase(*i);
         recorded.is_some_and(|phase| phase.phase == AuditPhase::Joint && phase.last_version == version_number)
     };
     assert!(
@@ -57,6 +57,6 @@
 /// Checks that the audit has no findings, and that at no time two brokers could act on different versions alone.
 fn assert_consistent(fleet: &Fleet) {
     fleet.assert_audit_clean();
-    let longest = longest_contradiction(&fleet.records());
+    let longest = longest_version_conflict_seconds(&fleet.records());
     assert!(longest <= 0.0, "two versions were in force at the same time for {longest} s");
 }
--- a/crates/dunepond-testkit/tests/agree/maps.rs
+++ b/crates/dunepond-testkit/tests/agree/maps.rs
@@ -37,7 +37,8 @@
     #[case] expected_error: &str,
 ) {
     let mut fleet = Fleet::start_with_version(options(3, 5));
-    let (mut leader, clients) = (broker_name(fleet.leader()), fleet.clients(0..4, QUERY_PAUSE));
+    let (mut leader, clients) =
+        (broker_name(fleet.wait_for_leader()), fleet.start_clients(0..4, QUERY_PAUSE));
     fleet.brokers[4].kill();
     let peer_addresses =
         (0..4).map(|i| (broker_name(i), fleet.links.relay_address("n5", &broker_name(i)))).collect();
@@ -83,12 +84,12 @@
     assert!(reply.contains(expected_error), "expected {expected_error:?} in the reply: {reply}");
     // The same version with a valid map is accepted.
     let good = fleet.config_version(2, &[0], &[]);
-    fleet.place_version(4, &good);
+    fleet.write_version(4, &good);
     propose(&good, true);
-    fleet.wait_active(0..4, 2);
+    fleet.wait_for_active_version(0..4, 2);
     peers.stop();
     fleet.brokers[4].start();
-    fleet.wait_active(0..5, 2);
+    fleet.wait_for_active_version(0..5, 2);
     assert_all_answered(&clients.stop(), &[0, 1, 2, 3]);
     assert_consistent(&fleet);
 }
@@ -103,8 +104,8 @@
     assert!(wait_until(|| fleet.log_contains(3, "digest")), "the broker did not log the wrong digest");
     let good = fleet.config_version(2, &[0], &[]);
     fleet.propose(3, &good);
-    let clients = fleet.clients(0..5, QUERY_PAUSE);
-    fleet.wait_active(0..5, 2);
+    let clients = fleet.start_clients(0..5, QUERY_PAUSE);
+    fleet.wait_for_active_version(0..5, 2);
     clients.stop();
     assert_consistent(&fleet);
 }
--- a/crates/dunepond-testkit/tests/agree/plans.rs
+++ b/crates/dunepond-testkit/tests/agree/plans.rs
@@ -15,7 +15,10 @@
 
 /// A fleet that carries out one action of a plan at a time: version 2 adds the filled replica, version 3 changes the owner.
 fn fleet_options() -> FleetOptions {
-    FleetOptions { extra_lines: vec!["moves \"OWN.plan\" at-once=1 settle=0.1".to_string()], ..options(3, 5) }
+    FleetOptions {
+        extra_kdl_lines: vec!["moves \"OWN.plan\" at-once=1 settle=0.1".to_string()],
+        ..options(3, 5)
+    }
 }
 
 fn move_plan(id: &str, segment: u64, from: &str, to: &str) -> Value {
@@ -57,14 +60,14 @@
     stage: MoveStage,
 ) {
     let mut fleet = Fleet::start_with_version(fleet_options());
-    let (leader, all) = (fleet.leader(), 0..fleet.options.brokers);
+    let (leader, all) = (fleet.wait_for_leader(), 0..fleet.options.broker_count);
     let rest = all_but(&fleet, leader);
-    let clients = fleet.clients(rest.clone(), QUERY_PAUSE);
-    fleet.filler.set_paused(true);
+    let clients = fleet.start_clients(rest.clone(), QUERY_PAUSE);
+    fleet.fill_service.set_paused(true);
     fleet.propose_plan(rest[0], &move_plan("one", 0, "s-0", "s-2"));
     let wait_confirmed = |fleet: &Fleet, version_number| {
         wait_until(|| {
-            fleet.any_event(
+            fleet.has_event(
                 |event| matches!(event, AuditEvent::Confirmed { number, .. } if *number == version_number),
             )
         })
@@ -72,10 +75,13 @@
     match stage {
         MoveStage::PlanAccepted => assert!(wait_until(|| fleet.log_contains(rest[0], "plan one: "))),
         MoveStage::Filling => {
-            assert!(wait_until(|| fleet.filler.order_count() > 0), "the filler received no order")
+            assert!(
+                wait_until(|| fleet.fill_service.fill_request_count() > 0),
+                "the fill service received no fill request"
+            )
         }
         MoveStage::Filled | MoveStage::OwnerChangeJoint | MoveStage::OwnerChanged => {
-            fleet.filler.set_paused(false)
+            fleet.fill_service.set_paused(false)
         }
     }
     match stage {
@@ -85,14 +91,14 @@
         _ => {}
     }
     fleet.brokers[leader].kill();
-    fleet.filler.set_paused(false);
-    fleet.wait_active(rest.clone(), 3);
+    fleet.fill_service.set_paused(false);
+    fleet.wait_for_active_version(rest.clone(), 3);
     wait_for_owner(&fleet, 0, "s-2");
     fleet.brokers[leader].start();
-    fleet.wait_active(all, 3);
+    fleet.wait_for_active_version(all, 3);
     assert_all_answered(&clients.stop(), &rest);
     assert_eq!(
-        fleet.filler.moved_bytes(),
+        fleet.fill_service.moved_bytes(),
         SEGMENT_BYTES,
         "the filler moved another number of bytes than one segment has"
     );
@@ -105,15 +111,15 @@
 /// refuses it after the majority has completed the other one.
 #[test]
 fn partition_plans_move_segment_once() {
-    let mut fleet = Fleet::start_with_version(FleetOptions { voters: 5, ..fleet_options() });
+    let mut fleet = Fleet::start_with_version(FleetOptions { voter_count: 5, ..fleet_options() });
     fleet.partition(&[&[0, 1], &[2, 3, 4]]);
     fleet.wait_for_phase(0, AuditPhase::LeaseExpired);
-    let clients = fleet.clients(0..5, QUERY_PAUSE);
+    let clients = fleet.start_clients(0..5, QUERY_PAUSE);
     fleet.propose_plan(0, &move_plan("few", 0, "s-0", "s-2"));
     fleet.propose_plan(3, &move_plan("many", 0, "s-0", "s-3"));
-    fleet.wait_active([2, 3, 4], 3);
-    fleet.links.set_all(&HEALTHY);
-    fleet.wait_active(0..5, 3);
+    fleet.wait_for_active_version([2, 3, 4], 3);
+    fleet.links.set_all_conditions(&HEALTHY);
+    fleet.wait_for_active_version(0..5, 3);
     assert!(
         wait_until(|| fleet.log_contains(0, "plan few: refused")),
         "the minority did not log that it refused its plan"
@@ -130,27 +136,27 @@
 #[test]
 fn withdrawn_move_is_undone() {
     let fleet = Fleet::start_with_version(fleet_options());
-    let clients = fleet.clients(0..5, QUERY_PAUSE);
+    let clients = fleet.start_clients(0..5, QUERY_PAUSE);
     let mut plan = move_plan("back", 0, "s-0", "s-2");
     let second_move = json!({"move": {"segment": 3, "from": "s-3", "to": "s-5"}});
     plan["operations"].as_array_mut().unwrap().push(second_move);
     plan["ordered"] = json!(true);
     fleet.propose_plan(1, &plan);
     wait_for_owner(&fleet, 0, "s-2");
-    fleet.filler.set_paused(true);
+    fleet.fill_service.set_paused(true);
     plan["word"] = json!("withdraw");
     fleet.propose_plan(2, &plan);
     assert!(
         wait_until(|| (0..3).any(|i| fleet.log_contains(i, ", back: "))),
         "no broker logged that it undoes the plan"
     );
-    fleet.filler.set_paused(false);
+    fleet.fill_service.set_paused(false);
     wait_for_owner(&fleet, 0, "s-0");
     thread::sleep(Duration::from_secs(1));
     assert_eq!(fleet.last_non_idempotent_node(3).as_deref(), Some("s-3"));
     assert_all_answered(&clients.stop(), &[0, 1, 2, 3, 4]);
     // A later plan for the same segment is carried out.
-    let clients = fleet.clients(0..5, QUERY_PAUSE);
+    let clients = fleet.start_clients(0..5, QUERY_PAUSE);
     fleet.propose_plan(1, &move_plan("again", 0, "s-0", "s-4"));
     wait_for_owner(&fleet, 0, "s-4");
     clients.stop();
--- a/crates/dunepond-testkit/tests/agree/quotas.rs
+++ b/crates/dunepond-testkit/tests/agree/quotas.rs
@@ -4,10 +4,10 @@
 use std::thread;
 use std::time::Duration;
 
-use dunepond_testkit::auditor::limits::{QUOTA_UNITS, peak_units};
+use dunepond_testkit::auditor::quotas::{QUOTA_UNITS, peak_units};
 use dunepond_testkit::auditor::{AuditEvent, AuditPhase};
 use dunepond_testkit::fleet::{Fleet, FleetOptions, QueryOutcome, broker_name, outcome_ratio};
-use dunepond_testkit::links::{CUT, HEALTHY};
+use dunepond_testkit::links::{HEALTHY, PARTITIONED};
 use dunepond_testkit::processes::wait_until;
 use rstest::rstest;
 
@@ -27,12 +27,12 @@
 
 fn fleet_options() -> FleetOptions {
     let limits = vec![format!("limits floor=0.25 every=0.3 {{ cold rate={WARM_NODE_RATE:?}; }}")];
-    FleetOptions { balancers: BROKERS, extra_lines: limits, ..options(3, BROKERS) }
+    FleetOptions { configured_broker_count: BROKERS, extra_kdl_lines: limits, ..options(3, BROKERS) }
 }
 
 /// Units of the quota that the broker was last leased, in addition to its floor.
 fn leased_units(fleet: &Fleet, broker: usize) -> u32 {
-    let lines = fleet.records().lines.into_iter().rev().filter(|line| line.broker == broker_name(broker));
+    let lines = fleet.records().entries.into_iter().rev().filter(|line| line.broker == broker_name(broker));
     let leased = lines.filter_map(|line| match line.event {
         AuditEvent::QuotaShare { leased_units, .. } => {
             Some(leased_units.get(COLD_QUOTA).copied().unwrap_or(0))
@@ -44,7 +44,7 @@
 
 /// Sends traffic to one broker until it has leased most of the units that are not floors.
 fn lease_most_units(fleet: &Fleet, broker: usize) {
-    let clients = fleet.clients([broker], BUSY_QUERY_PAUSE);
+    let clients = fleet.start_clients([broker], BUSY_QUERY_PAUSE);
     let enough = wait_until(|| leased_units(fleet, broker) > 150_000);
     assert!(enough, "{} has only {} units", broker_name(broker), leased_units(fleet, broker));
     clients.stop();
@@ -67,8 +67,8 @@
     lease_most_units(&fleet, isolated);
     rest.iter().for_each(|i| fleet.brokers[*i].suspend());
     fleet.wait_for_phase(isolated, AuditPhase::LeaseExpired);
-    fleet.report_cold("s-5");
-    let (clients, duration_seconds) = (fleet.clients([isolated], BUSY_QUERY_PAUSE), 3.0);
+    fleet.report_node_restarted("s-5");
+    let (clients, duration_seconds) = (fleet.start_clients([isolated], BUSY_QUERY_PAUSE), 3.0);
     let before = fleet.nodes[5].part_arrivals().len();
     thread::sleep(Duration::from_secs_f64(duration_seconds));
     let arrived = (fleet.nodes[5].part_arrivals().len() - before) as f64;
@@ -84,7 +84,7 @@
     assert!(served > 0.9, "only {served} of the idempotent queries were served");
     assert_all_answered(&outcomes, &[isolated]);
     rest.iter().for_each(|i| fleet.brokers[*i].resume());
-    fleet.wait_active(0..BROKERS, 1);
+    fleet.wait_for_active_version(0..BROKERS, 1);
     lease_most_units(&fleet, 0);
     assert_within_quota(&fleet);
 }
@@ -104,10 +104,10 @@
 ) {
     let mut fleet = Fleet::start_with_version(fleet_options());
     lease_most_units(&fleet, 4);
-    let clients = fleet.clients([3, 4], BUSY_QUERY_PAUSE);
+    let clients = fleet.start_clients([3, 4], BUSY_QUERY_PAUSE);
     match departure {
         Departure::Killed => fleet.brokers[4].kill(),
-        Departure::CutOff => fleet.links.set_around(&["n5"], &CUT),
+        Departure::CutOff => fleet.links.set_conditions_around(&["n5"], &PARTITIONED),
         Departure::Restarted => {
             fleet.brokers[4].kill();
             fleet.brokers[4].start();
@@ -115,11 +115,11 @@
     }
     let enough = wait_until(|| leased_units(&fleet, 3) > 100_000);
     assert!(enough, "n4 has only {} units", leased_units(&fleet, 3));
-    fleet.links.set_all(&HEALTHY);
+    fleet.links.set_all_conditions(&HEALTHY);
     if matches!(departure, Departure::Killed) {
         fleet.brokers[4].start();
     }
-    fleet.wait_active(0..BROKERS, 1);
+    fleet.wait_for_active_version(0..BROKERS, 1);
     clients.stop();
     assert_within_quota(&fleet);
 }
--- a/crates/dunepond-testkit/tests/agree/random_faults.rs
+++ b/crates/dunepond-testkit/tests/agree/random_faults.rs
@@ -5,7 +5,7 @@
 
 use dunepond_testkit::auditor::AuditEvent;
 use dunepond_testkit::fleet::{Fleet, FleetOptions, broker_name};
-use dunepond_testkit::links::{CUT, HEALTHY, LinkConditions};
+use dunepond_testkit::links::{HEALTHY, LinkConditions, PARTITIONED};
 use dunepond_testkit::processes::wait_until;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -21,7 +21,7 @@
 fn random_faults_cause_no_contradiction(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut fleet = Fleet::start_with_version(FleetOptions { seed, ..options(5, 7) });
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let clients = fleet.clients(0..7, QUERY_PAUSE);
+    let clients = fleet.start_clients(0..7, QUERY_PAUSE);
     let (mut version_number, mut killed, mut folder_copy) = (1, None, None);
     for _ in 0..40 {
         let (broker, other) = (rng.random_range(0..7), rng.random_range(0..7));
@@ -30,15 +30,17 @@
                 &[broker, other],
                 &[(broker + 1) % 7, (broker + 2) % 7, (broker + 3) % 7, (broker + 4) % 7],
             ]),
-            1 => fleet.links.set_all(&LinkConditions {
+            1 => fleet.links.set_all_conditions(&LinkConditions {
                 delay_seconds: 0.03,
                 jitter_seconds: 0.05,
                 loss_ratio: 0.05,
                 duplicate_ratio: 0.1,
                 ..HEALTHY
             }),
-            2 if broker != other => fleet.links.set(&broker_name(broker), &broker_name(other), &CUT),
-            3 if broker != other => fleet.links.reset(&broker_name(broker), &broker_name(other)),
+            2 if broker != other => {
+                fleet.links.set_conditions(&broker_name(broker), &broker_name(other), &PARTITIONED)
+            }
+            3 if broker != other => fleet.links.reset_connections(&broker_name(broker), &broker_name(other)),
             4 if killed.is_none() => {
                 fleet.brokers[broker].kill();
                 killed = Some(broker);
@@ -49,11 +51,11 @@
                 fleet.brokers[broker].resume();
             }
             6 => folder_copy = Some((broker, fleet.brokers[broker].copy_folder_to_scratch())),
-            7 => fleet.links.set_all(&HEALTHY),
+            7 => fleet.links.set_all_conditions(&HEALTHY),
             _ => {
                 // A number stands for the same content whichever broker proposes it, so a number that was proposed is not
                 // used for another version.
-                version_number += u64::from(fleet.any_event(
+                version_number += u64::from(fleet.has_event(
                     |event| matches!(event, AuditEvent::Proposed { number, .. } if *number == version_number),
                 ));
                 let next = fleet.config_version(
@@ -61,7 +63,7 @@
                     &[version_number % 6, (version_number + 3) % 6],
                     &[],
                 );
-                fleet.place_version(broker, &next);
+                fleet.write_version(broker, &next);
                 if killed != Some(broker) {
                     fleet.brokers[broker].reload_config();
                 }
@@ -78,14 +80,14 @@
             killed = None;
         }
     }
-    fleet.links.set_all(&HEALTHY);
+    fleet.links.set_all_conditions(&HEALTHY);
     if let Some(broker) = killed {
         fleet.brokers[broker].start();
     }
     // One more change, with a number that has not been used yet.
     let last_version = fleet.config_version(version_number + 1, &[], &[]);
     let last_is_proposed = |fleet: &Fleet| {
-        fleet.any_event(
+        fleet.has_event(
             |event| matches!(event, AuditEvent::Proposed { number, .. } if *number > version_number),
         )
     };
@@ -102,8 +104,8 @@
         last_is_proposed(&fleet)
     });
     assert!(proposed, "version {} was not proposed after all faults were repaired", version_number + 1);
-    fleet.wait_active(0..7, version_number + 1);
-    let (outcomes, record_count) = (clients.stop(), fleet.records().lines.len());
+    fleet.wait_for_active_version(0..7, version_number + 1);
+    let (outcomes, record_count) = (clients.stop(), fleet.records().entries.len());
     let served = outcomes.iter().filter(|outcome| outcome.status == Some(200)).count();
     println!(
         "{} versions, {served} of {} queries served, {record_count} audit records",
--- a/crates/dunepond-testkit/tests/agree/rebalancing_faults.rs
+++ b/crates/dunepond-testkit/tests/agree/rebalancing_faults.rs
@@ -8,14 +8,14 @@
 use dunepond_testkit::fleet::{
     Fleet, FleetOptions, QueryOutcome, RecordedPhase, SEGMENT_BYTES, broker_name, outcome_ratio,
 };
-use dunepond_testkit::links::{CUT, HEALTHY};
+use dunepond_testkit::links::{HEALTHY, PARTITIONED};
 use dunepond_testkit::processes::wait_until;
 use rstest::rstest;
 
 use super::{QUERY_PAUSE, all_but, assert_all_answered, assert_consistent, options};
 
 fn any_event_of_version(fleet: &Fleet, version_number: u64, matches: fn(&AuditEvent, u64) -> bool) -> bool {
-    fleet.any_event(|event| matches(event, version_number))
+    fleet.has_event(|event| matches(event, version_number))
 }
 
 fn is_withdrawn(event: &AuditEvent, version_number: u64) -> bool {
@@ -30,14 +30,14 @@
 #[test]
 fn interrupted_fill_resumes() {
     let mut fleet = Fleet::start_with_version(options(3, 5));
-    let clients = fleet.clients(0..5, QUERY_PAUSE);
-    fleet.filler.set_fill_seconds(0.2);
-    fleet.filler.fail_next(1);
+    let clients = fleet.start_clients(0..5, QUERY_PAUSE);
+    fleet.fill_service.set_fill_seconds(0.2);
+    fleet.fill_service.fail_next_fills(1);
     let next = fleet.config_version(2, &[0], &[2]);
     fleet.propose(0, &next);
-    fleet.wait_active(0..5, 2);
-    assert!(fleet.filler.order_count() >= 2, "the fill was not interrupted");
-    assert_eq!(fleet.filler.moved_bytes(), SEGMENT_BYTES);
+    fleet.wait_for_active_version(0..5, 2);
+    assert!(fleet.fill_service.fill_request_count() >= 2, "the fill was not interrupted");
+    assert_eq!(fleet.fill_service.moved_bytes(), SEGMENT_BYTES);
     assert_all_answered(&clients.stop(), &[0, 1, 2, 3, 4]);
     assert_consistent(&fleet);
 }
@@ -47,19 +47,19 @@
 #[test]
 fn failed_fill_target_keeps_old_map() {
     let mut fleet = Fleet::start_with_version(FleetOptions { fill_deadline_seconds: 5.0, ..options(3, 5) });
-    let clients = fleet.clients(0..5, QUERY_PAUSE);
-    fleet.filler.fail_node(Some("s-4"));
+    let clients = fleet.start_clients(0..5, QUERY_PAUSE);
+    fleet.fill_service.set_failing_node(Some("s-4"));
     let next = fleet.config_version(2, &[0], &[2]);
     fleet.propose(0, &next);
     assert!(wait_until(|| any_event_of_version(&fleet, 2, is_withdrawn)), "version 2 was not withdrawn");
-    fleet.wait_active(0..5, 1);
+    fleet.wait_for_active_version(0..5, 1);
     assert!(
         !any_event_of_version(&fleet, 2, is_confirmed),
         "version 2 was confirmed with a half-filled replica"
     );
     let without_failed_node = fleet.config_version(3, &[0], &[]);
     fleet.propose(0, &without_failed_node);
-    fleet.wait_active(0..5, 3);
+    fleet.wait_for_active_version(0..5, 3);
     assert_all_answered(&clients.stop(), &[0, 1, 2, 3, 4]);
     assert_consistent(&fleet);
 }
@@ -68,21 +68,24 @@
 #[test]
 fn draining_fill_source_is_replaced() {
     let mut fleet = Fleet::start_with_version(options(3, 5));
-    let clients = fleet.clients(0..5, QUERY_PAUSE);
-    fleet.filler.set_paused(true);
+    let clients = fleet.start_clients(0..5, QUERY_PAUSE);
+    fleet.fill_service.set_paused(true);
     let next = fleet.config_version(2, &[0], &[2]);
     fleet.propose(0, &next);
-    assert!(wait_until(|| fleet.filler.order_count() > 0), "the filler received no order");
-    let first_source = fleet.filler.orders()[0]["source"].as_str().unwrap().to_string();
-    fleet.filler.fail_node(Some(&first_source));
+    assert!(
+        wait_until(|| fleet.fill_service.fill_request_count() > 0),
+        "the fill service received no fill request"
+    );
+    let first_source = fleet.fill_service.fill_requests()[0]["source"].as_str().unwrap().to_string();
+    fleet.fill_service.set_failing_node(Some(&first_source));
     fleet.drain_nodes(&[&first_source]);
-    fleet.filler.set_paused(false);
-    fleet.wait_active(0..5, 2);
-    let orders = fleet.filler.orders();
+    fleet.fill_service.set_paused(false);
+    fleet.wait_for_active_version(0..5, 2);
+    let fill_requests = fleet.fill_service.fill_requests();
     assert_ne!(
-        orders[orders.len() - 1]["source"],
+        fill_requests[fill_requests.len() - 1]["source"],
         first_source,
-        "the last order still names the failed source: {orders:?}"
+        "the last fill request still names the failed source: {fill_requests:?}"
     );
     // Not all queries may have been served: non-idempotent parts of segments that the draining node owns are refused.
     clients.stop();
@@ -95,17 +98,17 @@
 fn partition_moves_segment_to_one_owner() {
     let mut fleet = Fleet::start_with_version(options(5, 5));
     fleet.partition(&[&[0, 1], &[2, 3, 4]]);
-    let clients = fleet.clients(0..5, QUERY_PAUSE);
+    let clients = fleet.start_clients(0..5, QUERY_PAUSE);
     let (minority_version, majority_version) =
         (fleet.config_version(2, &[0], &[0]), fleet.config_version(2, &[1], &[0]));
-    fleet.place_version(0, &minority_version);
-    fleet.place_version(3, &majority_version);
+    fleet.write_version(0, &minority_version);
+    fleet.write_version(3, &majority_version);
     fleet.brokers[0].reload_config();
     fleet.brokers[3].reload_config();
-    fleet.wait_active([2, 3, 4], 2);
+    fleet.wait_for_active_version([2, 3, 4], 2);
     fleet.wait_for_phase(0, AuditPhase::LeaseExpired);
-    fleet.links.set_all(&HEALTHY);
-    fleet.wait_active(0..5, 2);
+    fleet.links.set_all_conditions(&HEALTHY);
+    fleet.wait_for_active_version(0..5, 2);
     assert!(
         wait_until(|| fleet.log_contains(0, "is not what was agreed on")),
         "the minority did not log that its version lost"
@@ -118,27 +121,27 @@
 /// become leader, and the first one has to vote again once there is space.
 #[test]
 fn leader_with_full_disk_keeps_agreement() {
-    let mut fleet = Fleet::start_with_version(FleetOptions { faulty_disks: true, ..options(3, 5) });
-    let leader = fleet.leader();
+    let mut fleet = Fleet::start_with_version(FleetOptions { disk_faults_enabled: true, ..options(3, 5) });
+    let leader = fleet.wait_for_leader();
     let rest = all_but(&fleet, leader);
-    let clients = fleet.clients(0..5, QUERY_PAUSE);
+    let clients = fleet.start_clients(0..5, QUERY_PAUSE);
     fleet.set_disk_fault(leader, "brim");
     let next = fleet.config_version(2, &[0, 3], &[2]);
     fleet.propose(rest[0], &next);
-    fleet.wait_active(rest.clone(), 2);
+    fleet.wait_for_active_version(rest.clone(), 2);
     assert!(
         wait_until(|| fleet.log_contains(leader, "this voter is silent")),
         "the leader with the full disk did not log that it stopped voting"
     );
-    assert_ne!(fleet.leader_of(&rest), leader, "the broker with the full disk is still the leader");
+    assert_ne!(fleet.wait_for_leader_of(&rest), leader, "the broker with the full disk is still the leader");
     fleet.set_disk_fault(leader, "");
-    fleet.wait_active(0..5, 2);
+    fleet.wait_for_active_version(0..5, 2);
     // After a crash the broker has to recover from its disk what it has stored since the space came back.
     fleet.brokers[leader].kill();
     fleet.brokers[leader].start();
     let third = fleet.config_version(3, &[0], &[]);
     fleet.propose(rest[0], &third);
-    fleet.wait_active(0..5, 3);
+    fleet.wait_for_active_version(0..5, 3);
     clients.stop();
     assert_consistent(&fleet);
 }
@@ -147,26 +150,26 @@
 #[test]
 fn replayed_old_messages_change_nothing() {
     let mut fleet = Fleet::start_with_version(options(3, 5));
-    let (leader, all) = (broker_name(fleet.leader()), 0..5);
+    let (leader, all) = (broker_name(fleet.wait_for_leader()), 0..5);
     let peers: Vec<_> = all.clone().map(broker_name).filter(|name| *name != leader).collect();
     for peer in &peers {
-        fleet.links.record(&leader, peer);
-        fleet.links.record(peer, &leader);
+        fleet.links.start_recording(&leader, peer);
+        fleet.links.start_recording(peer, &leader);
     }
-    let clients = fleet.clients(all.clone(), QUERY_PAUSE);
+    let clients = fleet.start_clients(all.clone(), QUERY_PAUSE);
     let second = fleet.config_version(2, &[0, 3], &[]);
     fleet.propose(4, &second);
-    fleet.wait_active(all.clone(), 2);
+    fleet.wait_for_active_version(all.clone(), 2);
     let third = fleet.config_version(3, &[], &[]);
     fleet.propose(4, &third);
-    fleet.wait_active(all.clone(), 3);
+    fleet.wait_for_active_version(all.clone(), 3);
     let mut replayed_count = 0;
     for peer in &peers {
         replayed_count += fleet.links.replay(&leader, peer).0 + fleet.links.replay(peer, &leader).0;
     }
     assert!(replayed_count > 0, "no message was replayed");
     thread::sleep(Duration::from_secs_f64(fleet.options.lease_seconds));
-    let phases: Vec<_> = all.clone().map(|i| fleet.phase(i)).collect();
+    let phases: Vec<_> = all.clone().map(|i| fleet.last_phase(i)).collect();
     let is_active_on_third =
         |recorded: &RecordedPhase| recorded.phase == AuditPhase::Active && recorded.last_version == 3;
     assert!(
@@ -176,7 +179,7 @@
     // The brokers still accept the next version after the replayed messages of the second one.
     let fourth = fleet.config_version(4, &[0], &[]);
     fleet.propose(4, &fourth);
-    fleet.wait_active(all, 4);
+    fleet.wait_for_active_version(all, 4);
     assert_all_answered(&clients.stop(), &[0, 1, 2, 3, 4]);
     assert_consistent(&fleet);
 }
@@ -191,13 +194,13 @@
     let old_folder = fleet.brokers[broker].copy_folder_to_scratch();
     let next = fleet.config_version(2, &[0, 1, 2, 3, 4, 5], &[]);
     fleet.propose(0, &next);
-    fleet.wait_active(0..5, 2);
+    fleet.wait_for_active_version(0..5, 2);
     fleet.brokers[broker].kill();
     fleet.brokers[broker].restore_folder(&old_folder);
-    fleet.links.set_around(&[&broker_name(broker)], &CUT);
+    fleet.links.set_conditions_around(&[&broker_name(broker)], &PARTITIONED);
     fleet.brokers[broker].start();
-    assert!(wait_until(|| fleet.brokers[broker].ready()));
-    let clients = fleet.clients([broker], QUERY_PAUSE);
+    assert!(wait_until(|| fleet.brokers[broker].is_ready()));
+    let clients = fleet.start_clients([broker], QUERY_PAUSE);
     thread::sleep(Duration::from_secs_f64(fleet.options.lease_seconds));
     let outcomes = clients.stop();
     let is_non_idempotent = |outcome: &QueryOutcome| !outcome.is_idempotent();
@@ -208,9 +211,9 @@
     );
     let served = outcome_ratio(&outcomes, QueryOutcome::is_idempotent, |outcome| outcome.status == Some(200));
     assert!(served > 0.95, "only {served} of the idempotent queries were served");
-    fleet.links.set_all(&HEALTHY);
-    fleet.wait_active(0..5, 2);
-    let clients = fleet.clients(0..5, QUERY_PAUSE);
+    fleet.links.set_all_conditions(&HEALTHY);
+    fleet.wait_for_active_version(0..5, 2);
+    let clients = fleet.start_clients(0..5, QUERY_PAUSE);
     thread::sleep(Duration::from_millis(500));
     assert_all_answered(&clients.stop(), &[0, 1, 2, 3, 4]);
     assert_consistent(&fleet);
--- a/crates/dunepond-testkit/tests/agree/settlement.rs
+++ b/crates/dunepond-testkit/tests/agree/settlement.rs
@@ -44,7 +44,7 @@
 
 /// Sends one second of traffic through `broker` alone, waits until `others` know its count, and returns the count in bytes.
 fn generate_debt(fleet: &Fleet, broker: usize, others: &[usize]) -> u64 {
-    let clients = fleet.clients([broker], Duration::from_millis(20));
+    let clients = fleet.start_clients([broker], Duration::from_millis(20));
     thread::sleep(Duration::from_secs(1));
     assert_all_answered(&clients.stop(), &[broker]);
     // Longer than the longest interval between two counts, so that the last bytes are counted.
@@ -60,7 +60,7 @@
 /// expected ones, given by id and bytes, each recorded once.
 fn assert_settled(fleet: &Fleet, brokers: &[usize], expected: &[(&str, u64)]) {
     let recorded = |broker: usize| {
-        let lines = fleet.records().lines.into_iter().filter(|line| line.broker == broker_name(broker));
+        let lines = fleet.records().entries.into_iter().filter(|line| line.broker == broker_name(broker));
         let settled = lines.filter_map(|line| match line.event {
             AuditEvent::Settled { id, debtor, creditor, bytes, .. } => Some((id, debtor, creditor, bytes)),
             _ => None,
@@ -104,18 +104,18 @@
     assert!(is_known, "not all brokers know the counts of the broker that crashes");
     fleet.brokers[crashed].kill();
     // The leader loses its memory too: it has to recover the counts from its folder or from the others.
-    let leader = fleet.leader();
+    let leader = fleet.wait_for_leader();
     fleet.brokers[leader].kill();
     fleet.brokers[leader].start();
-    assert!(wait_until(|| fleet.brokers[leader].ready()));
+    assert!(wait_until(|| fleet.brokers[leader].is_ready()));
     let proposer = rest.into_iter().find(|i| *i != leader).unwrap();
     let second = fleet.config_version(2, &[], &[1]);
     fleet.propose(proposer, &second);
-    fleet.wait_active(rest, 2);
+    fleet.wait_for_active_version(rest, 2);
     assert_settled(&fleet, &rest, &[("2/1/s-3@fleet", SEGMENT_BYTES)]);
     let third = fleet.config_version(3, &[], &[3]);
     fleet.propose(proposer, &third);
-    fleet.wait_active(rest, 3);
+    fleet.wait_for_active_version(rest, 3);
     assert_settled(
         &fleet,
         &rest,
@@ -156,7 +156,7 @@
     assert!(is_known, "not all brokers know the false count of {false_count} bytes");
     let next = fleet.config_version(2, &[], &[1]);
     fleet.propose(0, &next);
-    fleet.wait_active(0..5, 2);
+    fleet.wait_for_active_version(0..5, 2);
     assert_settled(&fleet, &[0, 1, 2, 3, 4], &[("2/1/s-3@fleet", counted)]);
     assert_consistent(&fleet);
 }
@@ -176,7 +176,7 @@
 
 /// Settlements that `broker` has applied, as ids and bytes.
 fn applied_settlements(fleet: &Fleet, broker: usize) -> Vec<(String, u64)> {
-    let lines = fleet.records().lines.into_iter().filter(|line| line.broker == broker_name(broker));
+    let lines = fleet.records().entries.into_iter().filter(|line| line.broker == broker_name(broker));
     let settled = lines.filter_map(|line| match line.event {
         AuditEvent::Settled { id, bytes, .. } => Some((id, bytes)),
         _ => None,
@@ -198,14 +198,14 @@
 ) {
     let mut fleet = Fleet::start_with_version(FleetOptions {
         slow_start_seconds: Some(slow_start_seconds),
-        nodes: 12,
+        node_count: 12,
         segment_count: 12,
         ..options(3, 5)
     });
     let (majority, minority) = ([0, 1, 2], [3, 4]);
     // Less than the 12 fills amount to, so that the shares of the debt run out.
     let owed = 9 * SEGMENT_BYTES;
-    fleet.known_debt_bytes = Some(owed);
+    fleet.max_debt_bytes = Some(owed);
     add_debt(&mut fleet, 4, owed, &[0, 1, 2, 3]);
     let has_split_debt = |i: &usize| fleet.log_contains(*i, "are split in advance");
     assert!(wait_until(|| (0..5).all(|i| has_split_debt(&i))), "not all brokers split the debt in advance");
@@ -213,10 +213,10 @@
     fleet.wait_for_phase(3, AuditPhase::LeaseExpired);
     fleet.wait_for_phase(4, AuditPhase::LeaseExpired);
     // All of the creditor's nodes count as just started; their replicas are filled from the debtor's nodes.
-    fleet.report_restarted(&[1, 3, 5, 7, 9, 11]);
+    fleet.report_nodes_restarted(&[1, 3, 5, 7, 9, 11]);
     let done_fills = |brokers: &[usize]| {
         let names: Vec<_> = brokers.iter().map(|i| broker_name(*i)).collect();
-        let lines = fleet.records().lines.into_iter().filter(|line| names.contains(&line.broker));
+        let lines = fleet.records().entries.into_iter().filter(|line| names.contains(&line.broker));
         lines.filter(|line| matches!(&line.event, AuditEvent::Fill { state, .. } if state == "done")).count()
     };
     assert!(wait_until(|| done_fills(&majority) > 0
@@ -237,7 +237,8 @@
         "not all brokers settled the fills of the minority"
     );
     thread::sleep(Duration::from_secs(2));
-    let (at_first, order_count) = (applied_settlements(&fleet, 0), fleet.filler.order_count());
+    let (at_first, fill_request_count) =
+        (applied_settlements(&fleet, 0), fleet.fill_service.fill_request_count());
     let sum: u64 = at_first.iter().map(|(_, bytes)| bytes).sum();
     assert!(sum > 0 && sum <= owed, "{sum} bytes were settled of a debt of {owed}");
     for i in [1, 2, 4] {
@@ -252,11 +253,11 @@
         AuditEvent::Fill { id, .. } => Some(id),
         _ => None,
     };
-    let ids: BTreeSet<_> = fleet.records().lines.into_iter().filter_map(fill_id).collect();
+    let ids: BTreeSet<_> = fleet.records().entries.into_iter().filter_map(fill_id).collect();
     assert_eq!(ids.len(), 12, "expected 12 ids, since no fill may have two: {ids:?}");
     assert!(
-        order_count <= max_orders,
-        "{order_count} orders for {min_fills} fills; a fill may be ordered again after a restart"
+        fill_request_count <= max_orders,
+        "{fill_request_count} fill requests for {min_fills} fills; a fill may be requested again after a restart"
     );
     assert_eq!(fleet.audit(), []);
 }
@@ -273,14 +274,14 @@
     let (debtor_broker, creditor_broker) = (3, 4);
     let mut fleet = Fleet::start_with_version(FleetOptions {
         partner_brokers: [vec![debtor_broker], vec![creditor_broker]],
-        metered: true,
+        metering_enabled: true,
         ..options(3, 5)
     });
     add_debt(&mut fleet, debtor_broker, debtor_count, &[0, 1, 2]);
     add_debt(&mut fleet, creditor_broker, creditor_count, &[0, 1, 2]);
     let next = fleet.config_version(2, &[], &[1]);
     fleet.propose(0, &next);
-    fleet.wait_active(0..5, 2);
+    fleet.wait_for_active_version(0..5, 2);
     assert_settled(&fleet, &[0, 1, 2, 3, 4], &[("2/1/s-3@fleet", expected_bytes)]);
     assert_eq!(fleet.audit(), []);
 }
--- a/crates/dunepond-testkit/tests/auditor.rs
+++ b/crates/dunepond-testkit/tests/auditor.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunepond_testkit::auditor::{
-    Finding, GroundTruth, MapVersion, NodeRun, Records, audit, limits, longest_contradiction,
+    Finding, GroundTruth, MapVersion, NodeRun, Records, audit, longest_version_conflict_seconds, quotas,
 };
 use rstest::rstest;
 
@@ -51,14 +51,14 @@
             (1, MapVersion { epoch: 1, owners: owners("s-0") }),
             (2, MapVersion { epoch: 2, owners: owners("s-1") }),
         ]),
-        requested: BTreeMap::from([("e".to_string(), BTreeSet::from([5, 6]))]),
-        runs: vec![node_run("a", 8.1, "s-0"), node_run("b", 10.9, "s-0")],
+        requested_segments: BTreeMap::from([("e".to_string(), BTreeSet::from([5, 6]))]),
+        node_runs: vec![node_run("a", 8.1, "s-0"), node_run("b", 10.9, "s-0")],
         max_debt_bytes: Some(1000),
     }
 }
 
 fn node_run(request_id: &str, at: f64, node: &str) -> NodeRun {
-    NodeRun { request_id: request_id.to_string(), segment_id: 5, at, node: node.to_string() }
+    NodeRun { request_id: request_id.to_string(), segment_id: 5, arrived_at: at, node: node.to_string() }
 }
 
 /// Audits [`CORRECT_RECORDS`] together with further records.
@@ -74,7 +74,7 @@
     assert_eq!(audit_with("", &ground_truth()), []);
     let mut records = Records::default();
     records.append_sorted("acts", CORRECT_RECORDS);
-    assert_eq!(longest_contradiction(&records), 0.0);
+    assert_eq!(longest_version_conflict_seconds(&records), 0.0);
 }
 
 #[rstest]
@@ -90,7 +90,7 @@
     |f: &Finding| matches!(f, Finding::NotOwner { segment_id: 5, .. }))]
 #[case::non_idempotent_part_after_the_lease(
     r#"{"at":40.2,"brk":"n1","run":1,"act":"dispatch","call":"z","seg":6,"node":"s-0","shot":0,"once":true,"phase":"alone","numbers":[2]}"#,
-    |f: &Finding| matches!(f, Finding::SentAfterLease { late, .. } if (late - 0.2).abs() < 1e-9))]
+    |f: &Finding| matches!(f, Finding::SentAfterLease { late_seconds, .. } if (late_seconds - 0.2).abs() < 1e-9))]
 #[case::idempotent_part_after_the_lease(
     r#"{"at":41.0,"brk":"n1","run":1,"act":"dispatch","call":"z","seg":6,"node":"s-0","shot":0,"once":false,"phase":"alone","numbers":[2]}"#,
     |f: &Finding| matches!(f, Finding::SentAfterLease { .. }))]
@@ -121,10 +121,10 @@
 #[case::settled_beyond_the_debt(
     r#"{"at":18.0,"brk":"n3","run":1,"act":"settle","id":"2/1/s@n3","debtor":"north","creditor":"south","bytes":900,"number":2}
 {"at":18.1,"brk":"n3","run":1,"act":"settle","id":"2/2/s@n4","debtor":"north","creditor":"south","bytes":101,"number":2}"#,
-    |f: &Finding| matches!(f, Finding::SettledBeyondDebt { settled: 1001, owed: 1000, .. }))]
+    |f: &Finding| matches!(f, Finding::SettledBeyondDebt { settled_bytes: 1001, owed_bytes: 1000, .. }))]
 #[case::complete_without_a_segment(
     r#"{"at":18.0,"brk":"n1","run":1,"act":"answer","call":"e","status":200,"whole":true,"segs":[6],"epoch":2}"#,
-    |f: &Finding| matches!(f, Finding::FalselyComplete { missing, .. } if missing == &[5]))]
+    |f: &Finding| matches!(f, Finding::FalselyComplete { missing_segments, .. } if missing_segments == &[5]))]
 #[case::complete_with_segments_of_two_maps(
     r#"{"at":18.0,"brk":"n1","run":1,"act":"dispatch","call":"w","seg":5,"node":"s-1","shot":0,"once":false,"phase":"alone","numbers":[2]}
 {"at":18.1,"brk":"n1","run":1,"act":"answer","call":"w","status":200,"whole":true,"segs":[5],"epoch":1}"#,
@@ -143,7 +143,7 @@
 #[case::lost_records(r#"{"at":18.0,"brk":"n3","run":1,"act":"lost","count":7}"#,
     |f: &Finding| matches!(f, Finding::RecordsLost { count: 7, .. }))]
 #[case::unreadable_record("{\"at\":18.0,\"brk\":\"n3\",\"ru\n{\"at\":18.1,\"brk\":\"n3\",\"run\":1,\"act\":\"refused\",\"call\":\"q\",\"why\":\"no\"}",
-    |f: &Finding| matches!(f, Finding::Unreadable { line: 1, .. }))]
+    |f: &Finding| matches!(f, Finding::InvalidRecord { line: 1, .. }))]
 fn injected_fault_is_found_once(#[case] faulty_records: &str, #[case] is_expected: fn(&Finding) -> bool) {
     let findings = audit_with(faulty_records, &ground_truth());
     assert!(
@@ -155,10 +155,10 @@
 #[test]
 fn repeated_run_is_found() {
     let mut ground_truth = ground_truth();
-    ground_truth.runs.push(node_run("a", 8.2, "s-0"));
+    ground_truth.node_runs.push(node_run("a", 8.2, "s-0"));
     assert_eq!(
         audit_with("", &ground_truth),
-        [Finding::RanTwice { request_id: "a".to_string(), segment_id: 5, times: 2 }]
+        [Finding::RanTwice { request_id: "a".to_string(), segment_id: 5, run_count: 2 }]
     );
 }
 
@@ -166,12 +166,12 @@
 fn overlapping_runs_are_found() {
     let mut ground_truth = ground_truth();
     // 3.1 s after the previous run, which is longer than a part may take, so the runs cannot overlap.
-    ground_truth.runs.push(node_run("y", 14.0, "s-1"));
+    ground_truth.node_runs.push(node_run("y", 14.0, "s-1"));
     assert_eq!(audit_with("", &ground_truth), []);
-    ground_truth.runs.push(node_run("z", 15.5, "s-0"));
+    ground_truth.node_runs.push(node_run("z", 15.5, "s-0"));
     let findings = audit_with("", &ground_truth);
     assert!(
-        matches!(&findings[..], [Finding::OverlappingRuns { apart, .. }] if (apart - 1.5).abs() < 1e-9),
+        matches!(&findings[..], [Finding::OverlappingRuns { interval_seconds, .. }] if (interval_seconds - 1.5).abs() < 1e-9),
         "{findings:?}"
     );
 }
@@ -181,10 +181,10 @@
 #[test]
 fn run_after_lease_is_found() {
     let mut ground_truth = ground_truth();
-    ground_truth.runs[0].at = 40.0;
+    ground_truth.node_runs[0].arrived_at = 40.0;
     let findings = audit_with("", &ground_truth);
     assert!(
-        matches!(&findings[..], [Finding::RanAfterLease { late, .. }] if (late - 10.0).abs() < 1e-9),
+        matches!(&findings[..], [Finding::RanAfterLease { late_seconds, .. }] if (late_seconds - 10.0).abs() < 1e-9),
         "{findings:?}"
     );
 }
@@ -206,7 +206,7 @@
     assert_eq!(audit_with(&lines, &ground_truth()), []);
     let mut records = Records::default();
     records.append_sorted("shares", &lines);
-    assert_eq!(limits::peak_units(&records)["cold"], 700_000);
+    assert_eq!(quotas::peak_units(&records)["cold"], 700_000);
 }
 
 #[test]
@@ -225,5 +225,5 @@
     let late =
         r#"{"at":14.0,"brk":"n4","run":1,"act":"phase","phase":"alone","from":0,"to":1,"until":16.25}"#;
     records.append_sorted("late", late);
-    assert!((longest_contradiction(&records) - 1.25).abs() < 1e-9);
+    assert!((longest_version_conflict_seconds(&records) - 1.25).abs() < 1e-9);
 }
--- a/crates/dunepond-testkit/tests/bodies.rs
+++ b/crates/dunepond-testkit/tests/bodies.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use dunepond_testkit::body_cluster::{
-    BodyCluster, BodyNodeBehavior, BodyOutcome, BodyRequest, Node, body_request, mib_bytes, repeated_parts,
+    BodyCluster, BodyNodeBehavior, BodyOutcome, BodyRequest, Node, body_request, mib_bytes, repeated_part_ids,
 };
 use dunepond_testkit::stand_ins::{Client, query_request};
 use rstest::rstest;
@@ -46,18 +46,23 @@
 fn cluster_with_long_timeouts(nodes: &[BodyNodeBehavior], config_text: &str) -> BodyCluster {
     let nodes =
         nodes.iter().enumerate().map(|(i, behavior)| Node::start(&format!("s-{i}"), *behavior)).collect();
-    BodyCluster::start_with(Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")), nodes, config_text, |config| {
-        config["settings"]["ceilings"]["connectTimeoutMs"] = json!(20_000.0);
-        for service in config["settings"]["services"].as_array_mut().unwrap() {
-            (service["aimMs"], service["deadlineMs"]) = (json!(50_000.0), json!(55_000.0));
-        }
-    })
+    BodyCluster::start_with_config(
+        Path::new(env!("CARGO_BIN_EXE_dunepond-testkit")),
+        nodes,
+        config_text,
+        |config| {
+            config["settings"]["ceilings"]["connectTimeoutMs"] = json!(20_000.0);
+            for service in config["settings"]["services"].as_array_mut().unwrap() {
+                (service["aimMs"], service["deadlineMs"]) = (json!(50_000.0), json!(55_000.0));
+            }
+        },
+    )
 }
 
 /// Checks that the answer is complete and that the nodes received the whole body with each part.
 fn assert_served(outcome: &BodyOutcome, request: &BodyRequest) {
     assert_eq!(outcome.status(), 200, "{outcome:?}");
-    let body = &outcome.answer.as_ref().unwrap().body;
+    let body = &outcome.response.as_ref().unwrap().body;
     let found = body["found"].as_array().unwrap();
     assert_eq!((body["finished"].clone(), found.len()), (json!(true), request.shards.len()));
     assert!(found.iter().all(|part| part["item"] == json!(request.expected_value())), "{found:?}");
@@ -130,10 +135,10 @@
 #[case::empty_entry("1=0.5,,2=0.5", "no such shard")]
 fn invalid_shard_header_is_rejected(#[case] buckets: &str, #[case] expected_error: &str) {
     let cluster = cluster(&[BodyNodeBehavior::Serve], FILES_CONFIG);
-    let head = body_request("find", "c1", &[0], 4).head().replace("0=1.000000", buckets);
+    let head = body_request("find", "c1", &[0], 4).header().replace("0=1.000000", buckets);
     let mut client = Client::connect(&cluster.broker);
     client.send(&(head + "text"));
-    let answer = client.read_answer().unwrap();
+    let answer = client.read_response().unwrap();
     let error = answer.body["error"].as_str().unwrap();
     assert!(
         answer.status == 400 && error.starts_with("X-Buckets") && error.contains(expected_error),
@@ -147,11 +152,11 @@
 fn raw_bodies_are_off_by_default() {
     let cluster = cluster(&[BodyNodeBehavior::Serve], "log form=\"text\"");
     let mut client = Client::connect(&cluster.broker);
-    client.send(&(body_request("find", "c1", &[0], 4).head() + "text"));
-    assert_eq!(client.read_answer().unwrap().status, 400);
+    client.send(&(body_request("find", "c1", &[0], 4).header() + "text"));
+    assert_eq!(client.read_response().unwrap().status, 400);
     client = Client::connect(&cluster.broker);
-    client.send(&body_request("find", "c1", &[0], 100_000).head());
-    assert_eq!(client.read_answer().unwrap().status, 413);
+    client.send(&body_request("find", "c1", &[0], 100_000).header());
+    assert_eq!(client.read_response().unwrap().status, 413);
 }
 
 // Retries.
@@ -162,11 +167,11 @@
 fn buffered_body_is_retried(
     #[case] length: u64,
     #[values(
-        BodyNodeBehavior::Fault,
+        BodyNodeBehavior::ReportFailure,
         BodyNodeBehavior::Close,
         BodyNodeBehavior::CloseMidFrame,
-        BodyNodeBehavior::Refuse,
-        BodyNodeBehavior::RefuseMidFrame
+        BodyNodeBehavior::Reject,
+        BodyNodeBehavior::RejectMidFrame
     )]
     behavior: BodyNodeBehavior,
 ) {
@@ -180,7 +185,7 @@
 }
 
 #[rstest]
-#[case::fault(BodyNodeBehavior::Fault)]
+#[case::fault(BodyNodeBehavior::ReportFailure)]
 #[case::close(BodyNodeBehavior::Close)]
 #[case::close_mid_frame(BodyNodeBehavior::CloseMidFrame)]
 fn streamed_body_is_not_retried(#[case] behavior: BodyNodeBehavior) {
@@ -198,8 +203,8 @@
 
 /// A non-idempotent part that the node refused certainly did not run, so it is sent to another node with its whole body.
 #[rstest]
-#[case::refused(BodyNodeBehavior::Refuse)]
-#[case::refused_mid_frame(BodyNodeBehavior::RefuseMidFrame)]
+#[case::refused(BodyNodeBehavior::Reject)]
+#[case::refused_mid_frame(BodyNodeBehavior::RejectMidFrame)]
 fn rejected_non_idempotent_part_is_retried(
     #[case] behavior: BodyNodeBehavior,
     #[values(mib_bytes(1), mib_bytes(4))] length: u64,
@@ -214,7 +219,7 @@
         );
     }
     assert!(requests_after_first_frame > 0, "no frame was sent to the node that refuses parts");
-    assert_eq!(repeated_parts(&cluster.nodes, |_| true), Vec::<String>::new());
+    assert_eq!(repeated_part_ids(&cluster.nodes, |_| true), Vec::<String>::new());
 }
 
 /// A node closes the connection in the middle of a frame. If the broker had written the whole frame by then, the part may have
@@ -226,7 +231,7 @@
         let outcome = cluster.send(&body_request("fix", &format!("c{i}"), &[0], mib_bytes(7)));
         assert!(matches!(outcome.status(), 200 | 502), "{outcome:?}");
     }
-    assert_eq!(repeated_parts(&cluster.nodes, |_| true), Vec::<String>::new());
+    assert_eq!(repeated_part_ids(&cluster.nodes, |_| true), Vec::<String>::new());
 }
 
 #[test]
@@ -269,7 +274,7 @@
 
 #[test]
 fn short_writes_complete() {
-    let cluster = cluster(&[BodyNodeBehavior::Fault, BodyNodeBehavior::Serve], FILES_CONFIG);
+    let cluster = cluster(&[BodyNodeBehavior::ReportFailure, BodyNodeBehavior::Serve], FILES_CONFIG);
     cluster.set_disk_fault("little");
     let request = body_request("find", "c1", &[0, 1], mib_bytes(2));
     assert_served(&cluster.send(&request), &request);
@@ -356,11 +361,13 @@
 /// The client has sent its whole body, and disconnects while the broker reads the body from its file for a retry.
 #[test]
 fn disconnect_during_retry_frees_body() {
-    let cluster =
-        cluster(&[BodyNodeBehavior::Fault, BodyNodeBehavior::BytesPerSecond(mib_bytes(1))], FILES_CONFIG);
+    let cluster = cluster(
+        &[BodyNodeBehavior::ReportFailure, BodyNodeBehavior::BytesPerSecond(mib_bytes(1))],
+        FILES_CONFIG,
+    );
     let request = body_request("find", "c1", &[0], mib_bytes(4));
     let mut stream = TcpStream::connect(cluster.broker.address).unwrap();
-    stream.write_all(request.head().as_bytes()).unwrap();
+    stream.write_all(request.header().as_bytes()).unwrap();
     stream.write_all(&vec![7; request.body_bytes as usize]).unwrap();
     thread::sleep(Duration::from_millis(600));
     drop(stream);
@@ -389,7 +396,7 @@
         let outcome = slow.join().unwrap();
         assert!(outcome.status() == 408 || outcome.status() == 0, "{outcome:?}");
     });
-    assert_eq!(cluster.nodes.iter().filter(|n| n.runs().contains_key("slow.0")).count(), 0);
+    assert_eq!(cluster.nodes.iter().filter(|n| n.run_counts().contains_key("slow.0")).count(), 0);
 }
 
 /// A slow body that is streamed uses its own connections to the nodes, so it does not delay other queries.
@@ -492,7 +499,7 @@
     assert!(outcomes.iter().filter(|outcome| outcome.status() == 200).count() >= 5, "{outcomes:?}");
     let refused: Vec<_> = outcomes.iter().filter(|outcome| outcome.status() == 503).collect();
     let has_retry_after =
-        |outcome: &BodyOutcome| outcome.answer.as_ref().unwrap().head.contains("Retry-After: ");
+        |outcome: &BodyOutcome| outcome.response.as_ref().unwrap().header.contains("Retry-After: ");
     assert!(
         refused.iter().all(|outcome| has_retry_after(outcome) && outcome.error_text().starts_with("body: ")),
         "{refused:?}"
@@ -519,7 +526,7 @@
         let flood: Vec<_> = flood.map(|request| scope.spawn(move || cluster.send(&request))).collect();
         assert!(wait_for_log(cluster, "the customer's share of bodies.memory.all is used up"));
         cluster.nodes[1].set_behavior(BodyNodeBehavior::Serve);
-        cluster.nodes[0].set_behavior(BodyNodeBehavior::Fault);
+        cluster.nodes[0].set_behavior(BodyNodeBehavior::ReportFailure);
         for i in 0..3 {
             let request =
                 BodyRequest { tenant: "right", ..body_request("find", &format!("r{i}"), &[0], mib_bytes(1)) };
@@ -548,26 +555,27 @@
     cluster.broker.signal("TERM");
     assert_served(&sender.join().unwrap(), &request);
     assert_eq!(cluster.broker.exit_code(), Some(0));
-    assert_eq!(std::fs::read_dir(&cluster.folder).unwrap().count(), 0);
+    assert_eq!(std::fs::read_dir(&cluster.spill_folder).unwrap().count(), 0);
 }
 
 /// A new broker deletes the files that a killed broker left, and no other files in the folder.
 #[test]
 fn leftover_files_are_deleted() {
     let first = cluster(&[BodyNodeBehavior::Serve], FILES_CONFIG);
-    let leftover_body = first.folder.join("dunepond-lab0-3.body");
-    let leftover_owner = first.folder.join("dunepond-lab0.owner");
-    let (unrelated, similar_name) = (first.folder.join("notes.txt"), first.folder.join("dunepond-other.txt"));
+    let leftover_body = first.spill_folder.join("dunepond-lab0-3.body");
+    let leftover_owner = first.spill_folder.join("dunepond-lab0.owner");
+    let (unrelated, similar_name) =
+        (first.spill_folder.join("notes.txt"), first.spill_folder.join("dunepond-other.txt"));
     [&leftover_body, &leftover_owner, &unrelated, &similar_name]
         .iter()
         .for_each(|path| std::fs::write(path, "x").unwrap());
     first.broker.signal("KILL");
-    let config_text = FILES_CONFIG.replace("FOLDER", first.folder.to_str().unwrap());
+    let config_text = FILES_CONFIG.replace("FOLDER", first.spill_folder.to_str().unwrap());
     let second = cluster(&[BodyNodeBehavior::Serve], &config_text);
     assert!(
         !leftover_body.exists() && !leftover_owner.exists() && unrelated.exists() && similar_name.exists()
     );
-    let files = std::fs::read_dir(&first.folder).unwrap().flatten();
+    let files = std::fs::read_dir(&first.spill_folder).unwrap().flatten();
     let owners: Vec<_> = files
         .filter(|entry| entry.path().extension().is_some_and(|extension| extension == "owner"))
         .collect();
@@ -578,9 +586,9 @@
 
 #[test]
 fn two_brokers_share_body_folder() {
-    let first = cluster(&[BodyNodeBehavior::Fault, BodyNodeBehavior::Serve], FILES_CONFIG);
-    let config_text = FILES_CONFIG.replace("FOLDER", first.folder.to_str().unwrap());
-    let second = cluster(&[BodyNodeBehavior::Fault, BodyNodeBehavior::Serve], &config_text);
+    let first = cluster(&[BodyNodeBehavior::ReportFailure, BodyNodeBehavior::Serve], FILES_CONFIG);
+    let config_text = FILES_CONFIG.replace("FOLDER", first.spill_folder.to_str().unwrap());
+    let second = cluster(&[BodyNodeBehavior::ReportFailure, BodyNodeBehavior::Serve], &config_text);
     for i in 0..3 {
         for cluster in [&first, &second] {
             let request = body_request("find", &format!("c{i}"), &[0, 1], mib_bytes(4));
--- a/crates/dunepond-testkit/tests/links.rs
+++ b/crates/dunepond-testkit/tests/links.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use dunepond_testkit::links::{CUT, HEALTHY, LinkConditions, Links};
+use dunepond_testkit::links::{HEALTHY, LinkConditions, Links, PARTITIONED};
 use dunepond_testkit::processes::{BrokerProcess, wait_until};
 
 /// Two connected peers: `a` sends, and `b` echoes all stream data and datagrams.
@@ -86,7 +86,7 @@
     stream.read_exact(&mut received).unwrap();
     assert!(received == expected, "the echo differs from what was sent");
     assert_eq!(pair.send_datagrams(50), (0..50).collect::<Vec<_>>());
-    assert!(pair.links.delivered("a", "b") > 50 && pair.links.delivered("b", "a") > 50);
+    assert!(pair.links.delivered_count("a", "b") > 50 && pair.links.delivered_count("b", "a") > 50);
 }
 
 #[test]
@@ -99,7 +99,7 @@
     assert!(pair.send_datagrams(5).is_empty());
     let mut second = pair.connect();
     assert!(echo(&mut second).is_err());
-    pair.links.set_all(&HEALTHY);
+    pair.links.set_all_conditions(&HEALTHY);
     stream.read_exact(&mut [0]).unwrap();
     second.read_exact(&mut [0]).unwrap();
     assert_eq!(pair.send_datagrams(5).len(), 5);
@@ -111,20 +111,25 @@
     let mut stream = pair.connect();
     echo(&mut stream).unwrap();
     // The relay counts a chunk after writing it, so the client may read the echo before it is counted.
-    assert!(wait_until(|| (pair.links.delivered("a", "b"), pair.links.delivered("b", "a")) == (1, 1)));
-    let before = (pair.links.delivered("a", "b"), pair.links.delivered("b", "a"));
-    pair.links.set("b", "a", &CUT);
+    assert!(wait_until(
+        || (pair.links.delivered_count("a", "b"), pair.links.delivered_count("b", "a")) == (1, 1)
+    ));
+    let before = (pair.links.delivered_count("a", "b"), pair.links.delivered_count("b", "a"));
+    pair.links.set_conditions("b", "a", &PARTITIONED);
     assert!(echo(&mut stream).is_err());
     assert!(pair.send_datagrams(3).is_empty());
-    assert_eq!((pair.links.delivered("a", "b"), pair.links.delivered("b", "a")), (before.0 + 4, before.1));
+    assert_eq!(
+        (pair.links.delivered_count("a", "b"), pair.links.delivered_count("b", "a")),
+        (before.0 + 4, before.1)
+    );
 }
 
 #[test]
 fn half_open_link_discards_input() {
     let pair = echo_pair(4);
-    pair.links.set("a", "b", &LinkConditions { half_open: true, ..HEALTHY });
+    pair.links.set_conditions("a", "b", &LinkConditions { half_open: true, ..HEALTHY });
     assert!(echo(&mut pair.connect()).is_err());
-    assert_eq!(pair.links.delivered("a", "b"), 0);
+    assert_eq!(pair.links.delivered_count("a", "b"), 0);
 }
 
 #[test]
@@ -132,7 +137,7 @@
     let pair = echo_pair(5);
     let mut stream = pair.connect();
     echo(&mut stream).unwrap();
-    pair.links.reset("a", "b");
+    pair.links.reset_connections("a", "b");
     let is_broken =
         wait_until(|| echo(&mut stream).is_err_and(|error| error.kind() != ErrorKind::WouldBlock));
     assert!(is_broken, "the connection was not reset");
@@ -142,7 +147,7 @@
 #[test]
 fn delay_applies_both_ways() {
     let pair = echo_pair(6);
-    pair.links.set_all(&LinkConditions { delay_seconds: 0.06, jitter_seconds: 0.01, ..HEALTHY });
+    pair.links.set_all_conditions(&LinkConditions { delay_seconds: 0.06, jitter_seconds: 0.01, ..HEALTHY });
     let (mut stream, began) = (pair.connect(), Instant::now());
     echo(&mut stream).unwrap();
     assert!(began.elapsed() >= Duration::from_millis(120));
@@ -155,7 +160,7 @@
 #[test]
 fn rate_limit_delays_bytes() {
     let pair = echo_pair(7);
-    pair.links.set("a", "b", &LinkConditions { bytes_per_second: Some(100_000.0), ..HEALTHY });
+    pair.links.set_conditions("a", "b", &LinkConditions { bytes_per_second: Some(100_000.0), ..HEALTHY });
     let (mut stream, began) = (pair.connect(), Instant::now());
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     stream.write_all(&[7; 30_000]).unwrap();
@@ -169,7 +174,7 @@
     let conditions = LinkConditions { loss_ratio: 0.2, duplicate_ratio: 0.2, reorder_ratio: 0.2, ..HEALTHY };
     let run = |seed| {
         let pair = echo_pair(seed);
-        pair.links.set("a", "b", &conditions);
+        pair.links.set_conditions("a", "b", &conditions);
         let mut received = pair.send_datagrams(100);
         let is_ordered = received.is_sorted();
         received.sort_unstable();
