--- a/crates/dunepond-testkit/tests/phases.rs
+++ b/crates/dunepond-testkit/tests/phases.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use dunepond_testkit::prefilter_cluster::{
-    PrefilterCluster, ProbeBehavior, SegmentResults, parse_answer, query_request, term,
+    PrefilterCluster, ProbeBehavior, SegmentResults, parse_response, query_request, term,
 };
-use dunepond_testkit::stand_ins::{Answer, Client};
+use dunepond_testkit::stand_ins::{Client, Response};
 use rstest::rstest;
 
 const PREFILTER_CONFIG: &str = "phases least-segments=6 share=0.3 audits=0\ncounters every=0.2\n";
@@ -27,7 +27,7 @@
 
 struct QueryOutcome {
     results: SegmentResults,
-    answer: Answer,
+    answer: Response,
     elapsed_seconds: f64,
 }
 
@@ -43,7 +43,7 @@
     let start = Instant::now();
     let answer =
         Client::connect(&cluster.broker).request(&query_request("find", id, segments, timeout_seconds, term));
-    let (results, elapsed_seconds) = (parse_answer(&answer), start.elapsed().as_secs_f64());
+    let (results, elapsed_seconds) = (parse_response(&answer), start.elapsed().as_secs_f64());
     assert!(
         elapsed_seconds <= timeout_seconds + 0.05,
         "answered after {elapsed_seconds} s, timeout {timeout_seconds} s"
@@ -82,7 +82,7 @@
     let (matching, _) = cluster.corpus.partition_by_match(&search_term, &segments);
     assert!(outcome.results.complete && outcome.results.found == matching, "{:?}", outcome.results);
     assert!(outcome.results.pruned.len() > 12, "{:?}", outcome.results);
-    assert_eq!(cluster.searches(), segments.len() - outcome.results.pruned.len());
+    assert_eq!(cluster.search_count(), segments.len() - outcome.results.pruned.len());
     for excluded in outcome.answer.body["left_out"].as_array().unwrap() {
         let segment = excluded["bucket"].as_u64().unwrap() as usize;
         let denying_nodes: Vec<_> =
@@ -100,7 +100,7 @@
     let cluster = cluster(PREFILTER_CONFIG, |_| ProbeBehavior::Honest);
     let outcome = first_query(&cluster, "nobody-has-this");
     assert!(outcome.results.complete && outcome.results.searched.is_empty(), "{:?}", outcome.results);
-    assert_eq!((outcome.results.pruned.len(), cluster.searches()), (24, 0));
+    assert_eq!((outcome.results.pruned.len(), cluster.search_count()), (24, 0));
 }
 
 #[rstest]
@@ -111,12 +111,12 @@
 #[case::all_close(|_: usize| ProbeBehavior::Close)]
 #[case::all_send_malformed_replies(|_: usize| ProbeBehavior::Malformed)]
 #[case::all_reply_about_other_segments(|_: usize| ProbeBehavior::OtherSegments)]
-#[case::all_stall(|_: usize| ProbeBehavior::Stall)]
+#[case::all_stall(|_: usize| ProbeBehavior::Hang)]
 fn all_segments_are_searched_without_two_denials(#[case] behavior: fn(usize) -> ProbeBehavior) {
     let cluster = cluster(PREFILTER_CONFIG, behavior);
     let outcome = first_query(&cluster, "nobody-has-this");
     assert!(outcome.results.complete && outcome.results.searched.len() == 24, "{:?}", outcome.results);
-    assert_eq!((cluster.searches(), cluster.repeated_parts()), (24, 0));
+    assert_eq!((cluster.search_count(), cluster.repeated_part_count()), (24, 0));
 }
 
 /// Nodes that do not answer a probe delay the query by at most the prefilter's share of its time, and segments that other nodes
@@ -126,7 +126,7 @@
 #[case::a_third_of_the_nodes(4)]
 fn stalled_probes_cost_bounded_time(#[case] stalled: usize) {
     let cluster =
-        cluster(PREFILTER_CONFIG, |i| if i < stalled { ProbeBehavior::Stall } else { ProbeBehavior::Honest });
+        cluster(PREFILTER_CONFIG, |i| if i < stalled { ProbeBehavior::Hang } else { ProbeBehavior::Honest });
     let outcome = first_query(&cluster, "nobody-has-this");
     assert!(
         outcome.results.complete && outcome.elapsed_seconds < 0.3 * 2.0 + 0.3,
@@ -136,10 +136,10 @@
     );
     assert!(!outcome.results.pruned.is_empty(), "{:?}", outcome.results);
     // The stalled nodes are not probed for a while, so the next query with a prefilter does not wait for them again.
-    let before: usize = cluster.nodes[..stalled].iter().map(|node| node.probes()).sum();
+    let before: usize = cluster.nodes[..stalled].iter().map(|node| node.probe_count()).sum();
     query(&cluster, "c2", &wide_segments(), 2.0, "nobody-has-this");
     query(&cluster, "c3", &wide_segments(), 2.0, "nobody-has-this");
-    let after: usize = cluster.nodes[..stalled].iter().map(|node| node.probes()).sum();
+    let after: usize = cluster.nodes[..stalled].iter().map(|node| node.probe_count()).sum();
     assert!(after <= before + stalled, "probes to stalled nodes: {before} before, {after} after");
 }
 
@@ -152,8 +152,8 @@
         let outcome = query(&cluster, &format!("c{i}"), &wide_segments(), 2.0, &term(50, i));
         assert!(outcome.results.complete && outcome.results.searched.len() == 24, "{:?}", outcome.results);
     }
-    assert_eq!((cluster.searches(), cluster.repeated_parts()), (240, 0));
-    assert!(cluster.probes() <= 24, "{}", cluster.probes());
+    assert_eq!((cluster.search_count(), cluster.repeated_part_count()), (240, 0));
+    assert!(cluster.probe_count() <= 24, "{}", cluster.probe_count());
 }
 
 /// One of the three replicas of a segment falsely denies that it can match.
@@ -204,7 +204,7 @@
             2.0,
             &search_term,
         ));
-        let results = parse_answer(&answer);
+        let results = parse_response(&answer);
         falsely_complete.push(results.is_falsely_complete(
             &cluster.corpus,
             &search_term,
@@ -245,23 +245,22 @@
     // The first phase lasts for its whole time limit of 1.8 s, since the node never answers. By then the broker has read that the
     // node drains.
     let config_text = PREFILTER_CONFIG.replace("share=0.3", "share=0.6");
-    let cluster =
-        cluster(&config_text, |i| if i == 0 { ProbeBehavior::Stall } else { ProbeBehavior::Honest });
+    let cluster = cluster(&config_text, |i| if i == 0 { ProbeBehavior::Hang } else { ProbeBehavior::Honest });
     let outcome = thread::scope(|scope| {
         let sender = scope.spawn(|| query(&cluster, "c1", &wide_segments(), 3.0, &term(50, 1)));
-        wait_for("the node was not probed", || cluster.nodes[0].probes() > 0);
+        wait_for("the node was not probed", || cluster.nodes[0].probe_count() > 0);
         let endpoints = cluster
             .nodes
             .iter()
-            .map(|node| node.endpoint(if node.number == 0 { "draining" } else { "ready" }));
+            .map(|node| node.endpoint(if node.index == 0 { "draining" } else { "ready" }));
         cluster.discovery.publish(endpoints.collect());
-        cluster.discovery.wait_until_read();
+        cluster.discovery.wait_until_newest_version_polled();
         sender.join().unwrap()
     });
-    assert!(outcome.results.complete && cluster.nodes[0].searches() == 0, "{:?}", outcome.results);
-    let before = cluster.nodes[0].probes();
+    assert!(outcome.results.complete && cluster.nodes[0].search_count() == 0, "{:?}", outcome.results);
+    let before = cluster.nodes[0].probe_count();
     (2..8).for_each(|i| drop(query(&cluster, &format!("c{i}"), &wide_segments(), 2.0, &term(50, 1))));
-    assert_eq!((cluster.nodes[0].probes(), cluster.nodes[0].searches()), (before, 0));
+    assert_eq!((cluster.nodes[0].probe_count(), cluster.nodes[0].search_count()), (before, 0));
 }
 
 #[test]
@@ -277,7 +276,7 @@
         "nobody-has-this",
     ));
     assert_eq!(
-        (parse_answer(&answer).searched.len(), cluster.probes(), cluster.repeated_parts()),
+        (parse_response(&answer).searched.len(), cluster.probe_count(), cluster.repeated_part_count()),
         (24, 0, 0)
     );
 }
@@ -290,14 +289,14 @@
     for i in 0..10 {
         query(&cluster, &format!("c{i}"), &wide_segments(), 2.0, "nobody-has-this");
     }
-    let before = cluster.probes();
+    let before = cluster.probe_count();
     let outcome = query(&cluster, "hasty", &wide_segments(), 0.4, "nobody-has-this");
     assert!(
         outcome.results.complete && outcome.results.searched.len() == 24 && outcome.elapsed_seconds < 0.3,
         "{:?}",
         outcome.results
     );
-    assert_eq!(cluster.probes(), before);
+    assert_eq!(cluster.probe_count(), before);
 }
 
 /// The client disconnects while its probes are in flight: no segment is searched for it, and its state is freed.
@@ -306,10 +305,10 @@
     let cluster = cluster(PREFILTER_CONFIG, |_| ProbeBehavior::ReplyAfterMillis(200));
     let mut client = Client::connect(&cluster.broker);
     client.send(&query_request("find", "c1", &wide_segments(), 2.0, "nobody-has-this"));
-    wait_for("no probe came", || cluster.probes() > 0);
+    wait_for("no probe came", || cluster.probe_count() > 0);
     drop(client);
     thread::sleep(Duration::from_millis(600));
-    assert_eq!(cluster.searches(), 0);
+    assert_eq!(cluster.search_count(), 0);
     assert!(query(&cluster, "c1", &wide_segments(), 2.0, "nobody-has-this").results.complete);
 }
 
@@ -332,7 +331,7 @@
             assert!(outcome.results.complete && outcome.results.found == matching, "{:?}", outcome.results);
         }
     });
-    assert_eq!(cluster.repeated_parts(), 0);
+    assert_eq!(cluster.repeated_part_count(), 0);
 }
 
 #[test]
@@ -342,17 +341,17 @@
     for (i, client) in clients.iter_mut().enumerate() {
         client.send(&query_request("find", &format!("c{i}"), &wide_segments(), 2.0, "nobody-has-this"));
     }
-    let answers: Vec<_> = clients.iter_mut().map(|client| client.read_answer().unwrap()).collect();
-    assert!(answers.iter().all(|answer| parse_answer(answer).complete));
+    let answers: Vec<_> = clients.iter_mut().map(|client| client.read_response().unwrap()).collect();
+    assert!(answers.iter().all(|answer| parse_response(answer).complete));
     // With 12 nodes and two denials needed for each segment, a query that shares no probes sends 24.
-    assert!(cluster.probes() <= 3 * 24, "{}", cluster.probes());
+    assert!(cluster.probe_count() <= 3 * 24, "{}", cluster.probe_count());
 }
 
 #[test]
 fn disabled_prefilter_sends_no_probes() {
     let cluster = cluster("", |_| ProbeBehavior::Honest);
     let outcome = first_query(&cluster, "nobody-has-this");
-    assert_eq!((outcome.results.searched.len(), cluster.probes()), (24, 0));
+    assert_eq!((outcome.results.searched.len(), cluster.probe_count()), (24, 0));
     assert!(outcome.answer.body.get("left_out").is_none());
 }
 
@@ -364,9 +363,9 @@
     wait_for("the operator's file was not reloaded", || {
         cluster.broker.log_text().contains("operator's file reloaded")
     });
-    let before = cluster.probes();
+    let before = cluster.probe_count();
     (2..8).for_each(|i| drop(query(&cluster, &format!("c{i}"), &wide_segments(), 2.0, "nobody-has-this")));
-    assert_eq!(cluster.probes(), before);
+    assert_eq!(cluster.probe_count(), before);
     cluster.reload_config("");
     wait_for("the broker did not log that a restart is needed", || {
         cluster.broker.log_text().contains("phases, turned on or off, takes effect after a restart")
--- a/crates/dunepond-testkit/tests/restart.rs
+++ b/crates/dunepond-testkit/tests/restart.rs
@@ -6,7 +6,7 @@
 
 use dunepond_testkit::processes::{WAIT_TIMEOUT, wait_until};
 use dunepond_testkit::restart_cluster::{RestartCluster, unix_ms};
-use dunepond_testkit::stand_ins::{Answer, Broker, Client, NodeBehavior, query_request};
+use dunepond_testkit::stand_ins::{Broker, Client, NodeBehavior, Response, query_request};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -41,7 +41,7 @@
     id: &str,
     i: usize,
     timeout_seconds: &str,
-) -> (Answer, Duration) {
+) -> (Response, Duration) {
     let segments: Vec<_> = (0..4).map(|j| (i * 7 + j * 5) % 48).collect();
     let start = Instant::now();
     (client.request(&query_request(table_type, id, &segments, timeout_seconds)), start.elapsed())
@@ -105,7 +105,8 @@
 /// Whether the newest snapshot has all hanging nodes as ejected (`set aside`). A broker that is killed before that leaves an
 /// incomplete state.
 fn snapshot_has_ejected_nodes(cluster: &RestartCluster) -> bool {
-    let Ok(description) = dunepond_broker::persistence::describe(&cluster.folder, unix_ms() as f64 / 1e3)
+    let Ok(description) =
+        dunepond_broker::persistence::describe(&cluster.state_folder, unix_ms() as f64 / 1e3)
     else {
         return false;
     };
@@ -179,7 +180,7 @@
     cluster.adjust_config = |_| {};
     let hung_nodes = run_outage(&cluster);
     cluster.set_behavior_of_every(HANGING_NODE_STEP, NodeBehavior::Serve);
-    let part_count = |node: &usize| cluster.nodes[*node].frames('A').len();
+    let part_count = |node: &usize| cluster.nodes[*node].frames_of_type('A').len();
     let before: Vec<_> = hung_nodes.iter().map(part_count).collect();
     let broker = start_with_state(&cluster, STATE_CONFIG);
     let mut client = Client::connect(&broker);
@@ -204,8 +205,8 @@
 /// Once all nodes serve again, the stored state of an outage must not cause failed queries, neither for a node that has
 /// restarted since (its history no longer applies) nor for unchanged nodes.
 #[rstest]
-#[case::node_restarted(|cluster: &mut RestartCluster| cluster.restart_node(0, 1_000))]
-#[case::unchanged(|cluster: &mut RestartCluster| drop(std::fs::remove_dir_all(cluster.folder.join("none"))))]
+#[case::node_restarted(|cluster: &mut RestartCluster| cluster.publish_node_restart(0, 1_000))]
+#[case::unchanged(|cluster: &mut RestartCluster| drop(std::fs::remove_dir_all(cluster.state_folder.join("none"))))]
 fn all_queries_are_served_after_outage_and_crash(#[case] change: fn(&mut RestartCluster)) {
     let mut cluster = cluster(12);
     run_outage(&cluster);
@@ -222,8 +223,8 @@
     run_outage(&first);
     let second = cluster(12);
     // The same state folder and the same node names, but new addresses.
-    std::fs::remove_dir_all(&second.folder).unwrap();
-    std::fs::rename(&first.folder, &second.folder).unwrap();
+    std::fs::remove_dir_all(&second.state_folder).unwrap();
+    std::fs::rename(&first.state_folder, &second.state_folder).unwrap();
     let broker = start_with_state(&second, STATE_CONFIG);
     assert!(wait_for_log(&broker, "0 of 12 nodes restored"));
     assert_eq!(count_served(&broker, "c", 40), 40);
@@ -240,7 +241,7 @@
     let cluster = cluster(12);
     run_outage(&cluster);
     cluster.set_behavior_of_every(4, NodeBehavior::Serve);
-    for entry in std::fs::read_dir(&cluster.folder).unwrap().flatten() {
+    for entry in std::fs::read_dir(&cluster.state_folder).unwrap().flatten() {
         let mut bytes = std::fs::read(entry.path()).unwrap();
         if !bytes.is_empty() {
             damage(&mut bytes);
@@ -325,8 +326,8 @@
         let rules = &mut config["settings"]["rules"];
         (rules["fallMs"], rules["coldMs"]) = (json!(60_000.0), json!(120_000.0));
     };
-    cluster.restart_node(0, unix_ms());
-    let part_count = || cluster.nodes[0].frames('A').len();
+    cluster.publish_node_restart(0, unix_ms());
+    let part_count = || cluster.nodes[0].frames_of_type('A').len();
     // Each query covers all shards, since for a single part there would always be an idle warm node.
     let all_shards: Vec<_> = (0..48).collect();
     let count_new_parts = |broker: &Broker, prefix: &str| {
@@ -373,7 +374,7 @@
     cluster.set_disk_fault("");
     assert!(wait_for_log(&broker, "is in use again"));
     let snapshot_exists = || {
-        std::fs::read_dir(&cluster.folder)
+        std::fs::read_dir(&cluster.state_folder)
             .unwrap()
             .flatten()
             .any(|entry| entry.file_name().to_string_lossy().ends_with(".snapshot"))
--- a/crates/dunepond-testkit/tests/search.rs
+++ b/crates/dunepond-testkit/tests/search.rs
@@ -82,16 +82,16 @@
 #[rstest]
 #[case::all_serve("all", &[], Outcome::Complete)]
 #[case::one_hangs("all", &[(0, SearchNodeBehavior::Hang)], Outcome::Complete)]
-#[case::one_faults("all", &[(0, SearchNodeBehavior::Fault)], Outcome::Complete)]
-#[case::one_refuses("all", &[(0, SearchNodeBehavior::Refuse)], Outcome::Complete)]
+#[case::one_faults("all", &[(0, SearchNodeBehavior::ReportFailure)], Outcome::Complete)]
+#[case::one_refuses("all", &[(0, SearchNodeBehavior::Reject)], Outcome::Complete)]
 #[case::one_closes("all", &[(0, SearchNodeBehavior::Close)], Outcome::Complete)]
 #[case::all_hang("all", &[(0, SearchNodeBehavior::Hang), (1, SearchNodeBehavior::Hang), (2, SearchNodeBehavior::Hang)], Outcome::Refused)]
-#[case::all_refuse("all", &[(0, SearchNodeBehavior::Refuse), (1, SearchNodeBehavior::Refuse), (2, SearchNodeBehavior::Refuse)], Outcome::Refused)]
+#[case::all_refuse("all", &[(0, SearchNodeBehavior::Reject), (1, SearchNodeBehavior::Reject), (2, SearchNodeBehavior::Reject)], Outcome::Refused)]
 #[case::fix_served("fix", &[], Outcome::Complete)]
-#[case::fix_refused_by_one("fix", &[(0, SearchNodeBehavior::Refuse)], Outcome::Complete)]
-#[case::fix_refused_by_all("fix", &[(0, SearchNodeBehavior::Refuse), (1, SearchNodeBehavior::Refuse), (2, SearchNodeBehavior::Refuse)], Outcome::Refused)]
+#[case::fix_refused_by_one("fix", &[(0, SearchNodeBehavior::Reject)], Outcome::Complete)]
+#[case::fix_refused_by_all("fix", &[(0, SearchNodeBehavior::Reject), (1, SearchNodeBehavior::Reject), (2, SearchNodeBehavior::Reject)], Outcome::Refused)]
 #[case::fix_closed_on("fix", &[(0, SearchNodeBehavior::Close), (1, SearchNodeBehavior::Close), (2, SearchNodeBehavior::Close)], Outcome::Unknown)]
-#[case::fix_failed("fix", &[(0, SearchNodeBehavior::Fault), (1, SearchNodeBehavior::Fault), (2, SearchNodeBehavior::Fault)], Outcome::Unknown)]
+#[case::fix_failed("fix", &[(0, SearchNodeBehavior::ReportFailure), (1, SearchNodeBehavior::ReportFailure), (2, SearchNodeBehavior::ReportFailure)], Outcome::Unknown)]
 #[case::fix_unanswered("fix", &[(0, SearchNodeBehavior::Hang), (1, SearchNodeBehavior::Hang), (2, SearchNodeBehavior::Hang)], Outcome::Unknown)]
 fn outcome_is_the_same_at_both_ports(
     #[case] table_type: &str,
@@ -111,7 +111,7 @@
         assert!(outcome == expected || refused_unsent, "{port:?}, query {i}: {outcome:?}");
     }
     if table_type == "fix" {
-        assert_eq!(cluster.repeated_parts(), 0);
+        assert_eq!(cluster.repeated_part_count(), 0);
     }
 }
 
@@ -217,7 +217,7 @@
     // With no results at all the query is refused with a `Retry-After` instead of answered with no hits.
     let none = new_cluster(SearchNodeBehavior::Hang).request("GET", "/find/_search?timeout=900ms", "");
     assert_eq!(none.body["error"]["type"], json!("rejected_execution_exception"), "{}", none.body);
-    assert!(none.head.contains("Retry-After"), "{}", none.head);
+    assert!(none.header.contains("Retry-After"), "{}", none.header);
 }
 
 #[test]
@@ -251,7 +251,7 @@
     let mut client = Client::connect_to(cluster.api_address);
     client.send(&http_request("POST", "/_msearch", &body));
     let start = Instant::now();
-    while cluster.runs() < 30 {
+    while cluster.run_count() < 30 {
         assert!(start.elapsed() < Duration::from_secs(10));
         thread::sleep(Duration::from_millis(5));
     }
@@ -283,11 +283,11 @@
     let cluster = cluster(1);
     let mut client = Client::connect_to(cluster.api_address);
     client.send(bytes);
-    let answer = client.read_answer().unwrap();
+    let answer = client.read_response().unwrap();
     assert_eq!(answer.status, status, "{}", answer.body);
     assert_eq!(answer.body["status"], json!(status));
     assert!(answer.body["error"]["root_cause"][0]["reason"].is_string(), "{}", answer.body);
-    assert_eq!(cluster.runs(), 0);
+    assert_eq!(cluster.run_count(), 0);
 }
 
 /// A client that doesn't complete its request is ended by the same time limits as at the broker's native port, and other clients
@@ -299,7 +299,7 @@
     slow.stream.write_all(b"POST /all/_search HTTP/1.1\r\nContent-Length: 9\r\n\r\n{").unwrap();
     let start = Instant::now();
     assert_eq!(cluster.request("GET", "/all/_search", "").status, 200);
-    let answer = slow.read_answer().unwrap();
+    let answer = slow.read_response().unwrap();
     assert_eq!((answer.status, answer.body["status"].clone()), (408, json!(408)));
     assert!(start.elapsed() < Duration::from_secs(4));
 }
@@ -346,8 +346,8 @@
         });
         assert_eq!(finished, json!(true));
     }
-    assert!(cluster.nodes.iter().all(|node| node.runs() > 10));
-    assert_eq!(cluster.repeated_parts(), 0);
+    assert!(cluster.nodes.iter().all(|node| node.run_count() > 10));
+    assert_eq!(cluster.repeated_part_count(), 0);
 }
 
 /// Nodes close connections without announcing it. A non-idempotent part that was being sent at that time may have run,
@@ -367,7 +367,7 @@
         );
         thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(cluster.repeated_parts(), 0);
+    assert_eq!(cluster.repeated_part_count(), 0);
     // Idempotent queries are retried on other nodes, and served.
     cluster.nodes[1].set_behavior(SearchNodeBehavior::Serve);
     cluster.nodes[2].set_behavior(SearchNodeBehavior::Serve);
@@ -384,7 +384,7 @@
     for i in 0..5 {
         assert_eq!(Port::SearchApi.query(&cluster, "fix", &format!("c{i}")), Outcome::Complete);
     }
-    assert_eq!(cluster.repeated_parts(), 0);
+    assert_eq!(cluster.repeated_part_count(), 0);
 }
 
 #[test]
