--- a/crates/dunepond-storage/tests/crashes.rs
+++ b/crates/dunepond-storage/tests/crashes.rs
@@ -35,7 +35,7 @@
         let store = MemoryStore::default();
         store.set_plan(FaultPlan::StopAtCall(at));
         let written = write_four(&store);
-        store.crash(machine, seed);
+        store.restart_after_crash(machine, seed);
         let found = newest_snapshot(&store);
         let expected = [(written > 0).then(|| payload(written)), Some(payload(written + 1))];
         assert!(
@@ -58,7 +58,7 @@
         let store = MemoryStore::default();
         store.set_plan(FaultPlan::StopAtCall(at));
         let (appended, synced) = write_journal(&store);
-        store.crash(machine, seed);
+        store.restart_after_crash(machine, seed);
         let (mut journal, recovered) = Journal::open(Arc::new(store.clone()), "ledger", VERSION).unwrap();
         let found: Vec<_> = recovered.records.into_iter().map(|record| record.bytes).collect();
         let min_records = if machine { synced } else { appended.len() };
--- a/crates/dunepond-storage/tests/damage.rs
+++ b/crates/dunepond-storage/tests/damage.rs
@@ -17,7 +17,7 @@
     snapshots(&store).write(&payload(1)).unwrap();
     snapshots(&store).write(&payload(2)).unwrap();
     write_journal(&store);
-    for name in store.names() {
+    for name in store.file_names() {
         let intact = store.contents(&name).unwrap();
         let flipped = (0..intact.len()).flat_map(|at| {
             let intact = &intact;
@@ -66,7 +66,7 @@
     let files = Arc::new(store.clone());
     SnapshotStore::new(files.clone(), "beliefs", VERSION + 1).write(&payload(9)).unwrap();
     Journal::open(files.clone(), "ledger", VERSION + 1).unwrap().0.append(&payload(9)).unwrap();
-    let before: Vec<_> = store.names().into_iter().map(|name| (store.contents(&name), name)).collect();
+    let before: Vec<_> = store.file_names().into_iter().map(|name| (store.contents(&name), name)).collect();
     assert!(Journal::open(files.clone(), "ledger", VERSION).is_err());
     let mut snapshots = snapshots(&store);
     for n in 1..6 {
@@ -77,7 +77,7 @@
     assert!(found.faults.iter().any(|(_, fault)| *fault == FileFault::NewerVersion(VERSION + 1)));
     assert!(before.iter().all(|(bytes, name)| store.contents(name) == *bytes));
     // The newer version's snapshot and the last two of this version are left.
-    assert_eq!(store.names().iter().filter(|name| name.ends_with(".snapshot")).count(), 3);
+    assert_eq!(store.file_names().iter().filter(|name| name.ends_with(".snapshot")).count(), 3);
 }
 
 #[test]
@@ -115,7 +115,7 @@
         let store = MemoryStore::default();
         snapshots(&store).write(&payload(1)).unwrap();
         Journal::open(Arc::new(store.clone()), "ledger", VERSION).unwrap().0.append(&payload(1)).unwrap();
-        for name in store.names() {
+        for name in store.file_names() {
             let intact = store.contents(&name).unwrap();
             store.overwrite(&name, [&intact[..keep.min(intact.len())], &bytes].concat());
         }
--- a/crates/dunepond-storage/tests/golden.rs
+++ b/crates/dunepond-storage/tests/golden.rs
@@ -27,7 +27,8 @@
 
 /// Asserts that the bytes of `name` in `files` are those of the golden file `golden_name`.
 fn assert_matches_golden(files: &MemoryStore, name: &str, golden_name: &str) {
-    let written = files.contents(name).unwrap_or_else(|| panic!("{name} is missing: {:?}", files.names()));
+    let written =
+        files.contents(name).unwrap_or_else(|| panic!("{name} is missing: {:?}", files.file_names()));
     assert_eq!(written, golden(golden_name), "{name}");
 }
 
@@ -41,7 +42,7 @@
     let mut snapshots = SnapshotStore::new(Arc::new(files.clone()), "beliefs", FORMAT);
     assert_eq!(snapshots.write(FIRST).unwrap(), 1);
     assert_eq!(snapshots.write(SECOND).unwrap(), 2);
-    assert_eq!(files.names(), SNAPSHOTS);
+    assert_eq!(files.file_names(), SNAPSHOTS);
     for name in SNAPSHOTS {
         assert_matches_golden(&files, name, name);
     }
@@ -77,12 +78,12 @@
     assert_eq!(journal.append(FIRST).unwrap(), 1);
     assert_eq!(journal.append(SECOND).unwrap(), 2);
     journal.sync().unwrap();
-    assert_eq!(files.names(), [JOURNAL]);
+    assert_eq!(files.file_names(), [JOURNAL]);
     assert_matches_golden(&files, JOURNAL, JOURNAL);
 
     journal.rewrite(&[SECOND.to_vec()]).unwrap();
     assert_eq!(journal.append(FIRST).unwrap(), 4);
-    assert_eq!(files.names(), [JOURNAL]);
+    assert_eq!(files.file_names(), [JOURNAL]);
     assert_matches_golden(&files, JOURNAL, JOURNAL_REWRITTEN);
 }
 
--- a/crates/dunepond-testkit/src/auditor/finding.rs
+++ b/crates/dunepond-testkit/src/auditor/finding.rs
@@ -145,14 +145,14 @@
     },
     /// The brokers' shares of a quota added up to more than the quota.
     #[error(
-        "at {at:.3} s, the brokers' shares of quota {quota} add up to {units} units, but the quota has \
+        "at {at:.3} s, the brokers' shares of quota {quota} add up to {total_units} units, but the quota has \
          {quota_units}: {shares}"
     )]
     QuotaExceeded {
         /// Name of the quota.
         quota: String,
         /// Sum of the brokers' shares, in units.
-        units: u64,
+        total_units: u64,
         /// Number of units in the quota.
         quota_units: u64,
         /// When the sum first exceeded the quota, in seconds on the monotonic clock.
@@ -161,40 +161,40 @@
         shares: String,
     },
     /// Brokers recorded different outcomes of one plan.
-    #[error("plan {id} was recorded with the outcomes {first_outcome} and {second_outcome}")]
+    #[error("plan {plan_id} was recorded with the outcomes {first_outcome} and {second_outcome}")]
     PlanOutcomeConflict {
         /// Id of the plan.
-        id: String,
+        plan_id: String,
         /// Outcome in the first record.
         first_outcome: String,
         /// Outcome in a later record.
         second_outcome: String,
     },
     /// A broker applied a settlement twice in one incarnation.
-    #[error("broker {broker} applied settlement {id} twice in one incarnation")]
+    #[error("broker {broker} applied settlement {settlement_id} twice in one incarnation")]
     SettlementReapplied {
         /// Name of the broker.
         broker: String,
         /// Id of the settlement.
-        id: String,
+        settlement_id: String,
     },
     /// A settlement has other terms at a broker than in the first record of it.
-    #[error("settlement {id} has other terms at broker {broker} than in its first record")]
+    #[error("settlement {settlement_id} has other terms at broker {broker} than in its first record")]
     SettlementMismatch {
         /// Name of the broker.
         broker: String,
         /// Id of the settlement.
-        id: String,
+        settlement_id: String,
     },
     /// One fill was settled under two settlement ids.
-    #[error("fill {fill} was settled as {first_id} and as {second_id}")]
+    #[error("fill {fill_id} was settled as {first_settlement_id} and as {second_settlement_id}")]
     FillSettledTwice {
         /// Id of the fill.
-        fill: String,
+        fill_id: String,
         /// Id of the settlement that was recorded first.
-        first_id: String,
+        first_settlement_id: String,
         /// Id of the other settlement.
-        second_id: String,
+        second_settlement_id: String,
     },
     /// A broker settled more between two partners than was owed.
     #[error(
@@ -243,18 +243,18 @@
         attempt_epochs: Vec<u64>,
     },
     /// A configuration version was confirmed with different contents.
-    #[error("configuration version {number} was confirmed with different digests: {digests:?}")]
+    #[error("configuration version {version} was confirmed with different digests: {digests:?}")]
     DigestConflict {
         /// Number of the configuration version.
-        number: u64,
+        version: u64,
         /// Digests with which the version was confirmed.
         digests: Vec<String>,
     },
     /// A configuration version was both confirmed and withdrawn.
-    #[error("configuration version {number} was both confirmed and withdrawn")]
+    #[error("configuration version {version} was both confirmed and withdrawn")]
     ConfirmedAndWithdrawn {
         /// Number of the configuration version.
-        number: u64,
+        version: u64,
     },
     /// A broker lost audit records.
     #[error("broker {broker} lost {count} audit records")]
--- a/crates/dunepond-testkit/src/auditor/quotas.rs
+++ b/crates/dunepond-testkit/src/auditor/quotas.rs
@@ -95,7 +95,7 @@
         if let Some(sum) = exceeded {
             findings.push(Finding::QuotaExceeded {
                 quota: quota.clone(),
-                units: sum.units,
+                total_units: sum.units,
                 quota_units: QUOTA_UNITS,
                 at: sum.at,
                 shares: format!("{:?}", sum.by_broker),
--- a/crates/dunepond-testkit/src/auditor/settlements.rs
+++ b/crates/dunepond-testkit/src/auditor/settlements.rs
@@ -33,18 +33,18 @@
         let (broker, incarnation) = (&record.broker, record.incarnation);
         let terms = Terms { debtor, creditor, bytes: *bytes };
         if !applied.insert((broker, incarnation, id)) {
-            findings.push(Finding::SettlementReapplied { broker: broker.clone(), id: id.clone() });
+            findings.push(Finding::SettlementReapplied { broker: broker.clone(), settlement_id: id.clone() });
         } else if *first_terms.entry(id).or_insert(terms) != terms {
-            findings.push(Finding::SettlementMismatch { broker: broker.clone(), id: id.clone() });
+            findings.push(Finding::SettlementMismatch { broker: broker.clone(), settlement_id: id.clone() });
         }
         // A settlement id has the form FILL@BROKER. A fill is settled once only, whichever broker carried it out.
         let fill = id.rsplit_once('@').map_or(id.as_str(), |(fill, _)| fill);
         let first_id = *first_ids.entry(fill).or_insert(id);
         if first_id != id {
             findings.push(Finding::FillSettledTwice {
-                fill: fill.to_string(),
-                first_id: first_id.to_string(),
-                second_id: id.clone(),
+                fill_id: fill.to_string(),
+                first_settlement_id: first_id.to_string(),
+                second_settlement_id: id.clone(),
             });
         }
         *sums.entry(SumKey { broker, incarnation, debtor, creditor }).or_default() += bytes;
--- a/crates/dunepond-testkit/src/auditor/versions.rs
+++ b/crates/dunepond-testkit/src/auditor/versions.rs
@@ -23,13 +23,13 @@
             _ => {}
         }
     }
-    for (number, digests) in confirmed {
+    for (version, digests) in confirmed {
         if digests.len() > 1 {
             let digests = digests.into_iter().cloned().collect();
-            findings.push(Finding::DigestConflict { number, digests });
+            findings.push(Finding::DigestConflict { version, digests });
         }
-        if withdrawn.contains(&number) {
-            findings.push(Finding::ConfirmedAndWithdrawn { number });
+        if withdrawn.contains(&version) {
+            findings.push(Finding::ConfirmedAndWithdrawn { version });
         }
     }
 }
--- a/crates/dunepond-testkit/src/body_cluster/node.rs
+++ b/crates/dunepond-testkit/src/body_cluster/node.rs
@@ -40,7 +40,7 @@
     /// Closes the connection when half of the body has arrived.
     CloseMidFrame,
     /// Serves, but reads bodies at most at this rate, in bytes per second.
-    BytesPerSecond(u64),
+    ServeAtBytesPerSecond(u64),
 }
 
 /// Counts of the connections and the part frames that a node received.
@@ -170,7 +170,7 @@
                     self.record_partial();
                     return Ok(BodyResult::Aborted);
                 }
-                BodyNodeBehavior::BytesPerSecond(rate) => {
+                BodyNodeBehavior::ServeAtBytesPerSecond(rate) => {
                     let due_seconds = (part.body_bytes - remaining) as f64 / rate as f64;
                     let wait_seconds = (due_seconds - started.elapsed().as_secs_f64()).max(0.0);
                     thread::sleep(Duration::from_secs_f64(wait_seconds));
--- a/crates/dunepond-testkit/src/experiments/bodies/cases.rs
+++ b/crates/dunepond-testkit/src/experiments/bodies/cases.rs
@@ -6,24 +6,24 @@
 
 /// A set of requests that are sent concurrently to a cluster of its own.
 pub(super) struct Case {
-    /// Name of the case in the figures and for the case filter.
+    /// Name of the case in the report and for the case filter.
     pub name: &'static str,
     /// Whether bodies may be spilled to files.
     pub spill_to_files: bool,
     /// Memory limit of a single body, in the syntax of the operator file.
-    pub memory_one: &'static str,
+    pub max_body_memory: &'static str,
     /// Behavior of each node.
     pub behaviors: [BodyNodeBehavior; 3],
     /// Fault of the disk in the syntax of [`crate::faulty_disk`]; empty for a working disk.
-    pub disk: &'static str,
+    pub disk_fault: &'static str,
     /// Requests that are sent at the same time.
     pub requests: Vec<BodyRequest>,
 }
 
 impl Case {
     /// Creates a case that may spill bodies to files, with serving nodes and a working disk.
-    fn new(name: &'static str, memory_one: &'static str, requests: Vec<BodyRequest>) -> Self {
-        Self { name, spill_to_files: true, memory_one, behaviors: SERVING, disk: "", requests }
+    fn new(name: &'static str, max_body_memory: &'static str, requests: Vec<BodyRequest>) -> Self {
+        Self { name, spill_to_files: true, max_body_memory, behaviors: SERVING, disk_fault: "", requests }
     }
 
     fn without_spilling(mut self) -> Self {
@@ -32,13 +32,13 @@
     }
 
     /// Sets the behavior of the first node; the other nodes serve.
-    fn first_node(mut self, behavior: BodyNodeBehavior) -> Self {
+    fn with_first_node(mut self, behavior: BodyNodeBehavior) -> Self {
         self.behaviors[0] = behavior;
         self
     }
 
-    fn disk(mut self, fault: &'static str) -> Self {
-        self.disk = fault;
+    fn with_disk_fault(mut self, fault: &'static str) -> Self {
+        self.disk_fault = fault;
         self
     }
 }
@@ -64,20 +64,21 @@
             find_queries(request_count, 1).into_iter().map(chunked).collect(),
         ),
         Case::new("fix-request, a node refuses half way", "4MiB", fix_queries(request_count, 4))
-            .first_node(BodyNodeBehavior::RejectMidFrame),
+            .with_first_node(BodyNodeBehavior::RejectMidFrame),
         Case::new("fix-request, a node closes", "4MiB", fix_queries(request_count, 4))
-            .first_node(BodyNodeBehavior::Close),
+            .with_first_node(BodyNodeBehavior::Close),
         Case::new("a node is stuck", "1MiB", find_queries(12, 16))
             .without_spilling()
-            .first_node(BodyNodeBehavior::StopReading),
+            .with_first_node(BodyNodeBehavior::StopReading),
         Case::new(
             "clients leave",
             "1MiB",
             find_queries(request_count, 4).into_iter().map(disconnecting).collect(),
         ),
-        Case::new("the disk is full", "1MiB", find_queries(request_count, 4)).disk("full"),
-        Case::new("the disk stalls", "1MiB", find_queries(request_count, 4)).disk("stall 2"),
-        Case::new("files cannot be read back", "1MiB", find_queries(request_count, 4)).disk("unreadable"),
+        Case::new("the disk is full", "1MiB", find_queries(request_count, 4)).with_disk_fault("full"),
+        Case::new("the disk stalls", "1MiB", find_queries(request_count, 4)).with_disk_fault("stall 2"),
+        Case::new("files cannot be read back", "1MiB", find_queries(request_count, 4))
+            .with_disk_fault("unreadable"),
     ]
 }
 
--- a/crates/dunepond-testkit/src/experiments/bodies/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/bodies/mod.rs
@@ -27,8 +27,8 @@
 /// mean that the body is copied.
 const MAX_FRAME_OVERHEAD_BYTES: f64 = 100.0;
 
-/// Operator configuration of the broker; `memory_one` is the memory limit of a single body.
-fn operator_kdl(spill_to_files: bool, memory_one: &str) -> String {
+/// Operator configuration of the broker; `max_body_memory` is the memory limit of a single body.
+fn operator_kdl(spill_to_files: bool, max_body_memory: &str) -> String {
     let files = match spill_to_files {
         true => {
             "files folder=\"FOLDER\" one=\"64MiB\" all=\"2GiB\" threads=2 waiting=128 rest=0.2 longest-rest=1"
@@ -36,7 +36,7 @@
         false => "",
     };
     format!(
-        "bodies {{\n longest \"64MiB\"\n memory one=\"{memory_one}\" all=\"{MEMORY_LIMIT_MIB}MiB\"\n {files}\n \
+        "bodies {{\n longest \"64MiB\"\n memory one=\"{max_body_memory}\" all=\"{MEMORY_LIMIT_MIB}MiB\"\n {files}\n \
          share customer=1.0 table-type=1.0\n window \"256KiB\"\n slowest 1.0\n}}\ncounters every=0.2\n"
     )
 }
@@ -46,11 +46,11 @@
     options: &RunOptions,
     behaviors: &[BodyNodeBehavior],
     spill_to_files: bool,
-    memory_one: &str,
+    max_body_memory: &str,
 ) -> BodyCluster {
     let nodes = behaviors.iter().enumerate().map(|(i, behavior)| Node::start(&format!("s-{i}"), *behavior));
     let mut cluster =
-        BodyCluster::start(&options.program, nodes.collect(), &operator_kdl(spill_to_files, memory_one));
+        BodyCluster::start(&options.program, nodes.collect(), &operator_kdl(spill_to_files, max_body_memory));
     cluster.broker.suppress_log = true;
     cluster
 }
@@ -103,8 +103,8 @@
     let (mut invalid_outcomes, mut repeated_count, mut query_count) = (0, 0, 0);
     for case in cases(options.quick).into_iter().filter(|case| options.includes(case.name)) {
         eprintln!("{} ...", case.name);
-        let cluster = cluster(options, &case.behaviors, case.spill_to_files, case.memory_one);
-        cluster.set_disk_fault(case.disk);
+        let cluster = cluster(options, &case.behaviors, case.spill_to_files, case.max_body_memory);
+        cluster.set_disk_fault(case.disk_fault);
         let outcomes = send_concurrently(&cluster, &case.requests);
         let served = outcomes.iter().filter(|outcome| outcome.status() == 200).count();
         experiment_report.add_value(
--- a/crates/dunepond-testkit/src/experiments/bodies/small_queries.rs
+++ b/crates/dunepond-testkit/src/experiments/bodies/small_queries.rs
@@ -57,14 +57,14 @@
 impl SmallQueries<'_> {
     fn run(&self, seed: u64) -> LoadReport {
         let number = self.runs.fetch_add(1, Ordering::Relaxed) + 1;
-        let load = Workload {
+        let workload = Workload {
             broker_address: self.cluster.broker.address,
             requests_per_second: REQUESTS_PER_SECOND,
             duration_seconds: self.seconds,
             seed,
             id_prefix: Box::leak(format!("s{number}-").into_boxed_str()),
         };
-        load.run()
+        workload.run()
     }
 
     /// Runs small queries next to a stream of large bodies, with the given disk fault toggled, or a working disk if it is empty.
@@ -157,7 +157,7 @@
         "times",
     );
     let all_rounds = rounds.alone.iter().chain(&rounds.with_files).chain(&rounds.with_stalls);
-    let not_served: u64 = all_rounds.map(|round| round.failed + round.rejected).sum();
+    let not_served: u64 = all_rounds.map(|round| round.failed_count + round.rejected_count).sum();
     experiment_report.add_bounded_value("small scans lost or refused", not_served as f64, 0.0, "");
     let curves = vec![
         rounds.alone[0].latency_curve("alone"),
--- a/crates/dunepond-testkit/src/experiments/consensus.rs
+++ b/crates/dunepond-testkit/src/experiments/consensus.rs
@@ -1,5 +1,5 @@
-//! A fleet whose brokers agree on configuration versions. Measures how long brokers contradict each other during changes and
-//! network partitions, how many queries a partition costs, how long agreement takes, and what it costs while idle.
+//! A fleet whose brokers agree on configuration versions. Measures how long two brokers have different versions active during
+//! changes and network partitions, how many queries a partition costs, how long agreement takes, and what it costs while idle.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -48,7 +48,7 @@
         true => Scale { brokers: 5, rounds: 3, request_pause: REQUEST_PAUSE },
         false => Scale { brokers: 30, rounds: 8, request_pause: 10 * REQUEST_PAUSE },
     };
-    let mut fleet = Fleet::start_with_version(fleet_options(run_options, 5, scale.brokers));
+    let mut fleet = Fleet::start_with_active_version(fleet_options(run_options, 5, scale.brokers));
     let objective_seconds = fleet.options.query_timeout_seconds / 2.0;
     let clients = fleet.start_clients(0..scale.brokers, scale.request_pause);
     thread::sleep(LOAD_DURATION);
@@ -128,7 +128,7 @@
     served
 }
 
-/// Reports the auditor's findings and the longest contradiction between brokers.
+/// Reports the auditor's findings and the longest time for which two brokers had different versions active.
 fn report_audit(experiment_report: &mut ExperimentReport, fleet: &Fleet) {
     let records = fleet.records();
     let longest = longest_version_conflict_seconds(&records);
@@ -147,7 +147,7 @@
     let sizes: &[usize] = if run_options.quick { &[3, 7] } else { &[3, 7, 15, 30] };
     let mut points = Vec::new();
     for &size in sizes {
-        let fleet = Fleet::start_with_version(fleet_options(run_options, 3, size));
+        let fleet = Fleet::start_with_active_version(fleet_options(run_options, 3, size));
         let (before, began) = (fleet.links.total_delivered_count(), Instant::now());
         thread::sleep(Duration::from_secs(2));
         let sent = (fleet.links.total_delivered_count() - before) as f64;
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/components.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/components.rs
@@ -69,7 +69,7 @@
         let fit = fit_growth(&points);
         experiment_report.add_value(
             format!("{name} grow with segments as S^x: {}", fit.growth),
-            fit.power,
+            fit.exponent,
             "x",
         );
     }
@@ -123,7 +123,7 @@
     }
     for (name, points) in [("counts told", count_bytes), ("a look at the counts", update_times)] {
         let fit = fit_growth(&points);
-        experiment_report.add_value(format!("{name} grow as N^x: {}", fit.growth), fit.power, "x");
+        experiment_report.add_value(format!("{name} grow as N^x: {}", fit.growth), fit.exponent, "x");
     }
 }
 
@@ -244,7 +244,7 @@
         let fit = fit_growth(points);
         experiment_report.add_value(
             format!("membership's {name} of a broker grow as N^x: {}", fit.growth),
-            fit.power,
+            fit.exponent,
             "x",
         );
         curves.push(Curve { name: name.to_string(), points: to_log10(points) });
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/cost.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/cost.rs
@@ -17,7 +17,7 @@
 const STEADY_SECONDS: f64 = 30.0;
 /// Upper bound on the exponent x where cost grows as the number of brokers to the power of x; flat and logarithmic growth
 /// stay below it.
-const MAX_GROWTH_POWER: f64 = 0.25;
+const MAX_GROWTH_EXPONENT: f64 = 0.25;
 /// Messages per second that the leader's host handles easily.
 const MAX_LEADER_MESSAGES_PER_SECOND: f64 = 50_000.0;
 
@@ -42,9 +42,9 @@
 
 /// A kind of cost per second, reported for the leader and as the median of the brokers that are not voters.
 struct Cost {
-    /// Name in the figures.
+    /// Name in the report.
     name: &'static str,
-    /// Unit in the figures.
+    /// Unit in the report.
     unit: &'static str,
     /// Total over the measured time, taken from the load of one broker.
     total: fn(&BrokerLoad) -> f64,
@@ -84,8 +84,8 @@
     let time = fit_growth(&rollout_times);
     experiment_report.add_bounded_value(
         format!("time to agree grows as N^x: {}", time.growth),
-        time.power,
-        MAX_GROWTH_POWER,
+        time.exponent,
+        MAX_GROWTH_EXPONENT,
         "x",
     );
     let mut curves = Vec::new();
@@ -115,13 +115,13 @@
         let (broker, leader) = (fit_growth(&broker_points), fit_growth(&leader_points));
         experiment_report.add_bounded_value(
             format!("{} of a broker grow as N^x: {}", cost.name, broker.growth),
-            broker.power,
-            MAX_GROWTH_POWER,
+            broker.exponent,
+            MAX_GROWTH_EXPONENT,
             "x",
         );
         experiment_report.add_value(
             format!("{} of the leader grow as N^x: {}", cost.name, leader.growth),
-            leader.power,
+            leader.exponent,
             "x",
         );
         if cost.name == "messages"
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/fit.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/fit.rs
@@ -1,15 +1,15 @@
 //! Fits a power law to costs and classifies how they grow with the number of brokers.
 
 /// Exponent below which growth is classified as flat.
-const MAX_FLAT_POWER: f64 = 0.06;
+const MAX_FLAT_EXPONENT: f64 = 0.06;
 /// Exponent above which growth is classified as linear.
-const MIN_LINEAR_POWER: f64 = 0.85;
+const MIN_LINEAR_EXPONENT: f64 = 0.85;
 
 /// Growth of a cost with the size of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fit {
+pub struct GrowthFit {
     /// Exponent x where the cost grows as the number of brokers to the power of x.
-    pub power: f64,
+    pub exponent: f64,
     /// Class of the growth: flat, logarithmic, linear, or between logarithmic and linear.
     pub growth: &'static str,
 }
@@ -25,22 +25,22 @@
 }
 
 /// Fits the growth of a cost. Each point is a number of brokers and the cost, both above 0; at least two points are needed.
-pub fn fit_growth(points: &[(f64, f64)]) -> Fit {
+pub fn fit_growth(points: &[(f64, f64)]) -> GrowthFit {
     let logs: Vec<_> = points.iter().map(|p| (p.0.ln(), p.1.ln())).collect();
-    let (power, _) = fit_line(&logs);
+    let (exponent, _) = fit_line(&logs);
     // Residuals relative to the largest value, so that fits over different sets of points can be compared.
     let relative_residual = |points: &[(f64, f64)]| {
         let scale = points.iter().map(|p| p.1.abs()).fold(0.0, f64::max).powi(2);
         fit_line(points).1 / scale
     };
     let by_log: Vec<_> = points.iter().map(|p| (p.0.ln(), p.1)).collect();
-    let growth = match power {
-        power if power < MAX_FLAT_POWER => "flat",
-        power if power > MIN_LINEAR_POWER => "linear",
+    let growth = match exponent {
+        exponent if exponent < MAX_FLAT_EXPONENT => "flat",
+        exponent if exponent > MIN_LINEAR_EXPONENT => "linear",
         _ if relative_residual(&by_log) < relative_residual(points) => "logarithmic",
         _ => "between logarithmic and linear",
     };
-    Fit { power, growth }
+    GrowthFit { exponent, growth }
 }
 
 #[cfg(test)]
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/fit/tests/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/fit/tests/mod.rs
@@ -10,6 +10,6 @@
     assert_eq!(fit_cost(|_| 5.0).growth, "flat");
     assert_eq!(fit_cost(|n| 2.0 + n.ln()).growth, "logarithmic");
     assert_eq!(fit_cost(|n| 3.0 * n).growth, "linear");
-    assert!((fit_cost(|n| 3.0 * n).power - 1.0).abs() < 1e-9);
+    assert!((fit_cost(|n| 3.0 * n).exponent - 1.0).abs() < 1e-9);
     assert_eq!(fit_cost(|n| 1.0 + 0.05 * n).growth, "between logarithmic and linear");
 }
--- a/crates/dunepond-testkit/src/experiments/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments of the test kit, one per subsystem. Each runs a workload, mostly with injected faults, and reports figures.
+//! Experiments of the test kit, one per subsystem. Each runs a workload, mostly with injected faults, and reports measured values.
 
 mod background;
 mod bodies;
@@ -46,12 +46,12 @@
     pub name: &'static str,
     /// One-line description of what the experiment measures.
     pub summary: &'static str,
-    /// Runs the experiment and returns the figures that it measured.
+    /// Runs the experiment and returns the values that it measured.
     pub run: fn(&RunOptions) -> anyhow::Result<ExperimentReport>,
 }
 
 /// All experiments, in the order in which they are listed.
-pub const ALL: [Experiment; 12] = [
+pub const EXPERIMENTS: [Experiment; 12] = [
     Experiment {
         name: "agree",
         summary: "agreement on versions: contradictions, network partitions, time to agree, message rates and CPU time",
--- a/crates/dunepond-testkit/src/experiments/prefilter/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/prefilter/mod.rs
@@ -35,7 +35,7 @@
 
 /// Faulty nodes, changing content, or both.
 struct FaultScenario {
-    /// Name in the figures.
+    /// Name in the report.
     name: &'static str,
     /// Behavior of each node.
     behavior: Behaviors,
@@ -47,18 +47,18 @@
 #[derive(Default)]
 struct Totals {
     /// Answers that claimed to be complete and were not.
-    falsely_complete: u64,
+    falsely_complete_count: u64,
     /// Queries without an answer in time.
-    late: u64,
+    late_count: u64,
     /// Queries sent.
-    queries: u64,
+    query_count: u64,
 }
 
 impl Totals {
     fn add(&mut self, side: &SideReport) {
-        self.falsely_complete += side.falsely_complete;
-        self.late += side.late;
-        self.queries += side.latencies.len();
+        self.falsely_complete_count += side.falsely_complete_count;
+        self.late_count += side.late_count;
+        self.query_count += side.latencies_micros.len();
     }
 }
 
@@ -70,7 +70,7 @@
     let (mut work_saved, mut latency_percents) = (Vec::new(), Vec::new());
     for match_percent in MATCH_PERCENTS {
         eprintln!("{match_percent}% match ...");
-        let queries = Queries { match_percent, count };
+        let queries = Queries { match_percent, query_count: count };
         let [off, on] = compare_at_rate(options, queries, &mut totals);
         report_rate(&mut experiment_report, match_percent, &off, &on);
         let x = match_percent as f64;
@@ -85,7 +85,7 @@
     for scenario in fault_scenarios() {
         eprintln!("{} ...", scenario.name);
         // A match rate at which the prefilter prunes many segments.
-        let queries = Queries { match_percent: 10, count: count / 1.5 };
+        let queries = Queries { match_percent: 10, query_count: count / 1.5 };
         let faulty_side = Side {
             operator_kdl: OPERATOR_KDL,
             behavior: &*scenario.behavior,
@@ -96,9 +96,14 @@
         report_scenario(&mut experiment_report, scenario.name, &baseline, &side);
     }
     experiment_report.add_value("nodes, one a cell", REPLICA_GROUP_COUNT as f64, "");
-    experiment_report.add_value("scans asked", totals.queries as f64, "");
-    experiment_report.add_bounded_value("answers falsely whole", totals.falsely_complete as f64, 0.0, "");
-    experiment_report.add_bounded_value("scans without an answer in time", totals.late as f64, 0.0, "");
+    experiment_report.add_value("scans asked", totals.query_count as f64, "");
+    experiment_report.add_bounded_value(
+        "answers falsely whole",
+        totals.falsely_complete_count as f64,
+        0.0,
+        "",
+    );
+    experiment_report.add_bounded_value("scans without an answer in time", totals.late_count as f64, 0.0, "");
     Ok(experiment_report)
 }
 
@@ -193,7 +198,7 @@
     let figure_name = name("share over the target time, beyond plainly");
     experiment_report.add_bounded_value(figure_name, long_ratio, MAX_LONG_RATIO, "");
     experiment_report.add_value(name("p99"), 1e3 * side.latency_seconds(0.99), "ms");
-    experiment_report.add_value(name("refused"), side.rejected as f64, "");
+    experiment_report.add_value(name("refused"), side.rejected_count as f64, "");
 }
 
 /// Returns all fault scenarios.
--- a/crates/dunepond-testkit/src/experiments/prefilter/side.rs
+++ b/crates/dunepond-testkit/src/experiments/prefilter/side.rs
@@ -50,7 +50,7 @@
     /// Percentage of segments that match.
     pub match_percent: u64,
     /// Number of queries over all rounds.
-    pub count: f64,
+    pub query_count: f64,
 }
 
 /// Measurements of one side.
@@ -58,9 +58,9 @@
     /// Results of each round.
     rounds: Vec<LoadReport>,
     /// Latencies over all rounds, in microseconds.
-    pub latencies: Histogram<u64>,
+    pub latencies_micros: Histogram<u64>,
     /// Queries that the broker rejected.
-    pub rejected: u64,
+    pub rejected_count: u64,
     /// Average parts searched per query.
     pub searched_per_query: f64,
     /// Average parts searched per query in the round in which this was lowest.
@@ -70,9 +70,9 @@
     /// Average bytes of probes and their answers per query.
     pub probe_bytes_per_query: f64,
     /// Answers that claimed to be complete and were not.
-    pub falsely_complete: u64,
+    pub falsely_complete_count: u64,
     /// Queries without an answer in time.
-    pub late: u64,
+    pub late_count: u64,
 }
 
 /// Ratios of the p50 of one side to that of the other, round by round.
@@ -86,13 +86,13 @@
 impl SideReport {
     /// Returns a quantile of the latency over all rounds, in seconds.
     pub fn latency_seconds(&self, quantile: f64) -> f64 {
-        self.latencies.value_at_quantile(quantile) as f64 / 1e6
+        self.latencies_micros.value_at_quantile(quantile) as f64 / 1e6
     }
 
     /// Returns the share of queries that took longer than the latency objective.
     pub fn long_ratio(&self) -> f64 {
-        let in_time = self.latencies.count_between(0, LONG_LATENCY_MICROS);
-        1.0 - in_time as f64 / self.latencies.len().max(1) as f64
+        let in_time = self.latencies_micros.count_between(0, LONG_LATENCY_MICROS);
+        1.0 - in_time as f64 / self.latencies_micros.len().max(1) as f64
     }
 
     /// Compares the p50 of each round with that of the other side in the same round.
@@ -176,27 +176,29 @@
             let report = run_round(options, queries, round, &cluster, &counts);
             let searches = (cluster.search_count() - searches_before) as f64;
             min_searched_per_query =
-                min_searched_per_query.min(searches / report.latencies.len().max(1) as f64);
+                min_searched_per_query.min(searches / report.latencies_micros.len().max(1) as f64);
             rounds.push(report);
         }
         stop.store(true, Ordering::Relaxed);
         rounds
     });
-    let mut latencies = rounds[0].latencies.clone();
+    let mut latencies_micros = rounds[0].latencies_micros.clone();
     for round in &rounds[1..] {
-        latencies.add(&round.latencies).expect("all rounds use histograms with the same bounds");
+        latencies_micros
+            .add(&round.latencies_micros)
+            .expect("all rounds use histograms with the same bounds");
     }
     let answers = counts.answers.load(Ordering::Relaxed).max(1) as f64;
-    let failed: u64 = rounds.iter().map(|round| round.failed).sum();
+    let failed: u64 = rounds.iter().map(|round| round.failed_count).sum();
     SideReport {
         searched_per_query: cluster.search_count() as f64 / answers,
         min_searched_per_query,
         probes_per_query: cluster.probe_count() as f64 / answers,
         probe_bytes_per_query: cluster.probe_bytes() as f64 / answers,
-        falsely_complete: counts.falsely_complete.load(Ordering::Relaxed),
-        late: counts.late.load(Ordering::Relaxed) + failed,
-        rejected: rounds.iter().map(|round| round.rejected).sum(),
-        latencies,
+        falsely_complete_count: counts.falsely_complete.load(Ordering::Relaxed),
+        late_count: counts.late.load(Ordering::Relaxed) + failed,
+        rejected_count: rounds.iter().map(|round| round.rejected_count).sum(),
+        latencies_micros,
         rounds,
     }
 }
@@ -213,7 +215,7 @@
     let load = Workload {
         broker_address: cluster.broker.address,
         requests_per_second: REQUESTS_PER_SECOND,
-        duration_seconds: queries.count / REQUESTS_PER_SECOND / ROUNDS as f64,
+        duration_seconds: queries.query_count / REQUESTS_PER_SECOND / ROUNDS as f64,
         seed: options.seed + round,
         id_prefix: "",
     };
--- a/crates/dunepond-testkit/src/experiments/quota.rs
+++ b/crates/dunepond-testkit/src/experiments/quota.rs
@@ -88,8 +88,8 @@
             ..FleetOptions::new(&options.program, 3, BROKER_COUNT)
         };
         Self {
-            leased: Fleet::start_with_version(fleet_options(vec![LIMITS_KDL.to_string()])),
-            even: Fleet::start_with_version(fleet_options(Vec::new())),
+            leased: Fleet::start_with_active_version(fleet_options(vec![LIMITS_KDL.to_string()])),
+            even: Fleet::start_with_active_version(fleet_options(Vec::new())),
         }
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Runs clients of one broker in each fleet for this long.
-    fn load(&self, broker: usize, time: Duration) -> Outcomes {
+    fn run_clients(&self, broker: usize, time: Duration) -> Outcomes {
         let leased = self.leased.start_clients([broker], REQUEST_PAUSE);
         let even = self.even.start_clients([broker], REQUEST_PAUSE);
         thread::sleep(time);
@@ -120,8 +120,8 @@
     for (broker, name) in [(4, "at one broker"), (3, "moved on to another")] {
         eprintln!("traffic at n{} ...", broker + 1);
         // Both fleets get the same load before and during the measurement, so that only the split of the quota differs.
-        leased_outcomes.extend(fleets.load(broker, SETTLE_DURATION).leased);
-        let outcomes = fleets.load(broker, time);
+        leased_outcomes.extend(fleets.run_clients(broker, SETTLE_DURATION).leased);
+        let outcomes = fleets.run_clients(broker, time);
         report_traffic(&mut experiment_report, name, &outcomes, time);
         leased_outcomes.extend(outcomes.leased);
     }
--- a/crates/dunepond-testkit/src/experiments/rebalance.rs
+++ b/crates/dunepond-testkit/src/experiments/rebalance.rs
@@ -118,7 +118,7 @@
         ..FleetOptions::new(&options.program, 3, 5)
     };
     let mut fleets = [(); 2].map(|()| MovingFleet {
-        fleet: Fleet::start_with_version(fleet_options()),
+        fleet: Fleet::start_with_active_version(fleet_options()),
         last_version: 1,
         at_original_owners: true,
     });
@@ -244,11 +244,11 @@
     );
     experiment_report.add_bounded_value("answers falsely whole", count(falsely_complete), 0.0, "");
     experiment_report.add_bounded_value("findings of the auditor in all", findings.len() as f64, 0.0, "");
-    let contradictions =
+    let conflict_seconds =
         fleets.iter().map(|moving| longest_version_conflict_seconds(&moving.fleet.records()));
     experiment_report.add_bounded_value(
         "longest contradiction",
-        contradictions.fold(0.0, f64::max),
+        conflict_seconds.fold(0.0, f64::max),
         0.0,
         "s",
     );
--- a/crates/dunepond-testkit/src/experiments/restart.rs
+++ b/crates/dunepond-testkit/src/experiments/restart.rs
@@ -38,14 +38,14 @@
 
 /// Sends queries of four segments each to the broker for this long.
 fn run_load(broker: &Broker, seconds: f64, seed: u64, prefix: &'static str) -> LoadReport {
-    let load = Workload {
+    let workload = Workload {
         broker_address: broker.address,
         requests_per_second: REQUESTS_PER_SECOND,
         duration_seconds: seconds,
         seed,
         id_prefix: prefix,
     };
-    load.run_with(
+    workload.run_with(
         move |i| {
             let segments: Vec<_> = (0..4).map(|j| (i * 7 + j * 11) % SEGMENT_COUNT).collect();
             query_request("find", &format!("{prefix}{i}"), &segments, "2.0")
@@ -56,9 +56,9 @@
 
 /// Returns the number of queries that were late, rejected or lost.
 fn not_served_in_time(load_report: &LoadReport) -> f64 {
-    let late = load_report.latencies.len()
-        - load_report.latencies.count_between(0, (1e6 * LATENCY_TARGET_SECONDS) as u64);
-    (late + load_report.rejected + load_report.failed) as f64
+    let late = load_report.latencies_micros.len()
+        - load_report.latencies_micros.count_between(0, (1e6 * LATENCY_TARGET_SECONDS) as u64);
+    (late + load_report.rejected_count + load_report.failed_count) as f64
 }
 
 /// Measurements of the first seconds after a restart in the middle of an outage.
@@ -135,7 +135,7 @@
     let before = total_loop_cpu_seconds(broker);
     let report = run_load(broker, seconds, seed, "o");
     let loop_cpu_seconds_per_query =
-        (total_loop_cpu_seconds(broker) - before) / report.latencies.len() as f64;
+        (total_loop_cpu_seconds(broker) - before) / report.latencies_micros.len() as f64;
     Round { report, loop_cpu_seconds_per_query }
 }
 
--- a/crates/dunepond-testkit/src/experiments/search.rs
+++ b/crates/dunepond-testkit/src/experiments/search.rs
@@ -74,14 +74,14 @@
     behaviors.iter().for_each(|(node, behavior)| cluster.nodes[*node].set_behavior(*behavior));
     let to = if api { cluster.api_address } else { cluster.broker.address };
     let run_load = |prefix: &'static str, seconds: f64| {
-        let load = Workload {
+        let workload = Workload {
             broker_address: to,
             requests_per_second: REQUESTS_PER_SECOND,
             duration_seconds: seconds,
             seed: options.seed,
             id_prefix: prefix,
         };
-        load.run_with(
+        workload.run_with(
             move |i| {
                 if api {
                     api_request("GET", "/all/_search?timeout=2s", "")
@@ -95,8 +95,8 @@
     run_load("w", 0.5);
     let before = process_cpu_seconds(cluster.broker.pid());
     let load_report = run_load("c", seconds);
-    let cpu_seconds_per_query =
-        (process_cpu_seconds(cluster.broker.pid()) - before) / load_report.latencies.len().max(1) as f64;
+    let cpu_seconds_per_query = (process_cpu_seconds(cluster.broker.pid()) - before)
+        / load_report.latencies_micros.len().max(1) as f64;
     RunResult { load_report, cpu_seconds_per_query, repeated_parts: cluster.repeated_part_count() }
 }
 
@@ -152,13 +152,13 @@
             for (kind, protocol) in [("frames", NodeProtocol::Frames), ("API nodes", NodeProtocol::Api)] {
                 eprintln!("{name}, {interface}, {kind} ...");
                 let result = run_queries(options, api, protocol, behaviors, seconds);
-                let total = result.load_report.latencies.len();
+                let total = result.load_report.latencies_micros.len();
                 // Every query has to be served, through both interfaces and with both node protocols.
-                not_served += total - result.load_report.served;
+                not_served += total - result.load_report.served_count;
                 let label = format!("{name}, {interface}, {kind}");
                 experiment_report.add_value(
                     format!("{label}: served of {total}"),
-                    result.load_report.served as f64,
+                    result.load_report.served_count as f64,
                     "",
                 );
                 experiment_report.add_value(
--- a/crates/dunepond-testkit/src/experiments/settlement/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/settlement/mod.rs
@@ -8,7 +8,7 @@
 
 use super::RunOptions;
 use crate::report::{Curve, ExperimentReport};
-use simulation::{FLOOD, PARTNERS, SimulationResult, settlement_terms, simulate};
+use simulation::{FLOOD_MIX, PARTNERS, SimulationResult, settlement_terms, simulate};
 
 /// Traffic mixes that are simulated, besides the flood of demands.
 const MIXES: [&str; 3] = ["even", "lopsided", "ring with bursts"];
@@ -127,12 +127,12 @@
             curves = all_rules.iter().map(curve).collect();
         }
     }
-    if options.includes(FLOOD) {
-        let all_rules = RuleResults::simulate_all(FLOOD, options, seconds);
+    if options.includes(FLOOD_MIX) {
+        let all_rules = RuleResults::simulate_all(FLOOD_MIX, options, seconds);
         for rule_results in &all_rules {
             let mut report = |what: &str, value: fn(&SimulationResult) -> f64, unit| {
                 experiment_report.add_value(
-                    format!("{FLOOD}, {}: {what}", rule_results.rule),
+                    format!("{FLOOD_MIX}, {}: {what}", rule_results.rule),
                     rule_results.mean(value),
                     unit,
                 );
@@ -146,7 +146,7 @@
             report("served of all", |result| result.served_bytes.iter().sum::<f64>() / 1e6, "MB");
             report("longest without a fill", |result| result.longest_wait_seconds, "s, simulated");
         }
-        report_limits(&mut experiment_report, FLOOD, &all_rules);
+        report_limits(&mut experiment_report, FLOOD_MIX, &all_rules);
     }
     if !curves.is_empty() {
         experiment_report.add_plot("open-debts", "simulated seconds", "MB", curves);
--- a/crates/dunepond-testkit/src/experiments/settlement/simulation.rs
+++ b/crates/dunepond-testkit/src/experiments/settlement/simulation.rs
@@ -12,7 +12,7 @@
 /// Partner that claims ten times the bytes that it carried.
 const INFLATING_PARTNER: &str = "west";
 /// Name of the mix with the queries of the even mix, in which the first partner demands more fills than all can carry.
-pub const FLOOD: &str = "flood of needs";
+pub const FLOOD_MIX: &str = "flood of needs";
 /// Bytes in a KiB.
 const KIB: f64 = 1024.0;
 /// Mean rate of the answers that partners carry for each other, summed over all pairs.
@@ -53,7 +53,7 @@
 fn traffic(mix: &str, carrier: usize, debtor: usize, now: f64) -> f64 {
     let partner_count = PARTNERS.len();
     match mix {
-        "even" | FLOOD => QUERY_BYTES_PER_SECOND / (partner_count * (partner_count - 1)) as f64,
+        "even" | FLOOD_MIX => QUERY_BYTES_PER_SECOND / (partner_count * (partner_count - 1)) as f64,
         // The first partner has 80% of the traffic.
         "lopsided" => QUERY_BYTES_PER_SECOND * if debtor == 0 { 0.8 / 4.0 } else { 0.2 / 16.0 },
         _ => {
@@ -426,8 +426,8 @@
         }
         while next_demand_at <= simulation.now {
             next_demand_at -= (1.0 - simulation.traffic_rng.random::<f64>()).ln()
-                * if mix == FLOOD { DEMAND_INTERVAL_SECONDS / 4.0 } else { DEMAND_INTERVAL_SECONDS };
-            simulation.add_demand(segment, rule.is_none(), mix == FLOOD);
+                * if mix == FLOOD_MIX { DEMAND_INTERVAL_SECONDS / 4.0 } else { DEMAND_INTERVAL_SECONDS };
+            simulation.add_demand(segment, rule.is_none(), mix == FLOOD_MIX);
             segment += 1;
         }
         if simulation.now % 10.0 == 0.0 && simulation.plan_and_sample(&links, mix, seconds, &mut debts) {
@@ -491,7 +491,7 @@
             self.result.jain_index = jain_index(&self.carried_ratios());
             return false;
         }
-        mix == FLOOD || open <= (SETTLED_RATIO * debts.at_end).max(SETTLED_BYTES)
+        mix == FLOOD_MIX || open <= (SETTLED_RATIO * debts.at_end).max(SETTLED_BYTES)
     }
 
     /// Updates the largest load of a node that is being filled.
@@ -506,7 +506,7 @@
         }
     }
 
-    /// Compares the balances with the bytes actually carried, and computes the figures of the inflating partner.
+    /// Compares the balances with the bytes actually carried, and computes the ratios for the inflating partner.
     fn conclude(mut self) -> SimulationResult {
         let mut result = std::mem::take(&mut self.result);
         let pairs = (0..PARTNERS.len()).flat_map(|a| (0..PARTNERS.len()).map(move |b| (a, b)));
--- a/crates/dunepond-testkit/src/experiments/shard_map/cost.rs
+++ b/crates/dunepond-testkit/src/experiments/shard_map/cost.rs
@@ -20,11 +20,11 @@
 #[derive(Clone, Copy)]
 pub(super) struct VerificationCost {
     /// Cost of a whole map, per segment of the map.
-    pub map: f64,
+    pub map_nanoseconds: f64,
     /// Cost of the transition between two whole maps, per segment of a map.
-    pub transition: f64,
+    pub transition_nanoseconds: f64,
     /// Cost of a change of [`CHANGED_SEGMENTS`] segments, per changed segment.
-    pub delta: f64,
+    pub delta_nanoseconds: f64,
 }
 
 /// Measures verification of a random map with `count` segments. Each cost is the lowest of several rounds.
@@ -55,9 +55,9 @@
         start.elapsed().as_secs_f64()
     });
     VerificationCost {
-        map: map_seconds / count as f64 * NANOSECONDS_PER_SECOND,
-        transition: transition_seconds / count as f64 * NANOSECONDS_PER_SECOND,
-        delta: delta_seconds / CHANGED_SEGMENTS as f64 * NANOSECONDS_PER_SECOND,
+        map_nanoseconds: map_seconds / count as f64 * NANOSECONDS_PER_SECOND,
+        transition_nanoseconds: transition_seconds / count as f64 * NANOSECONDS_PER_SECOND,
+        delta_nanoseconds: delta_seconds / CHANGED_SEGMENTS as f64 * NANOSECONDS_PER_SECOND,
     }
 }
 
--- a/crates/dunepond-testkit/src/experiments/shard_map/mod.rs
+++ b/crates/dunepond-testkit/src/experiments/shard_map/mod.rs
@@ -74,35 +74,49 @@
         "",
     );
     experiment_report.add_value("keys looked at in joint steps", counts.keys_checked as f64, "");
-    experiment_report.add_value("of these without an owner", counts.no_owner as f64, "");
-    experiment_report.add_bounded_value("of these with two owners", counts.two_owners as f64, 0.0, "");
+    experiment_report.add_value("of these without an owner", counts.keys_without_owner as f64, "");
+    experiment_report.add_bounded_value(
+        "of these with two owners",
+        counts.keys_with_two_owners as f64,
+        0.0,
+        "",
+    );
 }
 
 /// Reports the cost of verification at each size, and how it grows with the size.
 fn report_costs(experiment_report: &mut ExperimentReport, costs: &[SizedCost]) {
     for SizedCost { segments, cost } in costs {
-        experiment_report.add_value(format!("{segments} segments: proof"), cost.map, "ns a segment");
-        experiment_report.add_value(format!("{segments} segments: move"), cost.transition, "ns a segment");
+        experiment_report.add_value(
+            format!("{segments} segments: proof"),
+            cost.map_nanoseconds,
+            "ns a segment",
+        );
+        experiment_report.add_value(
+            format!("{segments} segments: move"),
+            cost.transition_nanoseconds,
+            "ns a segment",
+        );
         let name = format!("{segments} segments: change of {CHANGED_SEGMENTS}");
-        experiment_report.add_value(name, cost.delta, "ns a changed segment");
+        experiment_report.add_value(name, cost.delta_nanoseconds, "ns a changed segment");
     }
     if let [smallest, .., largest] = costs {
         let (small, large) = (smallest.cost, largest.cost);
-        let growth = large.map / small.map;
+        let growth = large.map_nanoseconds / small.map_nanoseconds;
         experiment_report.add_bounded_value(
             "a segment's proof, largest map against smallest",
             growth,
             MAX_GROWTH_RATIO,
             "times",
         );
-        let growth = large.delta / small.delta;
+        let growth = large.delta_nanoseconds / small.delta_nanoseconds;
         experiment_report.add_bounded_value(
             "a changed segment, largest map against smallest",
             growth,
             MAX_GROWTH_RATIO,
             "times",
         );
-        let ratio = large.delta * CHANGED_SEGMENTS as f64 / (large.map * largest.segments as f64);
+        let ratio = large.delta_nanoseconds * CHANGED_SEGMENTS as f64
+            / (large.map_nanoseconds * largest.segments as f64);
         let name = "a change against the whole proof, largest map";
         experiment_report.add_bounded_value(name, ratio, MAX_DELTA_RATIO, "times");
     }
@@ -111,9 +125,9 @@
         Curve { name: name.to_string(), points: costs.iter().map(point).collect() }
     };
     let curves = vec![
-        curve("proof", |cost| cost.map),
-        curve("move", |cost| cost.transition),
-        curve("change", |cost| cost.delta),
+        curve("proof", |cost| cost.map_nanoseconds),
+        curve("move", |cost| cost.transition_nanoseconds),
+        curve("change", |cost| cost.delta_nanoseconds),
     ];
     experiment_report.add_plot("cost", "segments, powers of ten", "µs a segment", curves);
 }
--- a/crates/dunepond-testkit/src/experiments/shard_map/transitions.rs
+++ b/crates/dunepond-testkit/src/experiments/shard_map/transitions.rs
@@ -51,11 +51,11 @@
     /// Transitions whose verdict by the changed segments differs from that by the whole maps.
     pub differing_verdicts: usize,
     /// Keys that two brokers in adjacent phases of a transition would send to two different owners.
-    pub two_owners: usize,
+    pub keys_with_two_owners: usize,
     /// Keys whose owner was looked up in the joint phase.
     pub keys_checked: usize,
     /// Keys without an owner in the joint phase.
-    pub no_owner: usize,
+    pub keys_without_owner: usize,
 }
 
 /// Verifies a sequence of random transitions, each from the last accepted map.
@@ -84,7 +84,8 @@
         for segment in delta.from().segments().chain(delta.to().segments()) {
             let key = segment.keys.from;
             counts.keys_checked += 1;
-            counts.no_owner += usize::from(delta.owner_of_key(key, TransitionPhase::Joint).is_none());
+            counts.keys_without_owner +=
+                usize::from(delta.owner_of_key(key, TransitionPhase::Joint).is_none());
             let (old, new) = (delta.from().segment_for_key(key), delta.to().segment_for_key(key));
             let joint = [
                 delta.owner_of_segment(old.id, TransitionPhase::Joint),
@@ -94,7 +95,7 @@
             // Compares the owners in the joint phase with each other and with those before and after the transition.
             let mut owners = joint.into_iter().flatten();
             let has_two_owners = owners.any(|owner| owner != old.owner || owner != new.owner);
-            counts.two_owners += usize::from(has_two_owners);
+            counts.keys_with_two_owners += usize::from(has_two_owners);
         }
         from = delta.to().clone();
     }
--- a/crates/dunepond-testkit/src/experiments/shutdown.rs
+++ b/crates/dunepond-testkit/src/experiments/shutdown.rs
@@ -39,11 +39,11 @@
             violated.violation,
             request.id,
             request.behavior,
-            request.broker,
+            request.broker_index,
             violated.written_after_seconds,
             violated.forwarded_after_seconds,
             request.connection_ended.map(|(_, end)| end),
-            plan.brokers[request.broker].pauses,
+            plan.brokers[request.broker_index].pauses,
         );
     }
 }
--- a/crates/dunepond-testkit/src/fleet/clients.rs
+++ b/crates/dunepond-testkit/src/fleet/clients.rs
@@ -75,7 +75,7 @@
         for broker in brokers {
             for query_class_index in 0..QUERY_CLASSES.len() {
                 let client = QueryClient {
-                    broker,
+                    broker_index: broker,
                     broker_name: broker_name(broker),
                     address: self.brokers[broker].address,
                     query_class_index,
@@ -96,7 +96,7 @@
 #[derive(Clone, Debug)]
 pub struct QueryOutcome {
     /// Index of the broker that the query was for.
-    pub broker: usize,
+    pub broker_index: usize,
     /// Index of the query class in [`QUERY_CLASSES`].
     pub query_class_index: usize,
     /// Id of the first segment that the query asked for.
@@ -123,7 +123,7 @@
 
 /// A client that sends queries of one class to one broker.
 struct QueryClient {
-    broker: usize,
+    broker_index: usize,
     broker_name: String,
     address: SocketAddr,
     /// Index of the query class in [`QUERY_CLASSES`].
@@ -163,7 +163,7 @@
         let request = query_request(query_class, &id, &segments, &budget).replacen("X-Budget", &caller, 1);
         let status = connection.and_then(|connection| self.exchange(connection, &request));
         QueryOutcome {
-            broker: self.broker,
+            broker_index: self.broker_index,
             query_class_index: self.query_class_index,
             first_segment_id: segments[0] as u64,
             started_at,
@@ -242,7 +242,7 @@
 /// queries to the brokers in `partitioned` are left out.
 pub fn served_ratio(outcomes: &[QueryOutcome], objective_seconds: f64, partitioned: &[usize]) -> f64 {
     let is_selected =
-        |outcome: &QueryOutcome| outcome.is_idempotent() || !partitioned.contains(&outcome.broker);
+        |outcome: &QueryOutcome| outcome.is_idempotent() || !partitioned.contains(&outcome.broker_index);
     let is_served =
         |outcome: &QueryOutcome| outcome.status == Some(200) && outcome.latency_seconds <= objective_seconds;
     outcome_ratio(outcomes, is_selected, is_served)
--- a/crates/dunepond-testkit/src/fleet/mod.rs
+++ b/crates/dunepond-testkit/src/fleet/mod.rs
@@ -93,7 +93,7 @@
 
 impl Fleet {
     /// Starts a fleet and waits until version 1 of the configuration is active at all brokers.
-    pub fn start_with_version(options: FleetOptions) -> Self {
+    pub fn start_with_active_version(options: FleetOptions) -> Self {
         let all = 0..options.broker_count;
         let mut fleet = Self::start_ready(options);
         let first = fleet.config_version(1, &[], &[]);
@@ -183,7 +183,7 @@
         let leader_logged_by = |broker: &BrokerProcess| {
             let log = broker.log_text();
             let (_, name) = log.lines().rev().find_map(|line| line.split_once("fleet: led by "))?;
-            self.links.names().iter().position(|known| known == name.trim())
+            self.links.process_names().iter().position(|known| known == name.trim())
         };
         let mut leader = None;
         let agreed = wait_until(|| {
--- a/crates/dunepond-testkit/src/fleet/records.rs
+++ b/crates/dunepond-testkit/src/fleet/records.rs
@@ -35,9 +35,9 @@
 
 impl RecordReader {
     /// Creates a reader of the audit files that the brokers write into the fleet's folder. No file needs to exist yet.
-    pub fn new(folder: &Path, brokers: usize) -> Self {
+    pub fn new(folder: &Path, broker_count: usize) -> Self {
         let path = |broker| folder.join(format!("{}.acts", broker_name(broker)));
-        let files = (0..brokers).map(|broker| RecordFile { path: path(broker), position: 0 });
+        let files = (0..broker_count).map(|broker| RecordFile { path: path(broker), position: 0 });
         Self { files: files.collect(), records: Records::default() }
     }
 
--- a/crates/dunepond-testkit/src/links/mod.rs
+++ b/crates/dunepond-testkit/src/links/mod.rs
@@ -34,7 +34,7 @@
     pub duplicate_ratio: f64,
     /// Limit of the throughput, in bytes per second; `None` if there is no limit.
     pub bytes_per_second: Option<f64>,
-    /// Whether the link is cut: datagrams are lost, and streams are stalled until the link is no longer cut.
+    /// Whether the link is partitioned: datagrams are lost, and streams stall until the partition ends.
     pub partitioned: bool,
     /// Whether all data is discarded, although the relay accepts connections. Meanwhile, it opens no new ones to the
     /// target.
@@ -52,7 +52,7 @@
     partitioned: false,
     half_open: false,
 };
-/// Conditions of a link that is cut.
+/// Conditions of a partitioned link, which delivers nothing.
 pub const PARTITIONED: LinkConditions = LinkConditions { partitioned: true, ..HEALTHY };
 /// Delay of a retransmission: the shortest one that operating systems use.
 const RETRANSMIT_DELAY_SECONDS: f64 = 0.2;
@@ -88,7 +88,7 @@
 
 /// Relays between all pairs of processes. They stop when the value is dropped.
 pub struct Links {
-    names: Vec<String>,
+    process_names: Vec<String>,
     directions: BTreeMap<(String, String), Arc<Direction>>,
     /// Address of the relay for each pair of names: the connecting process and the target.
     relay_addresses: BTreeMap<(String, String), SocketAddr>,
@@ -129,9 +129,9 @@
             runtime.spawn(tcp::run(relay.clone(), listener));
             runtime.spawn(udp::run(relay, socket));
         }
-        let names = peers.iter().map(|peer| peer.0.clone()).collect();
+        let process_names = peers.iter().map(|peer| peer.0.clone()).collect();
         Ok(Self {
-            names,
+            process_names,
             directions,
             relay_addresses,
             process_addresses: peers.iter().cloned().collect(),
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Partitions the processes into groups: links within a group are healthy, all others are cut. A process in no
+    /// Partitions the processes into groups: links within a group are healthy, all others are partitioned. A process in no
     /// group is isolated.
     pub fn partition(&self, groups: &[&[&str]]) {
         let group_of = |name: &str| groups.iter().position(|group| group.contains(&name));
@@ -210,8 +210,8 @@
     }
 
     /// Returns the names of the processes.
-    pub fn names(&self) -> &[String] {
-        &self.names
+    pub fn process_names(&self) -> &[String] {
+        &self.process_names
     }
 }
 
--- a/crates/dunepond-testkit/src/links/tcp.rs
+++ b/crates/dunepond-testkit/src/links/tcp.rs
@@ -34,7 +34,7 @@
 async fn relay_connection(relay: &Relay, near: TcpStream, connection_number: u64) -> io::Result<()> {
     let mut forward_resets = relay.forward.resets.subscribe();
     let mut backward_resets = relay.backward.resets.subscribe();
-    // Connects to the target only once neither direction is cut any more.
+    // Connects to the target only once neither direction is partitioned any more.
     let connect = async {
         wait_until_clear(&relay.forward, |conditions| conditions.partitioned || conditions.half_open).await;
         wait_until_clear(&relay.backward, |conditions| conditions.partitioned).await;
@@ -130,7 +130,7 @@
     }
 }
 
-/// Writes chunks to the other peer when they are due and the link is not cut.
+/// Writes chunks to the other peer when they are due and the link is not partitioned.
 async fn deliver(
     direction: &Direction,
     to: &mut OwnedWriteHalf,
--- a/crates/dunepond-testkit/src/links/udp.rs
+++ b/crates/dunepond-testkit/src/links/udp.rs
@@ -90,7 +90,7 @@
             let (direction, socket, bytes) = (direction.clone(), socket.clone(), bytes.to_vec());
             tokio::spawn(async move {
                 sleep_until(due).await;
-                // Datagrams in flight when the link is cut are lost.
+                // Datagrams in flight when the link becomes partitioned are lost.
                 if direction.conditions.borrow().partitioned {
                     return;
                 }
--- a/crates/dunepond-testkit/src/load.rs
+++ b/crates/dunepond-testkit/src/load.rs
@@ -39,19 +39,19 @@
 /// Results of a workload.
 pub struct LoadReport {
     /// Latencies of all requests in microseconds, from the time at which the request was due to its end.
-    pub latencies: Histogram<u64>,
+    pub latencies_micros: Histogram<u64>,
     /// Number of requests answered with status 200.
-    pub served: u64,
+    pub served_count: u64,
     /// Number of requests answered with status 429 or 503.
-    pub rejected: u64,
+    pub rejected_count: u64,
     /// Number of requests answered with another status, or not at all.
-    pub failed: u64,
+    pub failed_count: u64,
 }
 
 impl LoadReport {
     /// Returns a quantile of the latencies, in seconds. `quantile` is between 0 and 1.
     pub fn latency_seconds(&self, quantile: f64) -> f64 {
-        self.latencies.value_at_quantile(quantile) as f64 / 1e6
+        self.latencies_micros.value_at_quantile(quantile) as f64 / 1e6
     }
 
     /// Returns a curve of the latency percentiles: percentage of the requests on the x axis, latency in milliseconds on
@@ -66,11 +66,11 @@
 
     /// Records the end of a request; `status` is `None` if there was no answer.
     fn record(&mut self, due: Instant, status: Option<u16>) {
-        let _ = self.latencies.record(due.elapsed().as_micros() as u64);
+        let _ = self.latencies_micros.record(due.elapsed().as_micros() as u64);
         match status {
-            Some(200) => self.served += 1,
-            Some(429 | 503) => self.rejected += 1,
-            _ => self.failed += 1,
+            Some(200) => self.served_count += 1,
+            Some(429 | 503) => self.rejected_count += 1,
+            _ => self.failed_count += 1,
         }
     }
 }
@@ -124,15 +124,20 @@
         build_request: impl Fn(usize) -> String + Send + Sync + 'static,
         on_answer: impl Fn(usize, Instant, Option<&Response>) + Send + Sync + 'static,
     ) -> LoadReport {
-        let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, LATENCY_DIGITS);
-        let latencies = latencies.expect("the bounds of the histogram are valid");
+        let latencies_micros = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, LATENCY_DIGITS);
+        let latencies_micros = latencies_micros.expect("the bounds of the histogram are valid");
         let workload = Arc::new(SharedWorkload {
             broker_address: self.broker_address,
             arrivals: self.draw_arrivals(),
             next_number: AtomicUsize::new(0),
             build_request,
             on_answer,
-            report: Mutex::new(LoadReport { latencies, served: 0, rejected: 0, failed: 0 }),
+            report: Mutex::new(LoadReport {
+                latencies_micros,
+                served_count: 0,
+                rejected_count: 0,
+                failed_count: 0,
+            }),
         });
         let start_client = |_| {
             let workload = workload.clone();
--- a/crates/dunepond-testkit/src/main.rs
+++ b/crates/dunepond-testkit/src/main.rs
@@ -112,12 +112,12 @@
     match Arguments::parse().command {
         Command::Broker { operator, disk, fleet_disk } => run_broker(operator, disk, fleet_disk)?,
         Command::List => {
-            experiments::ALL
+            experiments::EXPERIMENTS
                 .iter()
                 .for_each(|experiment| println!("{:12} {}", experiment.name, experiment.summary));
         }
         Command::Run { name, quick, seed, only, brokers, seed_count, out } => {
-            let experiment = experiments::ALL.iter().find(|experiment| experiment.name == name);
+            let experiment = experiments::EXPERIMENTS.iter().find(|experiment| experiment.name == name);
             let experiment = experiment.with_context(|| {
                 format!("experiment '{name}' does not exist; `list` shows all experiments")
             })?;
--- a/crates/dunepond-testkit/src/memory_store.rs
+++ b/crates/dunepond-testkit/src/memory_store.rs
@@ -127,7 +127,7 @@
 
     /// Simulates a restart after a crash of the process, or of the machine if `machine_crashed` is set. A crash of the
     /// machine loses some of the data that was not synced, as drawn from `seed`. Removes the fault plan.
-    pub fn crash(&self, machine_crashed: bool, mut seed: u64) {
+    pub fn restart_after_crash(&self, machine_crashed: bool, mut seed: u64) {
         let mut state = self.0.lock().unwrap();
         (state.stopped, state.plan, state.call_count) = (false, FaultPlan::NoFault, 0);
         if !machine_crashed {
@@ -186,7 +186,7 @@
     }
 
     /// Returns the names of all files.
-    pub fn names(&self) -> Vec<String> {
+    pub fn file_names(&self) -> Vec<String> {
         self.0.lock().unwrap().current_names.keys().cloned().collect()
     }
 }
--- a/crates/dunepond-testkit/src/restart_cluster.rs
+++ b/crates/dunepond-testkit/src/restart_cluster.rs
@@ -48,7 +48,7 @@
     /// Id of the part.
     pub part_id: String,
     /// Index of the node in the cluster.
-    pub node: usize,
+    pub node_index: usize,
 }
 
 /// Returns the current time in milliseconds since the Unix epoch.
@@ -131,9 +131,13 @@
     /// Returns all attempts that the nodes received, in order of arrival.
     pub fn attempts(&self) -> Vec<NodeAttempt> {
         let mut attempts = Vec::new();
-        for (node, stand_in) in self.nodes.iter().enumerate() {
-            let arrivals = stand_in.part_arrivals().into_iter();
-            attempts.extend(arrivals.map(|(arrived_at, part_id)| NodeAttempt { arrived_at, part_id, node }));
+        for (node_index, node) in self.nodes.iter().enumerate() {
+            let arrivals = node.part_arrivals().into_iter();
+            attempts.extend(arrivals.map(|(arrived_at, part_id)| NodeAttempt {
+                arrived_at,
+                part_id,
+                node_index,
+            }));
         }
         attempts.sort_by_key(|attempt| attempt.arrived_at);
         attempts
--- a/crates/dunepond-testkit/src/search_cluster/documents.rs
+++ b/crates/dunepond-testkit/src/search_cluster/documents.rs
@@ -53,7 +53,7 @@
         "failures": [],
     });
     let mut text = response.to_string();
-    if behavior == SearchNodeBehavior::TruncatedDocument {
+    if behavior == SearchNodeBehavior::TruncatedResponse {
         text.truncate(text.len() / 2);
     }
     text
--- a/crates/dunepond-testkit/src/search_cluster/node.rs
+++ b/crates/dunepond-testkit/src/search_cluster/node.rs
@@ -39,7 +39,7 @@
     /// Over the search API, sends a response without a length and ends it by closing the connection.
     NoContentLength,
     /// Sends only the first half of the JSON response.
-    TruncatedDocument,
+    TruncatedResponse,
     /// Names a different index in its hits.
     WrongIndex,
     /// Returns one hit more than requested.
--- a/crates/dunepond-testkit/src/shutdown/client.rs
+++ b/crates/dunepond-testkit/src/shutdown/client.rs
@@ -71,7 +71,7 @@
     /// Id of the request. The ids of its parts start with it.
     pub id: String,
     /// Index of the broker that the request was sent to.
-    pub broker: usize,
+    pub broker_index: usize,
     /// How the client uses connections.
     pub behavior: ClientBehavior,
     /// Whether the request's parts may run more than once.
@@ -93,7 +93,7 @@
     /// Address at which the broker listens.
     pub address: SocketAddr,
     /// Index of the broker.
-    pub broker: usize,
+    pub broker_index: usize,
     /// Query timeout of the broker's settings, which clients also state as the time budget of each request.
     pub timeout: Duration,
     /// Fraction of the requests that are not idempotent.
@@ -183,8 +183,9 @@
 impl Client {
     /// Creates a client that has not connected yet. `number` distinguishes the clients of one broker.
     pub fn new(endpoint: Arc<BrokerEndpoint>, number: usize, behavior: ClientBehavior, seed: u64) -> Self {
-        let name = format!("b{}c{number}", endpoint.broker);
-        let rng = Pcg64Mcg::seed_from_u64(seed ^ ((endpoint.broker as u64) << 32) ^ ((number as u64) << 40));
+        let name = format!("b{}c{number}", endpoint.broker_index);
+        let rng =
+            Pcg64Mcg::seed_from_u64(seed ^ ((endpoint.broker_index as u64) << 32) ^ ((number as u64) << 40));
         let next_request_at = Instant::now();
         Self { endpoint, name, behavior, rng, connection: None, requests: Vec::new(), next_request_at }
     }
@@ -290,7 +291,7 @@
             connection.pending.push_back(self.requests.len());
             self.requests.push(Request {
                 id,
-                broker: self.endpoint.broker,
+                broker_index: self.endpoint.broker_index,
                 behavior: self.behavior,
                 idempotent,
                 started_at,
--- a/crates/dunepond-testkit/src/shutdown/mod.rs
+++ b/crates/dunepond-testkit/src/shutdown/mod.rs
@@ -26,7 +26,7 @@
 use client::{BrokerEndpoint, Client};
 pub use client::{ClientBehavior, Request};
 pub use plan::{BrokerPlan, Pause, ShutdownPlan};
-pub use report::{Attempts, ShutdownReport, ViolatedRequest, Violation};
+pub use report::{AttemptTimes, ShutdownReport, ViolatedRequest, Violation};
 use report::{BrokerTimeline, RunConditions, StopInterval};
 
 /// Time for which clients send requests before the first SIGTERM.
@@ -101,7 +101,7 @@
 }
 
 /// Returns the times at which attempts arrived at the nodes, by the part's id.
-fn attempts_at(nodes: &[Node]) -> Attempts {
+fn attempts_at(nodes: &[Node]) -> AttemptTimes {
     let mut attempts = BTreeMap::new();
     for (at, id) in nodes.iter().flat_map(Node::part_arrivals) {
         attempts.entry(id).or_insert_with(Vec::new).push(at);
@@ -190,7 +190,7 @@
 fn broker_endpoint(plan: &ShutdownPlan, index: usize, address: SocketAddr) -> Arc<BrokerEndpoint> {
     Arc::new(BrokerEndpoint {
         address,
-        broker: index,
+        broker_index: index,
         timeout: plan.timeout,
         non_idempotent_ratio: plan.non_idempotent_ratio,
         signalled_at: OnceLock::new(),
--- a/crates/dunepond-testkit/src/shutdown/report.rs
+++ b/crates/dunepond-testkit/src/shutdown/report.rs
@@ -84,7 +84,7 @@
 }
 
 /// Times at which the attempts of each part arrived at a node, by the part's id.
-pub type Attempts = BTreeMap<String, Vec<Instant>>;
+pub type AttemptTimes = BTreeMap<String, Vec<Instant>>;
 
 /// Conditions of a run that its requests are checked against.
 pub struct RunConditions {
@@ -132,9 +132,14 @@
 
 impl ShutdownReport {
     /// Checks requests against the rules, and adds them and their violations to this result.
-    pub fn add_requests(&mut self, requests: Vec<Request>, attempts: &Attempts, conditions: &RunConditions) {
+    pub fn add_requests(
+        &mut self,
+        requests: Vec<Request>,
+        attempts: &AttemptTimes,
+        conditions: &RunConditions,
+    ) {
         for request in requests {
-            let timeline = &conditions.brokers[request.broker];
+            let timeline = &conditions.brokers[request.broker_index];
             self.count(&request, timeline);
             let is_part = |(id, _): &(&String, &Vec<Instant>)| id.starts_with(&format!("{}.", request.id));
             let parts: Vec<_> = attempts.iter().filter(is_part).map(|(_, at)| at).collect();
@@ -199,7 +204,7 @@
     parts: &[&Vec<Instant>],
     conditions: &RunConditions,
 ) -> BTreeSet<Violation> {
-    let timeline = &conditions.brokers[request.broker];
+    let timeline = &conditions.brokers[request.broker_index];
     let mut violations = BTreeSet::new();
     let deadline = request.started_at + conditions.timeout;
     match (request.answered, request.disconnected_at) {
--- a/crates/dunepond-testkit/src/shutdown/report/tests/mod.rs
+++ b/crates/dunepond-testkit/src/shutdown/report/tests/mod.rs
@@ -26,7 +26,7 @@
     let written = stop.from - written_before;
     let request = Request {
         id: "r".to_string(),
-        broker: 0,
+        broker_index: 0,
         behavior: ClientBehavior::Sequential,
         idempotent: true,
         started_at: written,
@@ -78,7 +78,7 @@
     let stop = StopInterval { from: start, until: start + STOP_DURATION };
     let request = Request {
         id: "r".to_string(),
-        broker: 0,
+        broker_index: 0,
         behavior: ClientBehavior::Sequential,
         idempotent: true,
         started_at: stop.from + ms(10),
--- a/crates/dunepond-testkit/tests/agree/changes.rs
+++ b/crates/dunepond-testkit/tests/agree/changes.rs
@@ -17,17 +17,17 @@
 enum ChangeStage {
     Proposed,
     Joint,
-    /// The filler has received the first order to fill a replica.
-    FillOrdered,
+    /// The fill service has received its first fill request.
+    FillRequested,
     Confirmed,
 }
 
 #[rstest]
 fn leader_killed_during_change(
-    #[values(ChangeStage::Proposed, ChangeStage::Joint, ChangeStage::FillOrdered, ChangeStage::Confirmed)]
+    #[values(ChangeStage::Proposed, ChangeStage::Joint, ChangeStage::FillRequested, ChangeStage::Confirmed)]
     stage: ChangeStage,
 ) {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let (leader, all) = (fleet.wait_for_leader(), 0..fleet.options.broker_count);
     let rest = all_but(&fleet, leader);
     let clients = fleet.start_clients(rest.clone(), QUERY_PAUSE);
@@ -39,7 +39,7 @@
     match stage {
         ChangeStage::Proposed => {}
         ChangeStage::Joint => wait_for_joint_phase(&fleet, &rest, 2),
-        ChangeStage::FillOrdered => {
+        ChangeStage::FillRequested => {
             assert!(
                 wait_until(|| fleet.fill_service.fill_request_count() > 0),
                 "the fill service received no fill request"
@@ -63,7 +63,7 @@
 
 #[test]
 fn concurrent_proposals_one_wins() {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let clients = fleet.start_clients(0..5, QUERY_PAUSE);
     let (mut first, mut second) = (fleet.config_version(2, &[0], &[]), fleet.config_version(2, &[0], &[]));
     (first["why"], second["why"]) = (json!("one"), json!("other"));
@@ -82,7 +82,7 @@
 
 #[test]
 fn second_change_waits_for_first() {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let clients = fleet.start_clients(0..5, QUERY_PAUSE);
     fleet.fill_service.set_paused(true);
     let second = fleet.config_version(2, &[0], &[2]);
@@ -108,7 +108,7 @@
 
 #[test]
 fn rolling_restart_keeps_version() {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     for i in 0..5 {
         let rest = all_but(&fleet, i);
         let clients = fleet.start_clients(rest.clone(), QUERY_PAUSE);
@@ -124,11 +124,11 @@
     assert_consistent(&fleet);
 }
 
-/// The leader crashes after it ordered a fill and before the voters agreed that the fill is done. The next leader orders
+/// The leader crashes after it requested a fill and before the voters agreed that the fill is done. The next leader requests
 /// the fill again, and the debt that the fill pays must be settled once.
 #[test]
 fn crash_after_fill_settles_once() {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let clients = fleet.start_clients(all_but(&fleet, fleet.wait_for_leader()), QUERY_PAUSE);
     // About once a second a broker sends its counts to one random peer. A leader that knows of no debt plans fills from a
     // node of the replica's own partner, and such a fill settles nothing.
@@ -148,7 +148,7 @@
     fleet.fill_service.set_paused(false);
     assert!(
         wait_until(|| fleet.fill_service.fill_request_count() > before),
-        "the fill was not ordered again"
+        "the fill was not requested again"
     );
     fleet.wait_for_active_version(rest.clone(), 2);
     fleet.brokers[leader].start();
--- a/crates/dunepond-testkit/tests/agree/main.rs
+++ b/crates/dunepond-testkit/tests/agree/main.rs
@@ -50,7 +50,7 @@
 fn assert_all_answered(outcomes: &[QueryOutcome], brokers: &[usize]) {
     let unanswered = outcomes
         .iter()
-        .find(|outcome| outcome.sent && outcome.status.is_none() && brokers.contains(&outcome.broker));
+        .find(|outcome| outcome.sent && outcome.status.is_none() && brokers.contains(&outcome.broker_index));
     assert!(unanswered.is_none(), "a query was not answered: {unanswered:?}");
 }
 
--- a/crates/dunepond-testkit/tests/agree/maps.rs
+++ b/crates/dunepond-testkit/tests/agree/maps.rs
@@ -36,7 +36,7 @@
     #[case] recompute_digest: bool,
     #[case] expected_error: &str,
 ) {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let (mut leader, clients) =
         (broker_name(fleet.wait_for_leader()), fleet.start_clients(0..4, QUERY_PAUSE));
     fleet.brokers[4].kill();
@@ -97,7 +97,7 @@
 /// A broker validates the operator's file before it proposes the version in it.
 #[test]
 fn wrong_digest_is_not_proposed() {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let mut stale = fleet.config_version(2, &[0], &[]);
     stale["map"]["digest"] = json!("0123456789abcdef");
     fleet.propose(3, &stale);
--- a/crates/dunepond-testkit/tests/agree/partitions.rs
+++ b/crates/dunepond-testkit/tests/agree/partitions.rs
@@ -17,7 +17,7 @@
 #[case::minority_of_two(&[&[0, 1][..], &[2, 3, 4]])]
 #[case::two_minorities_of_one(&[&[0][..], &[1], &[2, 3, 4]])]
 fn only_majority_completes_partitioned_change(#[case] groups: &[&[usize]]) {
-    let mut fleet = Fleet::start_with_version(options(5, 5));
+    let mut fleet = Fleet::start_with_active_version(options(5, 5));
     fleet.fill_service.set_paused(true);
     let next = fleet.config_version(2, &[0, 3], &[2]);
     fleet.propose(3, &next);
@@ -42,7 +42,7 @@
 /// The leader still receives messages, but none of the messages that it sends arrive.
 #[test]
 fn leader_without_outbound_links_is_replaced() {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let leader = fleet.wait_for_leader();
     let rest = all_but(&fleet, leader);
     let clients = fleet.start_clients(0..5, QUERY_PAUSE);
@@ -62,7 +62,7 @@
 /// it resumes, it must not send any of them by its outdated map.
 #[test]
 fn suspended_broker_resumes_without_lease() {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let suspended = 4;
     let rest = all_but(&fleet, suspended);
     let clients = fleet.start_clients([suspended], Duration::from_millis(2));
@@ -80,7 +80,7 @@
 
 #[test]
 fn slow_lossy_link_keeps_broker_serving() {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     fleet
         .links
         .set_conditions_around(&["n5"], &LinkConditions { delay_seconds: 0.8, loss_ratio: 0.2, ..HEALTHY });
@@ -91,7 +91,7 @@
     let outcomes = clients.stop();
     let served = outcome_ratio(
         &outcomes,
-        |outcome| outcome.is_idempotent() && outcome.broker == 4,
+        |outcome| outcome.is_idempotent() && outcome.broker_index == 4,
         |outcome| outcome.status == Some(200),
     );
     assert!(served > 0.95, "only {served} of the idempotent queries were served behind the slow link");
@@ -103,7 +103,7 @@
 
 #[test]
 fn isolated_brokers_serve_only_idempotent_queries() {
-    let fleet = Fleet::start_with_version(options(3, 6));
+    let fleet = Fleet::start_with_active_version(options(3, 6));
     fleet.partition(&[]);
     (0..6).for_each(|i| fleet.wait_for_phase(i, AuditPhase::LeaseExpired));
     let clients = fleet.start_clients(0..6, QUERY_PAUSE);
--- a/crates/dunepond-testkit/tests/agree/plans.rs
+++ b/crates/dunepond-testkit/tests/agree/plans.rs
@@ -59,7 +59,7 @@
     )]
     stage: MoveStage,
 ) {
-    let mut fleet = Fleet::start_with_version(fleet_options());
+    let mut fleet = Fleet::start_with_active_version(fleet_options());
     let (leader, all) = (fleet.wait_for_leader(), 0..fleet.options.broker_count);
     let rest = all_but(&fleet, leader);
     let clients = fleet.start_clients(rest.clone(), QUERY_PAUSE);
@@ -100,7 +100,7 @@
     assert_eq!(
         fleet.fill_service.moved_bytes(),
         SEGMENT_BYTES,
-        "the filler moved another number of bytes than one segment has"
+        "the fill service moved another number of bytes than one segment has"
     );
     fleet.expect_plan_step(2, &[]);
     fleet.expect_plan_step(3, &[(0, "s-2")]);
@@ -111,7 +111,7 @@
 /// refuses it after the majority has completed the other one.
 #[test]
 fn partition_plans_move_segment_once() {
-    let mut fleet = Fleet::start_with_version(FleetOptions { voter_count: 5, ..fleet_options() });
+    let mut fleet = Fleet::start_with_active_version(FleetOptions { voter_count: 5, ..fleet_options() });
     fleet.partition(&[&[0, 1], &[2, 3, 4]]);
     fleet.wait_for_phase(0, AuditPhase::LeaseExpired);
     let clients = fleet.start_clients(0..5, QUERY_PAUSE);
@@ -135,7 +135,7 @@
 /// and no non-idempotent part runs at both.
 #[test]
 fn withdrawn_move_is_undone() {
-    let fleet = Fleet::start_with_version(fleet_options());
+    let fleet = Fleet::start_with_active_version(fleet_options());
     let clients = fleet.start_clients(0..5, QUERY_PAUSE);
     let mut plan = move_plan("back", 0, "s-0", "s-2");
     let second_move = json!({"move": {"segment": 3, "from": "s-3", "to": "s-5"}});
--- a/crates/dunepond-testkit/tests/agree/quotas.rs
+++ b/crates/dunepond-testkit/tests/agree/quotas.rs
@@ -62,7 +62,7 @@
 /// its floor, and it has to keep serving with that.
 #[test]
 fn isolated_broker_falls_back_to_floor() {
-    let fleet = Fleet::start_with_version(fleet_options());
+    let fleet = Fleet::start_with_active_version(fleet_options());
     let (isolated, rest) = (4, [0, 1, 2, 3]);
     lease_most_units(&fleet, isolated);
     rest.iter().for_each(|i| fleet.brokers[*i].suspend());
@@ -102,7 +102,7 @@
 fn departed_brokers_share_is_reassigned(
     #[values(Departure::Killed, Departure::CutOff, Departure::Restarted)] departure: Departure,
 ) {
-    let mut fleet = Fleet::start_with_version(fleet_options());
+    let mut fleet = Fleet::start_with_active_version(fleet_options());
     lease_most_units(&fleet, 4);
     let clients = fleet.start_clients([3, 4], BUSY_QUERY_PAUSE);
     match departure {
--- a/crates/dunepond-testkit/tests/agree/random_faults.rs
+++ b/crates/dunepond-testkit/tests/agree/random_faults.rs
@@ -19,7 +19,7 @@
 #[rstest]
 #[ignore = "takes half a minute for each seed; run it manually"]
 fn random_faults_cause_no_contradiction(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
-    let mut fleet = Fleet::start_with_version(FleetOptions { seed, ..options(5, 7) });
+    let mut fleet = Fleet::start_with_active_version(FleetOptions { seed, ..options(5, 7) });
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let clients = fleet.start_clients(0..7, QUERY_PAUSE);
     let (mut version_number, mut killed, mut folder_copy) = (1, None, None);
--- a/crates/dunepond-testkit/tests/agree/rebalancing_faults.rs
+++ b/crates/dunepond-testkit/tests/agree/rebalancing_faults.rs
@@ -29,7 +29,7 @@
 /// The connection of a fill ends after half of the bytes. The second attempt must not move these bytes again.
 #[test]
 fn interrupted_fill_resumes() {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let clients = fleet.start_clients(0..5, QUERY_PAUSE);
     fleet.fill_service.set_fill_seconds(0.2);
     fleet.fill_service.fail_next_fills(1);
@@ -46,7 +46,8 @@
 /// and the next change, which does not need this node, succeeds.
 #[test]
 fn failed_fill_target_keeps_old_map() {
-    let mut fleet = Fleet::start_with_version(FleetOptions { fill_deadline_seconds: 5.0, ..options(3, 5) });
+    let mut fleet =
+        Fleet::start_with_active_version(FleetOptions { fill_deadline_seconds: 5.0, ..options(3, 5) });
     let clients = fleet.start_clients(0..5, QUERY_PAUSE);
     fleet.fill_service.set_failing_node(Some("s-4"));
     let next = fleet.config_version(2, &[0], &[2]);
@@ -67,7 +68,7 @@
 /// The source node of a fill drains and fails during the fill. Another source has to take over.
 #[test]
 fn draining_fill_source_is_replaced() {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let clients = fleet.start_clients(0..5, QUERY_PAUSE);
     fleet.fill_service.set_paused(true);
     let next = fleet.config_version(2, &[0], &[2]);
@@ -96,7 +97,7 @@
 /// effect.
 #[test]
 fn partition_moves_segment_to_one_owner() {
-    let mut fleet = Fleet::start_with_version(options(5, 5));
+    let mut fleet = Fleet::start_with_active_version(options(5, 5));
     fleet.partition(&[&[0, 1], &[2, 3, 4]]);
     let clients = fleet.start_clients(0..5, QUERY_PAUSE);
     let (minority_version, majority_version) =
@@ -121,7 +122,8 @@
 /// become leader, and the first one has to vote again once there is space.
 #[test]
 fn leader_with_full_disk_keeps_agreement() {
-    let mut fleet = Fleet::start_with_version(FleetOptions { disk_faults_enabled: true, ..options(3, 5) });
+    let mut fleet =
+        Fleet::start_with_active_version(FleetOptions { disk_faults_enabled: true, ..options(3, 5) });
     let leader = fleet.wait_for_leader();
     let rest = all_but(&fleet, leader);
     let clients = fleet.start_clients(0..5, QUERY_PAUSE);
@@ -149,7 +151,7 @@
 /// All messages between the leader and the other brokers from before two changes are delivered again afterwards.
 #[test]
 fn replayed_old_messages_change_nothing() {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let (leader, all) = (broker_name(fleet.wait_for_leader()), 0..5);
     let peers: Vec<_> = all.clone().map(broker_name).filter(|name| *name != leader).collect();
     for peer in &peers {
@@ -190,7 +192,7 @@
 #[case::voter(2)]
 #[case::non_voter(4)]
 fn outdated_folder_sends_no_non_idempotent_part(#[case] broker: usize) {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let old_folder = fleet.brokers[broker].copy_folder_to_scratch();
     let next = fleet.config_version(2, &[0, 1, 2, 3, 4, 5], &[]);
     fleet.propose(0, &next);
--- a/crates/dunepond-testkit/tests/agree/settlement.rs
+++ b/crates/dunepond-testkit/tests/agree/settlement.rs
@@ -90,7 +90,7 @@
 /// settle the debt, so the second one has to be planned with the first settlement taken into account.
 #[test]
 fn debt_counted_by_crashed_broker_is_settled_once() {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let (crashed, rest) = (4, [0, 1, 2, 3]);
     let carried = generate_debt(&fleet, crashed, &rest);
     // The clients' queries amount to only hundreds of bytes; the rest is added to the stored counts.
@@ -131,7 +131,7 @@
 #[case::in_its_own_and_the_debtors_name(true)]
 fn inflated_count_is_not_settled(#[case] in_the_debtors_name: bool) {
     let (debtor_broker, creditor_broker) = (3, 4);
-    let mut fleet = Fleet::start_with_version(FleetOptions {
+    let mut fleet = Fleet::start_with_active_version(FleetOptions {
         partner_brokers: [vec![debtor_broker], vec![creditor_broker]],
         ..options(3, 5)
     });
@@ -194,9 +194,9 @@
 fn partition_settles_within_debt(
     #[case] slow_start_seconds: f64,
     #[case] min_fills: usize,
-    #[case] max_orders: usize,
+    #[case] max_fill_requests: usize,
 ) {
-    let mut fleet = Fleet::start_with_version(FleetOptions {
+    let mut fleet = Fleet::start_with_active_version(FleetOptions {
         slow_start_seconds: Some(slow_start_seconds),
         node_count: 12,
         segment_count: 12,
@@ -256,7 +256,7 @@
     let ids: BTreeSet<_> = fleet.records().entries.into_iter().filter_map(fill_id).collect();
     assert_eq!(ids.len(), 12, "expected 12 ids, since no fill may have two: {ids:?}");
     assert!(
-        fill_request_count <= max_orders,
+        fill_request_count <= max_fill_requests,
         "{fill_request_count} fill requests for {min_fills} fills; a fill may be requested again after a restart"
     );
     assert_eq!(fleet.audit(), []);
@@ -272,7 +272,7 @@
     #[case] expected_bytes: u64,
 ) {
     let (debtor_broker, creditor_broker) = (3, 4);
-    let mut fleet = Fleet::start_with_version(FleetOptions {
+    let mut fleet = Fleet::start_with_active_version(FleetOptions {
         partner_brokers: [vec![debtor_broker], vec![creditor_broker]],
         metering_enabled: true,
         ..options(3, 5)
--- a/crates/dunepond-testkit/tests/agree/voter_folders.rs
+++ b/crates/dunepond-testkit/tests/agree/voter_folders.rs
@@ -29,7 +29,7 @@
 #[case::with_an_outdated_folder(FolderState::Outdated)]
 #[case::with_an_outdated_image(FolderState::OutdatedImage)]
 fn restored_voter_cannot_undo_agreed_version(#[case] folder: FolderState) {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let old_folder = fleet.brokers[1].copy_folder_to_scratch();
     if matches!(folder, FolderState::OutdatedImage) {
         fleet.brokers[1].kill();
@@ -76,7 +76,7 @@
 #[case::with_an_outdated_folder(FolderState::Outdated)]
 #[case::with_a_torn_last_record(FolderState::TornLastRecord)]
 fn voter_with_changed_folder_rejoins(#[case] folder: FolderState) {
-    let mut fleet = Fleet::start_with_version(options(3, 5));
+    let mut fleet = Fleet::start_with_active_version(options(3, 5));
     let old_folder = fleet.brokers[2].copy_folder_to_scratch();
     let clients = fleet.start_clients([0, 1, 3, 4], QUERY_PAUSE);
     let second = fleet.config_version(2, &[1], &[]);
--- a/crates/dunepond-testkit/tests/agree/voters.rs
+++ b/crates/dunepond-testkit/tests/agree/voters.rs
@@ -15,7 +15,7 @@
 /// soon as it is off the list, since its stored votes are then no longer needed.
 #[test]
 fn voters_are_replaced_one_by_one() {
-    let mut fleet = Fleet::start_with_version(options(3, 7));
+    let mut fleet = Fleet::start_with_active_version(options(3, 7));
     let (new_voters, remaining) = ([3, 4, 5], [3, 4, 5, 6]);
     let clients = fleet.start_clients([6], QUERY_PAUSE);
     let lists = [["n4", "n2", "n3"], ["n4", "n5", "n3"], ["n4", "n5", "n6"]];
--- a/crates/dunepond-testkit/tests/auditor.rs
+++ b/crates/dunepond-testkit/tests/auditor.rs
@@ -131,18 +131,18 @@
     |f: &Finding| matches!(f, Finding::MixedEpochs { epoch: 1, segment_id: 5, .. }))]
 #[case::confirmed_with_two_digests(
     r#"{"at":18.0,"brk":"n3","run":1,"act":"confirmed","number":2,"digest":"ee"}"#,
-    |f: &Finding| matches!(f, Finding::DigestConflict { number: 2, .. }))]
+    |f: &Finding| matches!(f, Finding::DigestConflict { version: 2, .. }))]
 #[case::confirmed_and_withdrawn(
     r#"{"at":18.0,"brk":"n3","run":1,"act":"withdrawn","number":2,"digest":"dd"}"#,
-    |f: &Finding| matches!(f, Finding::ConfirmedAndWithdrawn { number: 2 }))]
+    |f: &Finding| matches!(f, Finding::ConfirmedAndWithdrawn { version: 2 }))]
 #[case::quota_exceeded(
     r#"{"at":1.0,"brk":"n1","run":1,"act":"share","generation":3,"counted":true,"floor":50000,"parts":{"further":600000},"from":0.0,"until":9.0,"window":1.0}
 {"at":8.0,"brk":"n1","run":1,"act":"share","generation":4,"counted":true,"floor":50000,"parts":{},"from":0.0,"until":20.0,"window":1.0}
 {"at":8.9,"brk":"n2","run":1,"act":"share","generation":5,"counted":true,"floor":50000,"parts":{"further":600000},"from":0.0,"until":20.0,"window":1.0}"#,
-    |f: &Finding| matches!(f, Finding::QuotaExceeded { units: 1_300_000, .. }))]
+    |f: &Finding| matches!(f, Finding::QuotaExceeded { total_units: 1_300_000, .. }))]
 #[case::lost_records(r#"{"at":18.0,"brk":"n3","run":1,"act":"lost","count":7}"#,
     |f: &Finding| matches!(f, Finding::RecordsLost { count: 7, .. }))]
-#[case::unreadable_record("{\"at\":18.0,\"brk\":\"n3\",\"ru\n{\"at\":18.1,\"brk\":\"n3\",\"run\":1,\"act\":\"refused\",\"call\":\"q\",\"why\":\"no\"}",
+#[case::invalid_record("{\"at\":18.0,\"brk\":\"n3\",\"ru\n{\"at\":18.1,\"brk\":\"n3\",\"run\":1,\"act\":\"refused\",\"call\":\"q\",\"why\":\"no\"}",
     |f: &Finding| matches!(f, Finding::InvalidRecord { line: 1, .. }))]
 fn injected_fault_is_found_once(#[case] faulty_records: &str, #[case] is_expected: fn(&Finding) -> bool) {
     let findings = audit_with(faulty_records, &ground_truth());
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn longest_contradiction_is_the_overlap_of_versions() {
+fn longest_version_conflict_is_the_overlap_of_versions() {
     let mut records = Records::default();
     records.append_sorted("acts", CORRECT_RECORDS);
     let late =
--- a/crates/dunepond-testkit/tests/bodies.rs
+++ b/crates/dunepond-testkit/tests/bodies.rs
@@ -362,7 +362,7 @@
 #[test]
 fn disconnect_during_retry_frees_body() {
     let cluster = cluster(
-        &[BodyNodeBehavior::ReportFailure, BodyNodeBehavior::BytesPerSecond(mib_bytes(1))],
+        &[BodyNodeBehavior::ReportFailure, BodyNodeBehavior::ServeAtBytesPerSecond(mib_bytes(1))],
         FILES_CONFIG,
     );
     let request = body_request("find", "c1", &[0], mib_bytes(4));
--- a/crates/dunepond-testkit/tests/links.rs
+++ b/crates/dunepond-testkit/tests/links.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn cut_delays_streams_and_drops_datagrams() {
+fn partition_delays_streams_and_drops_datagrams() {
     let pair = echo_pair(2);
     let mut stream = pair.connect();
     echo(&mut stream).unwrap();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn one_way_cut_blocks_one_direction() {
+fn one_way_partition_blocks_one_direction() {
     let pair = echo_pair(3);
     let mut stream = pair.connect();
     echo(&mut stream).unwrap();
--- a/crates/dunepond-testkit/tests/search.rs
+++ b/crates/dunepond-testkit/tests/search.rs
@@ -149,7 +149,7 @@
 
 /// A node returns an invalid, mismatched or timed-out result. Its parts count as failed and are retried on other nodes.
 #[rstest]
-#[case(SearchNodeBehavior::TruncatedDocument, "EOF")]
+#[case(SearchNodeBehavior::TruncatedResponse, "EOF")]
 #[case(SearchNodeBehavior::WrongIndex, "of another index")]
 #[case(SearchNodeBehavior::TooManyHits, "asked for")]
 #[case(SearchNodeBehavior::TimedOut, "timed_out")]
