--- a/crates/dunepond-testkit/src/load.rs
+++ b/crates/dunepond-testkit/src/load.rs
@@ -12,7 +12,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::report::Curve;
-use crate::stand_ins::{Answer, Client, query_request};
+use crate::stand_ins::{Client, Response, query_request};
 
 /// Number of clients that send the requests. A client has one request in flight at a time, so that this must exceed the
 /// largest number of requests in flight.
@@ -23,9 +23,9 @@
 const LATENCY_DIGITS: u8 = 3;
 
 /// A workload of queries with Poisson arrivals at a fixed mean rate.
-pub struct Load {
-    /// Address of the broker.
-    pub to: SocketAddr,
+pub struct Workload {
+    /// Address at which the broker takes the requests.
+    pub broker_address: SocketAddr,
     /// Mean arrival rate, in requests per second.
     pub requests_per_second: f64,
     /// Time over which requests arrive, in seconds.
@@ -39,19 +39,19 @@
 /// Results of a workload.
 pub struct LoadReport {
     /// Latencies of all requests in microseconds, from the time at which the request was due to its end.
-    pub latencies: Histogram<u64>,
+    pub latencies_micros: Histogram<u64>,
     /// Number of requests answered with status 200.
-    pub served: u64,
+    pub served_count: u64,
     /// Number of requests answered with status 429 or 503.
-    pub rejected: u64,
+    pub rejected_count: u64,
     /// Number of requests answered with another status, or not at all.
-    pub failed: u64,
+    pub failed_count: u64,
 }
 
 impl LoadReport {
     /// Returns a quantile of the latencies, in seconds. `quantile` is between 0 and 1.
     pub fn latency_seconds(&self, quantile: f64) -> f64 {
-        self.latencies.value_at_quantile(quantile) as f64 / 1e6
+        self.latencies_micros.value_at_quantile(quantile) as f64 / 1e6
     }
 
     /// Returns a curve of the latency percentiles: percentage of the requests on the x axis, latency in milliseconds on
@@ -66,18 +66,18 @@
 
     /// Records the end of a request; `status` is `None` if there was no answer.
     fn record(&mut self, due: Instant, status: Option<u16>) {
-        let _ = self.latencies.record(due.elapsed().as_micros() as u64);
+        let _ = self.latencies_micros.record(due.elapsed().as_micros() as u64);
         match status {
-            Some(200) => self.served += 1,
-            Some(429 | 503) => self.rejected += 1,
-            _ => self.failed += 1,
+            Some(200) => self.served_count += 1,
+            Some(429 | 503) => self.rejected_count += 1,
+            _ => self.failed_count += 1,
         }
     }
 }
 
 /// State that the clients of a workload share.
 struct SharedWorkload<R, A> {
-    to: SocketAddr,
+    broker_address: SocketAddr,
     /// When each request is due, by its number.
     arrivals: Vec<Instant>,
     /// Number of the next request that a client sends.
@@ -87,10 +87,10 @@
     report: Mutex<LoadReport>,
 }
 
-impl<R: Fn(usize) -> String, A: Fn(usize, Instant, Option<&Answer>)> SharedWorkload<R, A> {
+impl<R: Fn(usize) -> String, A: Fn(usize, Instant, Option<&Response>)> SharedWorkload<R, A> {
     /// Sends requests, each when it is due, until none is left. Connects again after a request without an answer.
     fn run_client(&self) {
-        let mut client = Client::connect_to(self.to);
+        let mut client = Client::connect_to(self.broker_address);
         loop {
             let number = self.next_number.fetch_add(1, Ordering::Relaxed);
             let Some(&due) = self.arrivals.get(number) else { return };
@@ -101,14 +101,14 @@
             (self.on_answer)(number, sent_at, answer.as_ref());
             let status = answer.map(|answer| answer.status);
             if status.is_none() {
-                client = Client::connect_to(self.to);
+                client = Client::connect_to(self.broker_address);
             }
             self.report.lock().unwrap().record(due, status);
         }
     }
 }
 
-impl Load {
+impl Workload {
     /// Runs the workload with small queries and returns its results.
     pub fn run(&self) -> LoadReport {
         let prefix = self.id_prefix;
@@ -122,17 +122,22 @@
     pub fn run_with(
         &self,
         build_request: impl Fn(usize) -> String + Send + Sync + 'static,
-        on_answer: impl Fn(usize, Instant, Option<&Answer>) + Send + Sync + 'static,
+        on_answer: impl Fn(usize, Instant, Option<&Response>) + Send + Sync + 'static,
     ) -> LoadReport {
-        let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, LATENCY_DIGITS);
-        let latencies = latencies.expect("the bounds of the histogram are valid");
+        let latencies_micros = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, LATENCY_DIGITS);
+        let latencies_micros = latencies_micros.expect("the bounds of the histogram are valid");
         let workload = Arc::new(SharedWorkload {
-            to: self.to,
+            broker_address: self.broker_address,
             arrivals: self.draw_arrivals(),
             next_number: AtomicUsize::new(0),
             build_request,
             on_answer,
-            report: Mutex::new(LoadReport { latencies, served: 0, rejected: 0, failed: 0 }),
+            report: Mutex::new(LoadReport {
+                latencies_micros,
+                served_count: 0,
+                rejected_count: 0,
+                failed_count: 0,
+            }),
         });
         let start_client = |_| {
             let workload = workload.clone();
--- a/crates/dunepond-testkit/src/main.rs
+++ b/crates/dunepond-testkit/src/main.rs
@@ -112,17 +112,17 @@
     match Arguments::parse().command {
         Command::Broker { operator, disk, fleet_disk } => run_broker(operator, disk, fleet_disk)?,
         Command::List => {
-            experiments::ALL
+            experiments::EXPERIMENTS
                 .iter()
                 .for_each(|experiment| println!("{:12} {}", experiment.name, experiment.summary));
         }
         Command::Run { name, quick, seed, only, brokers, seed_count, out } => {
-            let experiment = experiments::ALL.iter().find(|experiment| experiment.name == name);
+            let experiment = experiments::EXPERIMENTS.iter().find(|experiment| experiment.name == name);
             let experiment = experiment.with_context(|| {
                 format!("experiment '{name}' does not exist; `list` shows all experiments")
             })?;
             let program = std::env::current_exe()?;
-            let figures = (experiment.run)(&RunOptions {
+            let experiment_report = (experiment.run)(&RunOptions {
                 program,
                 quick,
                 seed,
@@ -130,7 +130,7 @@
                 broker_count: brokers,
                 seed_count,
             })?;
-            if !figures.finish(experiment.name, out.as_deref())? {
+            if !experiment_report.print_and_write(experiment.name, out.as_deref())? {
                 return Ok(ExitCode::FAILURE);
             }
         }
--- a/crates/dunepond-testkit/src/shutdown/verdict/tests/mod.rs
+++ b/crates/dunepond-testkit/src/shutdown/report/tests/mod.rs
@@ -26,14 +26,14 @@
     let written = stop.from - written_before;
     let request = Request {
         id: "r".to_string(),
-        broker: 0,
+        broker_index: 0,
         behavior: ClientBehavior::Sequential,
         idempotent: true,
         started_at: written,
         written_at: written,
         answered: (!disconnects).then_some((stop.until + ms(1), 429)),
         disconnected_at: disconnects.then_some(stop.from + ms(120)),
-        ended: None,
+        connection_ended: None,
     };
     let timeline = BrokerTimeline {
         signalled_at: stop.from,
@@ -78,14 +78,14 @@
     let stop = StopInterval { from: start, until: start + STOP_DURATION };
     let request = Request {
         id: "r".to_string(),
-        broker: 0,
+        broker_index: 0,
         behavior: ClientBehavior::Sequential,
         idempotent: true,
         started_at: stop.from + ms(10),
         written_at: stop.from + ms(10),
         answered: None,
         disconnected_at: Some(stop.from + ms(100)),
-        ended: None,
+        connection_ended: None,
     };
     assert!(!stop.delays_attempt(&request, stop.from + ms(100), stop.until + ms(1)));
 }
