--- a/crates/dunepond-recovery/src/learned_state.rs
+++ b/crates/dunepond-recovery/src/learned_state.rs
@@ -255,9 +255,9 @@
         TrustedState { confidence, learned, nodes }
     }
 
-    /// Returns the newest samples of `stored`, with ages increased by `elapsed` seconds. `weight` is the fraction (0 to
-    /// 1) of the samples to take. Of the samples taken, those of query classes that are not in `query_classes` are left
-    /// out.
+    /// Returns the newest samples of `stored`, with ages increased by `elapsed` seconds. `weight` is the fraction of the
+    /// samples to take, from 0 to 1. Of the samples taken, those of query classes that are not in `query_classes` are
+    /// left out.
     fn aged_samples(
         &self,
         stored: &StoredNode,
