--- a/crates/dunepond-broker/src/body_store.rs
+++ b/crates/dunepond-broker/src/body_store.rs
@@ -55,7 +55,7 @@
     /// Events that have not been handled yet, each with the id of its body, oldest first.
     pub events: VecDeque<(BodyId, BodyEvent)>,
     /// Whether a timer is set for the next check for overdue disk operations.
-    pub check_scheduled: bool,
+    pub io_check_scheduled: bool,
     /// Whether a body has made progress since `pump_bodies` last ran, so that more of it may be sent on or received.
     pub made_progress: bool,
 }
@@ -71,7 +71,7 @@
             awaiting_disk: Vec::new(),
             query_classes,
             events: VecDeque::new(),
-            check_scheduled: false,
+            io_check_scheduled: false,
             made_progress: false,
         }
     }
--- a/crates/dunepond-broker/src/connection_end/tests/mod.rs
+++ b/crates/dunepond-broker/src/connection_end/tests/mod.rs
@@ -18,12 +18,12 @@
 #[case(ConnectionEnd::SlowConsumer, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
 #[case(ConnectionEnd::BodyLost, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionLost)]
 fn attempt_outcome_depends_on_the_last_byte(
-    #[case] ending: ConnectionEnd,
+    #[case] connection_end: ConnectionEnd,
     #[case] if_not_fully_written: AttemptOutcome,
     #[case] if_fully_written: AttemptOutcome,
 ) {
     assert_eq!(
-        (ending.attempt_outcome(false), ending.attempt_outcome(true)),
+        (connection_end.attempt_outcome(false), connection_end.attempt_outcome(true)),
         (if_not_fully_written, if_fully_written)
     );
 }
@@ -33,6 +33,6 @@
 #[case(io::ErrorKind::TimedOut, ConnectionEnd::ConnectTimeout)]
 #[case(io::ErrorKind::ConnectionReset, ConnectionEnd::Reset)]
 #[case(io::ErrorKind::BrokenPipe, ConnectionEnd::Reset)]
-fn io_error_maps_to_connection_end(#[case] kind: io::ErrorKind, #[case] ending: ConnectionEnd) {
-    assert_eq!(ConnectionEnd::from_io_error(&kind.into()), ending);
+fn io_error_maps_to_connection_end(#[case] kind: io::ErrorKind, #[case] connection_end: ConnectionEnd) {
+    assert_eq!(ConnectionEnd::from_io_error(&kind.into()), connection_end);
 }
--- a/crates/dunepond-broker/src/control_plane/completeness/tests/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/completeness/tests/mod.rs
@@ -34,10 +34,13 @@
 fn complete_only_if_covered_under_one_map(
     #[case] segments: &[usize],
     #[case] is_answered: &[bool],
-    #[case] moved: &[(usize, u64)],
+    #[case] sent_under_other_map: &[(usize, u64)],
     #[case] epoch: Option<u64>,
 ) {
-    assert_eq!(verify_answer(&verified_map(), segments, |part| is_answered[part], moved).ok(), epoch);
+    assert_eq!(
+        verify_answer(&verified_map(), segments, |part| is_answered[part], sent_under_other_map).ok(),
+        epoch
+    );
     // The fast path and the check of key ranges have the same result.
-    assert_eq!(verify_by_keys(&verified_map(), segments, is_answered, moved).ok(), epoch);
+    assert_eq!(verify_by_keys(&verified_map(), segments, is_answered, sent_under_other_map).ok(), epoch);
 }
--- a/crates/dunepond-broker/src/control_plane/fence.rs
+++ b/crates/dunepond-broker/src/control_plane/fence.rs
@@ -39,10 +39,10 @@
 pub enum FenceAction {
     /// The change of owner does not affect the attempt: it may be sent, and retried as its idempotency allows.
     Allowed,
-    /// The attempt is returned unsent. Its query is rejected as retriable if none of the query's parts has run.
-    Returned,
+    /// The attempt is withdrawn unsent. Its query is rejected as retriable if none of the query's parts has run.
+    Withdrawn,
     /// The connection is closed before the frame is complete, so that the node cannot have run the attempt. The query
-    /// is then treated as with `Returned`.
+    /// is then treated as with `Withdrawn`.
     Aborted,
     /// The attempt ends only with its own answer or with the query's timeout, and is not sent again.
     AwaitOwnAnswer,
@@ -54,13 +54,13 @@
     /// Returns whether the attempt certainly has not run and will not. Its query may then be sent again, to whichever
     /// node is the owner by then.
     pub fn never_ran(self) -> bool {
-        matches!(self, Self::Returned | Self::Aborted)
+        matches!(self, Self::Withdrawn | Self::Aborted)
     }
 
     /// Returns the outcome that is reported to the router; `None` if the attempt continues.
     pub fn outcome(self) -> Option<AttemptOutcome> {
         match self {
-            Self::Returned => Some(AttemptOutcome::NotSent),
+            Self::Withdrawn => Some(AttemptOutcome::NotSent),
             Self::Aborted => Some(AttemptOutcome::ConnectFailed),
             Self::Allowed | Self::AwaitOwnAnswer | Self::Accepted => None,
         }
@@ -71,7 +71,7 @@
 /// one, because some broker may still act on the old map.
 pub fn fence_action(stage: AttemptStage, idempotency: Idempotency, side: OwnerSide) -> FenceAction {
     use AttemptStage::{Answered, AnsweredLate, AwaitingAnswer, NotSent, PartlyWritten, Queued, Rejected};
-    use FenceAction::{Aborted, Accepted, Allowed, AwaitOwnAnswer, Returned};
+    use FenceAction::{Aborted, Accepted, Allowed, AwaitOwnAnswer, Withdrawn};
     use Idempotency::{Idempotent, Keyed, NonIdempotent};
     match (stage, idempotency, side) {
         (Answered | AnsweredLate, _, _) => Accepted,
@@ -79,7 +79,7 @@
         (NotSent | Queued | PartlyWritten | AwaitingAnswer | Rejected, Idempotent | Keyed { .. }, _) => {
             Allowed
         }
-        (NotSent | Queued | Rejected, NonIdempotent, OwnerSide::Old | OwnerSide::New) => Returned,
+        (NotSent | Queued | Rejected, NonIdempotent, OwnerSide::Old | OwnerSide::New) => Withdrawn,
         (PartlyWritten, NonIdempotent, OwnerSide::Old | OwnerSide::New) => Aborted,
         // The part may be running, so neither owner may get it again.
         (AwaitingAnswer, NonIdempotent, OwnerSide::Old | OwnerSide::New) => AwaitOwnAnswer,
--- a/crates/dunepond-broker/src/control_plane/mod.rs
+++ b/crates/dunepond-broker/src/control_plane/mod.rs
@@ -181,10 +181,10 @@
     }
 
     /// Counts the bytes that a node has sent for a tenant's query, for the settlement between partners.
-    pub fn record_carried(&self, node: NodeId, tenant: usize, bytes: usize) {
+    pub fn record_answer_bytes(&self, node: NodeId, tenant: usize, bytes: usize) {
         let debtor = self.partner_by_tenant.get(tenant).copied().flatten();
-        if let (Some(carrier), Some(debtor)) = (self.partner_of(node), debtor) {
-            self.gate.control.record_carried(carrier, debtor, bytes as u64);
+        if let (Some(creditor), Some(debtor)) = (self.partner_of(node), debtor) {
+            self.gate.control.record_carried(creditor, debtor, bytes as u64);
         }
     }
 
--- a/crates/dunepond-broker/src/control_plane/quotas.rs
+++ b/crates/dunepond-broker/src/control_plane/quotas.rs
@@ -23,7 +23,7 @@
 pub struct Quotas {
     /// Seconds between two reports of demand to the fleet.
     report_interval: f64,
-    bounds: SharedQuotas,
+    shared_quotas: SharedQuotas,
     local: LocalQuota,
     /// How many parts per second a node accepts from all brokers together once its slow start is over; `None` if the
     /// quota for slow start is not shared among the brokers of the fleet.
@@ -55,7 +55,7 @@
     lease_was_valid: bool,
     /// Whether quota use by an earlier process of this broker could still count when the shares were computed,
     /// because the current process had started less than a quota window before.
-    was_settling: bool,
+    earlier_use_counted: bool,
 }
 
 /// Use of one quota since the last sample, relative to the fleet's quota for that time.
@@ -87,17 +87,17 @@
         let retry_budget = deployment.retry_budget.as_ref();
         let retry_window = retry_budget.map_or(DEFAULT_RETRY_WINDOW_SECONDS, |budget| budget.window);
         let min_retries = retry_budget.map_or(0.0, |budget| budget.min_retries);
-        let bounds = SharedQuotas::new(
+        let shared_quotas = SharedQuotas::new(
             quota_names(config, &tenants),
             deployment.broker_count as u32,
             config.reserved_ratio,
             (longest_window_seconds(deployment, retry_window) * 1e3).ceil() as u64,
         );
-        let bounds = bounds.map_err(|e| ConfigError(format!("fleet: {e} ({})", e.help())))?;
+        let shared_quotas = shared_quotas.map_err(|e| ConfigError(format!("fleet: {e} ({})", e.help())))?;
         Ok(Self {
             report_interval: config.interval_seconds,
-            local: LocalQuota::new(&bounds, monotonic_seconds()),
-            bounds,
+            local: LocalQuota::new(&shared_quotas, monotonic_seconds()),
+            shared_quotas,
             slow_start_rate: config.slow_start_parts_per_second,
             shares_retries: config.share_retries,
             tenants,
@@ -109,8 +109,8 @@
     }
 
     /// Returns the quotas that the fleet shares.
-    pub fn bounds(&self) -> &SharedQuotas {
-        &self.bounds
+    pub fn shared_quotas(&self) -> &SharedQuotas {
+        &self.shared_quotas
     }
 
     /// Returns the seconds between two reports of demand to the fleet.
@@ -123,7 +123,7 @@
         let config = gate.active_config();
         let applied = AppliedQuotas {
             lease_was_valid: config.lease_valid(now),
-            was_settling: now < self.local.started_at + self.local.window_seconds,
+            earlier_use_counted: now < self.local.started_at + self.local.window_seconds,
             config: config.clone(),
         };
         if self.last_applied.as_ref().is_some_and(|previous| previous.is_same(&applied)) {
@@ -202,7 +202,7 @@
     fn is_same(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.config, &other.config)
             && self.lease_was_valid == other.lease_was_valid
-            && self.was_settling == other.was_settling
+            && self.earlier_use_counted == other.earlier_use_counted
     }
 }
 
--- a/crates/dunepond-broker/src/control_plane/startup.rs
+++ b/crates/dunepond-broker/src/control_plane/startup.rs
@@ -104,7 +104,7 @@
         }),
         slow_start: Some(slow_start_policy(&deployment.slow_start)),
         quotas: quotas.map(|quotas| QuotaConfig {
-            shared: quotas.bounds().clone(),
+            shared: quotas.shared_quotas().clone(),
             plan_interval_seconds: quotas.report_interval(),
         }),
         rebalancing: config.rebalancing.as_ref().map(|moves| RebalanceConfig {
--- a/crates/dunepond-broker/src/discovery/call.rs
+++ b/crates/dunepond-broker/src/discovery/call.rs
@@ -64,7 +64,7 @@
     /// The response holds changes up to a version that is older than the stored list, or no list is stored to which
     /// they could be applied.
     #[error("changes up to version {0} do not follow the endpoint list held")]
-    NotContiguous(u64),
+    OutdatedChanges(u64),
 }
 
 impl From<HttpError> for ResponseError {
@@ -114,7 +114,7 @@
     fn accept(&mut self, parsed: ParsedList) -> Result<EndpointUpdate, ResponseError> {
         let ParsedList { version, update, had_invalid_row } = parsed;
         if !update.complete && self.version.is_none_or(|known| version < known) {
-            return Err(ResponseError::NotContiguous(version));
+            return Err(ResponseError::OutdatedChanges(version));
         }
         // A watch would not repeat the change of an invalid row, so the complete list is requested. If a complete list
         // has an invalid row, it is requested once more and then accepted without that row.
--- a/crates/dunepond-broker/src/downstream/accept.rs
+++ b/crates/dunepond-broker/src/downstream/accept.rs
@@ -67,7 +67,7 @@
             if full && candidate.is_none() {
                 // Retried soon while there are clients still to be read: reading may show that one of them awaits no
                 // response, and such a client can be evicted to make room.
-                let retry_soon = !self.pending_clients.is_empty();
+                let retry_soon = !self.clients_to_read.is_empty();
                 self.pause_accepting(now, retry_soon.then_some(now), timers);
                 return false;
             }
@@ -78,7 +78,7 @@
                     candidate.map(|id| self.close(id, ConnectionEnd::IdleClosed, timers));
                     let paused_since = self.listeners[index].paused_since;
                     match self.register(now, stream, port, paused_since, timers) {
-                        Ok(id) => self.pending_clients.push(id),
+                        Ok(id) => self.clients_to_read.push(id),
                         Err(e) => warn!("client {peer}: not accepted: {e}"),
                     }
                 }
@@ -138,7 +138,7 @@
             arrivals: ArrivalTimes::new(connected_at),
             request_started_at: now,
             keep_alive: true,
-            responded_in_body: false,
+            responded_before_body_end: false,
             reading_paused: false,
             timer: None,
         });
--- a/crates/dunepond-broker/src/downstream/closing.rs
+++ b/crates/dunepond-broker/src/downstream/closing.rs
@@ -112,7 +112,7 @@
     pub fn read_before_timeout(&mut self, id: usize) -> Option<TimerKey> {
         let client = self.connections.get_mut(id)?;
         client.readable = true;
-        self.pending_clients.push(id);
+        self.clients_to_read.push(id);
         client.timer
     }
 
@@ -130,7 +130,7 @@
             return FinalRead::Disconnected(ConnectionEnd::Closed);
         };
         if !client.read_ahead.is_empty() {
-            self.pending_clients.push(id);
+            self.clients_to_read.push(id);
             return FinalRead::ReceivedData;
         }
         let mut input = client.input.take().unwrap_or_else(|| self.pool.acquire());
@@ -149,7 +149,7 @@
             Ok(0) => FinalRead::Disconnected(ConnectionEnd::Closed),
             Ok(_) => {
                 client.readable = true;
-                self.pending_clients.push(id);
+                self.clients_to_read.push(id);
                 FinalRead::ReceivedData
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => FinalRead::NoData,
@@ -166,7 +166,7 @@
         match self.final_read(now, id) {
             FinalRead::ReceivedData => self.start_request_timer(now, id, timers),
             FinalRead::NoData => self.start_lingering(now, id, timers),
-            FinalRead::Disconnected(ending) => drop(self.close(id, ending, timers)),
+            FinalRead::Disconnected(connection_end) => drop(self.close(id, connection_end, timers)),
         }
     }
 
@@ -180,7 +180,7 @@
         client.read_ahead.clear();
         // A client that is still sending its body reads the response only afterwards; closing before that would reset the
         // connection.
-        let linger_seconds = if client.responded_in_body {
+        let linger_seconds = if client.responded_before_body_end {
             self.max_delivery_seconds().max(REQUEST_TIMEOUT_SECONDS)
         } else {
             LINGER_SECONDS
@@ -224,7 +224,7 @@
             let evictable = self.awaiting_request.iter().filter(|(timer, _)| is_evictable(timer));
             let in_order = evictable.chain(&self.lingering).chain(&self.idle).chain(&self.awaiting_request);
             // A connection that is queued to be read is not evicted before it has been read.
-            let Some(id) = in_order.map(|(_, id)| *id).find(|id| !self.pending_clients.contains(id)) else {
+            let Some(id) = in_order.map(|(_, id)| *id).find(|id| !self.clients_to_read.contains(id)) else {
                 break;
             };
             if !matches!(self.final_read(now, id), FinalRead::ReceivedData) {
--- a/crates/dunepond-broker/src/downstream/disconnect.rs
+++ b/crates/dunepond-broker/src/downstream/disconnect.rs
@@ -28,9 +28,9 @@
             && (client.readable || now - client.last_checked_at >= CHECK_VALID_SECONDS)
         {
             client.last_checked_at = now;
-            let ending = self.probe_disconnect(now, id);
-            self.connections[id].disconnected = ending;
-            self.disconnected_clients.extend(ending.map(|_| id));
+            let connection_end = self.probe_disconnect(now, id);
+            self.connections[id].disconnected = connection_end;
+            self.disconnected_clients.extend(connection_end.map(|_| id));
         }
         self.connections[id].disconnected.is_some()
     }
@@ -53,8 +53,8 @@
     pub fn next_disconnected(&mut self, timers: &mut Timers) -> Option<Option<QueryId>> {
         let id = self.disconnected_clients.pop()?;
         // The connection may be closed already, and its index reused.
-        let ending = self.connections.get(id).and_then(|client| client.disconnected);
-        Some(ending.and_then(|ending| self.close(id, ending, timers)))
+        let connection_end = self.connections.get(id).and_then(|client| client.disconnected);
+        Some(connection_end.and_then(|connection_end| self.close(id, connection_end, timers)))
     }
 
     /// Whether there are buffers for reading ahead what a client sends while it waits for a response. The end of its
--- a/crates/dunepond-broker/src/downstream/mod.rs
+++ b/crates/dunepond-broker/src/downstream/mod.rs
@@ -104,7 +104,7 @@
     /// Whether the connection stays open after the response.
     keep_alive: bool,
     /// Whether the response was sent before the body of a streamed request was complete.
-    responded_in_body: bool,
+    responded_before_body_end: bool,
     /// Whether reading is paused, as the client sends faster than the broker may read. Reading resumes by a timer, or
     /// once the client's streamed body has room again.
     reading_paused: bool,
@@ -150,7 +150,7 @@
     /// Clients from which nothing is read until their streamed body has room again.
     blocked_on_body: Vec<usize>,
     /// Connections to be read without a further readiness event.
-    pub pending_clients: Vec<usize>,
+    pub clients_to_read: Vec<usize>,
     /// Clients found disconnected whose connections are still to be closed.
     disconnected_clients: Vec<usize>,
     /// Whether the endpoint list has an active node.
@@ -197,7 +197,7 @@
             accepts_streamed: false,
             bodies_received: Vec::new(),
             blocked_on_body: Vec::new(),
-            pending_clients: Vec::new(),
+            clients_to_read: Vec::new(),
             disconnected_clients: Vec::new(),
             has_endpoints: false,
             received_since: None,
--- a/crates/dunepond-broker/src/downstream/read.rs
+++ b/crates/dunepond-broker/src/downstream/read.rs
@@ -51,7 +51,7 @@
     pub fn resume_reading(&mut self, id: usize) {
         if let Some(client) = self.connections.get_mut(id) {
             client.reading_paused = false;
-            self.pending_clients.push(id);
+            self.clients_to_read.push(id);
         }
     }
 
@@ -81,8 +81,8 @@
             if self.connections[id].input.is_none() && self.pool.buffers_in_use() >= self.max_buffers {
                 self.evict_for_buffer(id, timers);
             }
-            if let Some(ending) = self.read_once(now, id) {
-                return ClientEvent::Disconnected(self.close(id, ending, timers));
+            if let Some(connection_end) = self.read_once(now, id) {
+                return ClientEvent::Disconnected(self.close(id, connection_end, timers));
             }
         }
     }
@@ -94,7 +94,7 @@
             return ClientEvent::Nothing;
         }
         if self.connections.get(id).is_some_and(|client| client.readable) {
-            self.pending_clients.push(id);
+            self.clients_to_read.push(id);
         }
         self.cap_streamed_deadline(event)
     }
--- a/crates/dunepond-broker/src/downstream/response.rs
+++ b/crates/dunepond-broker/src/downstream/response.rs
@@ -39,7 +39,7 @@
         timers: &mut Timers,
     ) {
         if let Some(client) = self.connections.get_mut(id) {
-            (client.keep_alive, client.responded_in_body) = (false, true);
+            (client.keep_alive, client.responded_before_body_end) = (false, true);
         }
         debug!("client {id}: answered {}: {}", reason.status, reason.reason);
         self.reply(now, id, reason.status, &error_body(&reason.reason), retry_after, timers);
@@ -58,8 +58,8 @@
         let Some(client) = self.connections.get_mut(id) else { return };
         // After a response in the middle of a body the connection closes, as the rest of the body would be parsed as
         // the next request.
-        client.responded_in_body |= matches!(client.phase, RequestPhase::StreamingBody(_));
-        client.keep_alive &= !client.responded_in_body;
+        client.responded_before_body_end |= matches!(client.phase, RequestPhase::StreamingBody(_));
+        client.keep_alive &= !client.responded_before_body_end;
         // In a shutdown the connection closes after its last response. This response is not the last one if another
         // request has arrived.
         let closes = self.closes_after_response && client.keep_alive && !self.has_next_request(now, id);
@@ -67,7 +67,7 @@
         client.keep_alive &= !closes;
         client.output.queue_bytes(&http::encode_response(status, body, retry_after, client.keep_alive));
         client.phase = RequestPhase::ReadingHead;
-        self.pending_clients.push(id);
+        self.clients_to_read.push(id);
         self.write(now, id, timers);
     }
 
@@ -92,7 +92,7 @@
             // client's query in flight, if any.
             debug!("client {id}: {e}");
             client.readable = true;
-            return self.pending_clients.push(id);
+            return self.clients_to_read.push(id);
         }
         let (all_written, keep_alive, timer) = (client.output.is_empty(), client.keep_alive, client.timer);
         match client.phase {
--- a/crates/dunepond-broker/src/downstream/streamed_body.rs
+++ b/crates/dunepond-broker/src/downstream/streamed_body.rs
@@ -36,7 +36,7 @@
             query: None,
             body_complete: false,
         }));
-        self.pending_clients.push(id);
+        self.clients_to_read.push(id);
         self.write(now, id, timers);
         // The body may take until the request's deadline to arrive.
         if self.connections.contains(id) {
--- a/crates/dunepond-broker/src/downstream/timeouts.rs
+++ b/crates/dunepond-broker/src/downstream/timeouts.rs
@@ -72,11 +72,16 @@
     }
 
     /// Closes a connection and returns its query in flight, if any. Every close of a connection goes through here.
-    pub(super) fn close(&mut self, id: usize, ending: ConnectionEnd, timers: &mut Timers) -> Option<QueryId> {
+    pub(super) fn close(
+        &mut self,
+        id: usize,
+        connection_end: ConnectionEnd,
+        timers: &mut Timers,
+    ) -> Option<QueryId> {
         self.clear_timer(id, timers);
         let client = self.connections.try_remove(id)?;
         self.handle.remove(client.token);
-        debug!("client {id}: connection {ending}");
+        debug!("client {id}: connection {connection_end}");
         self.schedule_resume_accepting(timers);
         match client.phase {
             RequestPhase::InFlight(query) => Some(query),
--- a/crates/dunepond-broker/src/event_loop/mod.rs
+++ b/crates/dunepond-broker/src/event_loop/mod.rs
@@ -121,7 +121,7 @@
     fn client_ready(&mut self, id: usize, readable: bool) {
         let now = self.refresh_clock_and_config();
         self.router_host.downstream.on_ready(now, id, readable, &mut self.router_host.timers);
-        self.router_host.downstream.pending_clients.push(id);
+        self.router_host.downstream.clients_to_read.push(id);
         self.process_pending();
     }
 
--- a/crates/dunepond-broker/src/event_loop/pending.rs
+++ b/crates/dunepond-broker/src/event_loop/pending.rs
@@ -31,7 +31,7 @@
             self.router.on_frame_written(&mut self.router_host, node, attempt);
         } else if let Some(completed) = self.router_host.upstream.completed.pop_front() {
             self.on_attempt_completed(completed);
-        } else if let Some(client) = self.router_host.downstream.pending_clients.pop() {
+        } else if let Some(client) = self.router_host.downstream.clients_to_read.pop() {
             self.read_client(now, client);
         } else if let Some((body, event)) =
             self.router_host.body_store.as_mut().and_then(|bodies| bodies.events.pop_front())
--- a/crates/dunepond-broker/src/prefilter_connections.rs
+++ b/crates/dunepond-broker/src/prefilter_connections.rs
@@ -95,8 +95,8 @@
             Some(id) => *id,
             None => match self.connect(now, node, address, timers) {
                 Ok(id) => id,
-                Err(ending) => {
-                    debug!("node {node}: prefilter connection {ending}");
+                Err(connection_end) => {
+                    debug!("node {node}: prefilter connection {connection_end}");
                     return self.responses.push_back((request, Err(RequestFailure::NoConnection)));
                 }
             },
@@ -183,7 +183,7 @@
         loop {
             let connection = &mut self.connections[id];
             let input = connection.input.get_or_insert_with(|| self.pool.acquire());
-            let ending = match input.read_from(&*connection.stream) {
+            let connection_end = match input.read_from(&*connection.stream) {
                 Ok(0) => Some(ConnectionEnd::Closed),
                 Ok(_) => self.receive_frames(now, id),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => None,
@@ -195,8 +195,8 @@
                 }
                 Err(e) => Some(ConnectionEnd::from_io_error(&e)),
             };
-            if let Some(ending) = ending {
-                return self.close(id, ending, timers);
+            if let Some(connection_end) = connection_end {
+                return self.close(id, connection_end, timers);
             }
         }
         // The timeout of the oldest request counts from when it was queued. Without requests the connection is idle.
@@ -256,12 +256,12 @@
     pub fn on_timeout(&mut self, id: usize, timers: &mut Timers) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.timer = None;
-        let ending = match (connection.connected, connection.outstanding.is_empty()) {
+        let connection_end = match (connection.connected, connection.outstanding.is_empty()) {
             (false, _) => ConnectionEnd::ConnectTimeout,
             (true, true) => ConnectionEnd::IdleClosed,
             (true, false) => ConnectionEnd::IoTimeout,
         };
-        self.close(id, ending, timers);
+        self.close(id, connection_end, timers);
     }
 
     /// Closes the connection to a node that drains, was removed or was replaced by another process.
@@ -272,17 +272,17 @@
     }
 
     /// Closes a connection; its outstanding requests fail. Every close of a prefilter connection goes through here.
-    fn close(&mut self, id: usize, ending: ConnectionEnd, timers: &mut Timers) {
+    fn close(&mut self, id: usize, connection_end: ConnectionEnd, timers: &mut Timers) {
         let Some(connection) = self.connections.try_remove(id) else { return };
         timers.cancel(connection.timer);
         self.by_node.remove(&connection.node);
         self.handle.remove(connection.token);
         debug!(
-            "node {}: prefilter connection {ending}, {} requests outstanding",
+            "node {}: prefilter connection {connection_end}, {} requests outstanding",
             connection.node,
             connection.outstanding.len()
         );
-        let failure = ending.request_failure();
+        let failure = connection_end.request_failure();
         self.responses
             .extend(connection.outstanding.iter().map(|outstanding| (outstanding.request, Err(failure))));
     }
--- a/crates/dunepond-broker/src/router/completion.rs
+++ b/crates/dunepond-broker/src/router/completion.rs
@@ -22,10 +22,11 @@
             coordination.on_attempt_ended(ended.part, ended.outcome);
         }
         if may_have_run(ended.outcome) {
-            active.may_run_since[ended.part] = active.may_run_since[ended.part].min(self.now - ended.elapsed);
+            active.first_possible_run_at[ended.part] =
+                active.first_possible_run_at[ended.part].min(self.now - ended.elapsed);
         }
         if let (Some(control_plane), Some(text)) = (&self.control_plane, &value) {
-            control_plane.record_carried(ended.node, active.tenant, text.len());
+            control_plane.record_answer_bytes(ended.node, active.tenant, text.len());
         }
         // An attempt with an invalid answer counts as failed. Only the first answer for a part is used, so later ones
         // are not checked.
@@ -166,7 +167,7 @@
     /// client may safely send the query again.
     pub(super) fn try_withdraw_all(&mut self, query: QueryId) -> bool {
         let Some(active) = self.queries.get(&query) else { return false };
-        if active.may_run_since.iter().any(|at| *at != f64::MAX) {
+        if active.first_possible_run_at.iter().any(|at| *at != f64::MAX) {
             return false;
         }
         let mut is_outstanding = false;
--- a/crates/dunepond-broker/src/router/coordination.rs
+++ b/crates/dunepond-broker/src/router/coordination.rs
@@ -112,7 +112,9 @@
         let is_pruned = |segment: usize| active.pruned.iter().any(|pruned| pruned.segment == segment);
         let is_answered = |part: usize| active.values[part].is_some() || is_pruned(active.segments[part]);
         let outcome = match map.filter(|_| complete) {
-            Some((map, moved)) => verify_answer(map, &active.segments, is_answered, moved).map(Some),
+            Some((map, sent_under_other_map)) => {
+                verify_answer(map, &active.segments, is_answered, sent_under_other_map).map(Some)
+            }
             None => Ok(None),
         };
         if let Err(reason) = &outcome {
--- a/crates/dunepond-broker/src/router/mod.rs
+++ b/crates/dunepond-broker/src/router/mod.rs
@@ -55,7 +55,7 @@
     /// The nodes of each part's attempts, in the order of the attempts.
     attempts: Vec<Vec<NodeId>>,
     /// For each part, when the first of its attempts that may have run was sent; `f64::MAX` if there is none.
-    may_run_since: Vec<f64>,
+    first_possible_run_at: Vec<f64>,
     /// When the query times out, in Unix seconds.
     expires_at: f64,
     timer: Option<TimerKey>,
@@ -147,7 +147,7 @@
             values: vec![None; part_count],
             pruned: Vec::new(),
             attempts: vec![Vec::new(); part_count],
-            may_run_since: vec![f64::MAX; part_count],
+            first_possible_run_at: vec![f64::MAX; part_count],
             expires_at: f64::MAX,
             timer: None,
             tenant: NO_TENANT,
--- a/crates/dunepond-broker/src/router/streamed_bodies.rs
+++ b/crates/dunepond-broker/src/router/streamed_bodies.rs
@@ -20,8 +20,8 @@
         let incoming = IncomingBody { tenant, query_class, stated_length: head.declared_length() };
         match bodies.accept(self.now, incoming) {
             Ok(body) => {
-                if !bodies.check_scheduled {
-                    bodies.check_scheduled = true;
+                if !bodies.io_check_scheduled {
+                    bodies.io_check_scheduled = true;
                     self.timers
                         .schedule(self.now + bodies.limits().io_timeout_seconds / 4.0, TimerEvent::BodyCheck);
                 }
@@ -130,8 +130,8 @@
         let io_timeout = bodies.limits().io_timeout_seconds;
         self.upstream.close_slow_consumers(self.now, io_timeout, &mut self.timers);
         bodies.record_other_memory(self.pool.allocated_bytes(), self.value_bytes);
-        bodies.check_scheduled = bodies.is_tracking_any();
-        if bodies.check_scheduled {
+        bodies.io_check_scheduled = bodies.is_tracking_any();
+        if bodies.io_check_scheduled {
             self.timers.schedule(self.now + io_timeout / 4.0, TimerEvent::BodyCheck);
         }
     }
--- a/crates/dunepond-broker/src/router/transport.rs
+++ b/crates/dunepond-broker/src/router/transport.rs
@@ -129,7 +129,7 @@
             bodies.mark_used(self.now, body);
         }
         let payload = active.payload.clone();
-        let retry_until = active.may_run_since[part] + self.retry_windows[active.query_class];
+        let retry_until = active.first_possible_run_at[part] + self.retry_windows[active.query_class];
         Some(AttemptRequest {
             query,
             part,
--- a/crates/dunepond-broker/src/upstream/connection.rs
+++ b/crates/dunepond-broker/src/upstream/connection.rs
@@ -156,17 +156,17 @@
     /// Closes a connection whose timer has fired: it was not established in time, did not deliver the rest of a frame
     /// in time, or has been idle for too long.
     pub fn on_timeout(&mut self, now: f64, id: usize, timers: &mut Timers) {
-        let ending = match self.connections.get(id) {
+        let connection_end = match self.connections.get(id) {
             Some(connection) if !connection.connected => ConnectionEnd::ConnectTimeout,
             Some(connection) if !connection.outstanding.is_empty() => ConnectionEnd::IoTimeout,
             _ => ConnectionEnd::IdleClosed,
         };
-        self.close(now, id, ending, timers);
+        self.close(now, id, connection_end, timers);
     }
 
-    /// Closes a connection and completes its attempts; their outcome follows from `ending` and from whether their
-    /// frames were fully written. Every close of a connection to a node goes through here.
-    pub(super) fn close(&mut self, now: f64, id: usize, ending: ConnectionEnd, timers: &mut Timers) {
+    /// Closes a connection and completes its attempts; their outcome follows from `connection_end` and from whether
+    /// their frames were fully written. Every close of a connection to a node goes through here.
+    pub(super) fn close(&mut self, now: f64, id: usize, connection_end: ConnectionEnd, timers: &mut Timers) {
         let Some(connection) = self.connections.try_remove(id) else { return };
         timers.cancel(connection.timer);
         connection.timer.and_then(|key| self.idle.remove(&key));
@@ -174,13 +174,16 @@
         let node_entry = &mut self.nodes[connection.node];
         node_entry.connections.retain(|other| *other != id);
         match connection.outstanding.len() {
-            0 => debug!("node {}: connection {ending}", node_entry.name()),
+            0 => debug!("node {}: connection {connection_end}", node_entry.name()),
             count => {
-                info!("node {}: connection {ending} with {count} attempts outstanding", node_entry.name());
+                info!(
+                    "node {}: connection {connection_end} with {count} attempts outstanding",
+                    node_entry.name()
+                );
             }
         }
         for out in connection.outstanding {
-            let outcome = ending
+            let outcome = connection_end
                 .attempt_outcome(out.frame_end.is_some_and(|end| end <= connection.output.written_offset()));
             self.completed.push_back(out.into_completed(connection.node, outcome, now, None));
         }
--- a/crates/dunepond-broker/src/upstream/mod.rs
+++ b/crates/dunepond-broker/src/upstream/mod.rs
@@ -34,7 +34,7 @@
 /// Maximum number of finished attempts whose ids a connection stores, which bounds the memory for them. The ids are
 /// needed because a node may report the end of an attempt twice. Cancelled attempts are also stored in a list of their
 /// own until the node reports their end.
-const MAX_FINISHED_REMEMBERED: usize = 512;
+const MAX_FINISHED_IDS: usize = 512;
 
 /// An attempt to be sent, with all data from which its frame is encoded.
 pub struct AttemptRequest {
@@ -110,7 +110,7 @@
     /// The search API response that is being received.
     message: Option<Message>,
     /// Ids of the attempts that most recently ended or were cancelled on this connection, at most
-    /// `MAX_FINISHED_REMEMBERED`.
+    /// `MAX_FINISHED_IDS`.
     finished: VecDeque<Rc<str>>,
 }
 
@@ -274,14 +274,14 @@
     fn finish_request(&mut self, position: usize) -> Option<OutstandingRequest> {
         let out = self.outstanding.remove(position)?;
         self.finished.push_back(out.request.id.clone());
-        if self.finished.len() > MAX_FINISHED_REMEMBERED {
+        if self.finished.len() > MAX_FINISHED_IDS {
             self.finished.pop_front();
         }
         Some(out)
     }
 
     /// Returns whether an attempt with this id is outstanding on the connection, or is known to have ended on it.
-    fn has_carried(&self, id: &str) -> bool {
+    fn has_seen_attempt(&self, id: &str) -> bool {
         let has_ended = self.cancelled.iter().chain(&self.finished).any(|ended| **ended == *id);
         has_ended || self.outstanding.iter().any(|o| *o.request.id == *id)
     }
@@ -305,7 +305,7 @@
     /// attempts of a part share the part's id, so if the node reported the end of the first attempt twice, the second
     /// report could be mistaken for the end of the new attempt.
     fn would_repeat(&self, requests: &[AttemptRequest]) -> bool {
-        requests.iter().any(|request| request.attempt > 0 && self.has_carried(&request.id))
+        requests.iter().any(|request| request.attempt > 0 && self.has_seen_attempt(&request.id))
     }
 
     /// Returns whether the connection has an outstanding attempt whose body is lost.
--- a/crates/dunepond-broker/src/upstream/ownership_check.rs
+++ b/crates/dunepond-broker/src/upstream/ownership_check.rs
@@ -41,14 +41,14 @@
         if connection.outstanding.iter().any(|out| action(out) == FenceAction::Aborted) {
             return false;
         }
-        let is_returned = |out: &OutstandingRequest| action(out) == FenceAction::Returned;
-        if !connection.outstanding.iter().any(is_returned) {
+        let is_withdrawn = |out: &OutstandingRequest| action(out) == FenceAction::Withdrawn;
+        if !connection.outstanding.iter().any(is_withdrawn) {
             return true;
         }
-        let (returned, outstanding): (VecDeque<_>, VecDeque<_>) =
-            connection.outstanding.drain(..).partition(is_returned);
+        let (withdrawn, outstanding): (VecDeque<_>, VecDeque<_>) =
+            connection.outstanding.drain(..).partition(is_withdrawn);
         connection.outstanding = outstanding;
-        for out in returned {
+        for out in withdrawn {
             gate.control.count_withheld();
             debug!("node {host}: {} is not sent: the active configuration forbids it", out.request.id);
             self.completed.push_back(out.into_completed(connection.node, AttemptOutcome::NotSent, now, None));
--- a/crates/dunepond-broker/src/upstream/request.rs
+++ b/crates/dunepond-broker/src/upstream/request.rs
@@ -69,20 +69,19 @@
             }
             found = self.find_connection(now, node, &requests);
         }
-        let id = match found.map_or_else(|| self.connect(now, node, timers), Ok) {
-            Ok(id) => id,
-            Err(ConnectionEnd::DescriptorsExhausted) => {
-                return self.awaiting_descriptor.push((node, requests));
-            }
-            Err(ending) => {
-                debug!("node {}: connection {ending}", self.name(node));
-                return self.completed.extend(
-                    requests
-                        .iter()
-                        .map(|request| request.completed_unsent(node, ending.attempt_outcome(false))),
-                );
-            }
-        };
+        let id =
+            match found.map_or_else(|| self.connect(now, node, timers), Ok) {
+                Ok(id) => id,
+                Err(ConnectionEnd::DescriptorsExhausted) => {
+                    return self.awaiting_descriptor.push((node, requests));
+                }
+                Err(connection_end) => {
+                    debug!("node {}: connection {connection_end}", self.name(node));
+                    return self.completed.extend(requests.iter().map(|request| {
+                        request.completed_unsent(node, connection_end.attempt_outcome(false))
+                    }));
+                }
+            };
         let connection = &mut self.connections[id];
         connection.last_batch += 1;
         let batch = connection.last_batch;
@@ -121,13 +120,13 @@
             !connection.is_reserved_for_body()
         };
         // Attempts beyond the node's limit, and cancel frames behind them, would not be read by the node yet.
-        let carried = connection.outstanding.len() + connection.cancelled.len();
-        is_free && carried + requests.len() <= self.settings.max_parts_per_connection
+        let occupied_parts = connection.outstanding.len() + connection.cancelled.len();
+        is_free && occupied_parts + requests.len() <= self.settings.max_parts_per_connection
     }
 
     /// Frames and writes the attempts of a connection after withdrawing those that must no longer be sent.
     pub(super) fn write(&mut self, now: f64, id: usize, timers: &mut Timers) {
-        let non_idempotent = self.carries_non_idempotent(id);
+        let non_idempotent = self.has_non_idempotent(id);
         // Only non-idempotent attempts are checked; for the others the configuration is needed only by the audit log.
         let gate = self.gate.as_ref();
         let check = gate.filter(|gate| non_idempotent || gate.control.is_audited()).map(|gate| gate.check());
@@ -146,7 +145,7 @@
 
     /// Returns whether a connection has an outstanding attempt that must not run twice; always `false` without a
     /// control plane.
-    fn carries_non_idempotent(&self, id: usize) -> bool {
+    fn has_non_idempotent(&self, id: usize) -> bool {
         let (Some(gate), Some(connection)) = (&self.gate, self.connections.get(id)) else { return false };
         connection.outstanding.iter().any(|out| gate.is_non_idempotent(out.request.query_class))
     }
--- a/crates/dunepond-broker/src/upstream/response.rs
+++ b/crates/dunepond-broker/src/upstream/response.rs
@@ -40,37 +40,43 @@
         self.receive_until(now, id, None, timers);
     }
 
-    /// Reads the responses that arrived before a write failed with `broken`, and then closes the connection.
+    /// Reads the responses that arrived before a write failed with `write_failure`, and then closes the connection.
     pub(super) fn receive_before_close(
         &mut self,
         now: f64,
         id: usize,
-        broken: ConnectionEnd,
+        write_failure: ConnectionEnd,
         timers: &mut Timers,
     ) {
-        self.receive_until(now, id, Some(broken), timers);
+        self.receive_until(now, id, Some(write_failure), timers);
     }
 
-    /// Reads from a connection until no bytes are left. Closes the connection if it has ended or, if `broken` is given,
-    /// once everything is read.
-    fn receive_until(&mut self, now: f64, id: usize, broken: Option<ConnectionEnd>, timers: &mut Timers) {
+    /// Reads from a connection until no bytes are left. Closes the connection if it has ended or, if `write_failure` is
+    /// given, once everything is read.
+    fn receive_until(
+        &mut self,
+        now: f64,
+        id: usize,
+        write_failure: Option<ConnectionEnd>,
+        timers: &mut Timers,
+    ) {
         loop {
             let connection = &mut self.connections[id];
             let input = connection.input.get_or_insert_with(|| self.pool.acquire());
-            let ending = match input.read_from(&*connection.stream) {
+            let connection_end = match input.read_from(&*connection.stream) {
                 // A close completes a search API response without a length. After a failed write it does not: once a
                 // reset has been reported, later reads look like an ordinary close.
                 Ok(0)
-                    if broken.is_none()
+                    if write_failure.is_none()
                         && connection.message.as_mut().is_some_and(Message::finish_at_close) =>
                 {
                     self.receive_search_response(now, id)
                 }
-                Ok(0) => broken.or(Some(ConnectionEnd::Closed)),
+                Ok(0) => write_failure.or(Some(ConnectionEnd::Closed)),
                 Ok(_) if connection.uses_search_api => self.receive_search_response(now, id),
                 Ok(_) => self.receive_frames(now, id, timers),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => None,
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock && broken.is_some() => broken,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock && write_failure.is_some() => write_failure,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     if input.is_empty() {
                         connection.input = None;
@@ -91,8 +97,8 @@
                 }
                 Err(e) => Some(ConnectionEnd::from_io_error(&e)),
             };
-            if let Some(ending) = ending {
-                return self.close(now, id, ending, timers);
+            if let Some(connection_end) = connection_end {
+                return self.close(now, id, connection_end, timers);
             }
         }
     }
@@ -102,7 +108,7 @@
         match self.parse_search_response(id) {
             Ok(Some(message)) => self.finish_search_attempt(now, id, &message),
             Ok(None) => None,
-            Err(ending) => Some(ending),
+            Err(connection_end) => Some(connection_end),
         }
     }
 
@@ -183,12 +189,12 @@
             let decoded = match self.next_ended(id) {
                 Ok(Some(decoded)) => decoded,
                 Ok(None) => return None,
-                Err(ending) => return Some(ending),
+                Err(connection_end) => return Some(connection_end),
             };
             if let Some(ended) = decoded.ended
-                && let Some(ending) = self.finish_attempt(now, id, ended)
+                && let Some(connection_end) = self.finish_attempt(now, id, ended)
             {
-                return Some(ending);
+                return Some(connection_end);
             }
             let connection = &mut self.connections[id];
             connection.input.as_mut()?.consume(decoded.frame_bytes);
--- a/crates/dunepond-broker/tests/client_disconnect.rs
+++ b/crates/dunepond-broker/tests/client_disconnect.rs
@@ -28,12 +28,12 @@
 impl Harness {
     /// Creates a harness with one client whose query has been in flight since `now`, in seconds.
     fn with_query(now: f64) -> Self {
-        Self::with_bound(64, now)
+        Self::with_max_clients(64, now)
     }
 
     /// Creates a harness with this maximum number of client connections, and one client whose query has been in
     /// flight since `now`, in seconds.
-    fn with_bound(max_clients: usize, now: f64) -> Self {
+    fn with_max_clients(max_clients: usize, now: f64) -> Self {
         let mut event_loop = EventLoop::try_new().unwrap();
         let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
@@ -45,7 +45,7 @@
                 .unwrap();
         event_loop.dispatch(EVENT_TIMEOUT, &mut Iteration::default()).unwrap();
         clients.accept(now, Port::Queries, &mut timers);
-        let id = clients.pending_clients.pop().unwrap();
+        let id = clients.clients_to_read.pop().unwrap();
         let mut harness = Self { event_loop, clients, timers, address, client, id };
         harness.send(&query_request("find", "c1", &[1], "2.0"));
         assert!(matches!(harness.clients.next_event(now, id, &mut harness.timers), ClientEvent::Query(_)));
@@ -101,11 +101,11 @@
     let mut harness = Harness::with_query(100.0);
     harness.clients.reply(100.0, harness.id, 200, "{}", 0.0, &mut harness.timers);
     assert_eq!(harness.client.read_answer().unwrap().status, 200);
-    harness.clients.pending_clients.clear();
+    harness.clients.clients_to_read.clear();
     harness.send(&query_request("find", "c2", &[1], "2.0"));
     harness.disconnect();
     harness.clients.on_timeout(100.01, harness.id, &mut harness.timers);
-    assert_eq!(harness.clients.pending_clients, [harness.id]);
+    assert_eq!(harness.clients.clients_to_read, [harness.id]);
     assert!(matches!(
         harness.clients.next_event(100.01, harness.id, &mut harness.timers),
         ClientEvent::Nothing
@@ -116,19 +116,19 @@
 /// The number of connections is at its limit, so that the client is accepted only after another one is answered.
 #[test]
 fn request_and_close_while_accepting_is_paused_are_not_dispatched() {
-    let mut harness = Harness::with_bound(1, 100.0);
+    let mut harness = Harness::with_max_clients(1, 100.0);
     let mut waiting = Client::connect_to(harness.address);
     waiting.send(&query_request("find", "c2", &[1], "2.0"));
     assert!(
         !harness.clients.accept(100.1, Port::Queries, &mut harness.timers)
-            && harness.clients.pending_clients.is_empty()
+            && harness.clients.clients_to_read.is_empty()
     );
     waiting.stream.shutdown(Shutdown::Both).unwrap();
     harness.clients.reply(100.2, harness.id, 200, "{}", 0.0, &mut harness.timers);
-    harness.clients.pending_clients.clear();
+    harness.clients.clients_to_read.clear();
     harness.clients.resume_accepting();
     harness.clients.accept(100.2, Port::Queries, &mut harness.timers);
-    let id = harness.clients.pending_clients.pop().unwrap();
+    let id = harness.clients.clients_to_read.pop().unwrap();
     assert!(matches!(harness.clients.next_event(100.2, id, &mut harness.timers), ClientEvent::Nothing));
     assert_eq!(
         (harness.clients.next_disconnected(&mut harness.timers), harness.clients.count()),
--- a/crates/dunepond-broker/tests/connection_close.rs
+++ b/crates/dunepond-broker/tests/connection_close.rs
@@ -72,7 +72,7 @@
         let mut iteration = Iteration::default();
         self.event_loop.dispatch(Duration::from_secs(5), &mut iteration).unwrap();
         self.clients.accept(self.now, Port::Queries, &mut self.timers);
-        (client, self.clients.pending_clients.pop().unwrap())
+        (client, self.clients.clients_to_read.pop().unwrap())
     }
 
     /// Connects and accepts a client with a receive buffer of 4 KiB; returns it with its id.
@@ -84,7 +84,7 @@
         let mut iteration = Iteration::default();
         self.event_loop.dispatch(Duration::from_secs(5), &mut iteration).unwrap();
         self.clients.accept(self.now, Port::Queries, &mut self.timers);
-        (Client::from_stream(socket.into()), self.clients.pending_clients.pop().unwrap())
+        (Client::from_stream(socket.into()), self.clients.clients_to_read.pop().unwrap())
     }
 
     /// Sends a query from the client and reads it on the broker's side.
@@ -104,7 +104,7 @@
     fn respond(&mut self, client: &mut Client, id: usize) {
         self.clients.reply(self.now, id, 200, "{}", 0.0, &mut self.timers);
         assert_eq!(client.read_answer().unwrap().status, 200);
-        self.clients.pending_clients.clear();
+        self.clients.clients_to_read.clear();
     }
 
     /// Connects a client whose connection is idle after an answered query; returns it with its id.
@@ -131,7 +131,7 @@
     /// Reads from the pending clients; returns the ids of those with a complete query.
     fn read_pending(&mut self) -> Vec<usize> {
         let mut queries = Vec::new();
-        while let Some(id) = self.clients.pending_clients.pop() {
+        while let Some(id) = self.clients.clients_to_read.pop() {
             if self.reads_query(id) {
                 queries.push(id);
             }
@@ -234,8 +234,8 @@
     let mut harness = Harness::new(8);
     let (mut longest, id) = harness.idle_client();
     let (mut next, _) = harness.idle_client();
-    let mut held: Vec<_> = (0..6).map(|_| harness.connect()).collect();
-    held.iter_mut().for_each(|(client, id)| harness.send_query(client, *id));
+    let mut waiting_clients: Vec<_> = (0..6).map(|_| harness.connect()).collect();
+    waiting_clients.iter_mut().for_each(|(client, id)| harness.send_query(client, *id));
     harness.send(&mut longest, id, &request());
     let _one_more = harness.connect();
     assert_eq!(next.stream.read(&mut [0]).unwrap(), 0);
@@ -247,11 +247,11 @@
 #[rstest]
 fn response_may_be_read_until_the_longest_timeout(
     #[values(300.0, 60_000.0)] timeout: f64,
-    #[values(false, true)] responded_in_body: bool,
+    #[values(false, true)] responded_before_body_end: bool,
 ) {
     let mut harness = Harness::with_timeouts(timeout);
     let (mut client, id) = harness.connect();
-    if responded_in_body {
+    if responded_before_body_end {
         // The request is answered before its body has arrived: the client reads the response only after sending the
         // body.
         harness.clients.accepts_streamed = true;
@@ -269,7 +269,10 @@
         due.filter(|due| *due == TimerEvent::ClientTimeout(id)).count() > 0
     };
     // A client that may still send its body is given at least the request timeout.
-    assert_eq!((is_timed_out(0.49), is_timed_out(if responded_in_body { 2.0 } else { 0.51 })), (false, true));
+    assert_eq!(
+        (is_timed_out(0.49), is_timed_out(if responded_before_body_end { 2.0 } else { 0.51 })),
+        (false, true)
+    );
 }
 
 /// Guards against a reset, which would lose the rest of a response in the socket's send buffer.
--- a/crates/dunepond-broker/tests/shutdown_requests.rs
+++ b/crates/dunepond-broker/tests/shutdown_requests.rs
@@ -141,8 +141,9 @@
     let nodes = vec![Node::start("s-0")];
     nodes[0].set_behavior(NodeBehavior::Hang);
     let (broker, list) = Broker::start_for_with(&nodes, "/limits/sockets", json!(48));
-    let mut held: Vec<_> = (0..18).map(|_| Client::connect(&broker)).collect();
-    held.iter_mut()
+    let mut waiting_clients: Vec<_> = (0..18).map(|_| Client::connect(&broker)).collect();
+    waiting_clients
+        .iter_mut()
         .enumerate()
         .for_each(|(i, c)| c.send(&query_request("find", &format!("h{i}"), &[1], "1.5")));
     nodes[0].wait_for_frames('A', 1);
@@ -154,8 +155,8 @@
     broker.wait_until(0.8);
     broker.nodes[0].set_behavior(NodeBehavior::Serve);
     assert!(client.read_answer().is_some());
-    assert!(held.iter_mut().all(|client| client.read_answer().is_some()));
-    drop(held);
+    assert!(waiting_clients.iter_mut().all(|client| client.read_answer().is_some()));
+    drop(waiting_clients);
     broker.assert_exits_in_time(client);
 }
 
