--- a/crates/dunepond-storage/src/files.rs
+++ b/crates/dunepond-storage/src/files.rs
@@ -23,7 +23,7 @@
     /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
     /// Makes all earlier creations, renames and removals of files durable.
-    fn sync_names(&self) -> io::Result<()>;
+    fn sync_directory(&self) -> io::Result<()>;
     /// Lists the names of all files.
     fn list(&self) -> io::Result<Vec<String>>;
 }
@@ -103,7 +103,7 @@
         std::fs::remove_file(self.path.join(name))
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 
--- a/crates/dunepond-storage/src/journal.rs
+++ b/crates/dunepond-storage/src/journal.rs
@@ -213,7 +213,7 @@
         file.write_all(&bytes)?;
         file.sync()?;
         self.files.rename(&unfinished, &file_name(&self.name))?;
-        self.files.sync_names()?;
+        self.files.sync_directory()?;
         (self.file, self.length_bytes) = (Some(file), bytes.len() as u64);
         self.next_number = first + payloads.len() as u64;
         Ok(())
--- a/crates/dunepond-storage/src/snapshots.rs
+++ b/crates/dunepond-storage/src/snapshots.rs
@@ -105,7 +105,7 @@
         self.files.rename(&unfinished, &format!("{}-{number:020}{SUFFIX}", self.name))?;
         // After the rename, a snapshot file with this number may exist even if the sync below fails.
         self.next_number = Some(number.saturating_add(1));
-        self.files.sync_names()?;
+        self.files.sync_directory()?;
         self.prune();
         Ok(number)
     }
--- a/crates/dunepond-storage/tests/golden.rs
+++ b/crates/dunepond-storage/tests/golden.rs
@@ -136,8 +136,8 @@
         self.files.remove(name)
     }
 
-    fn sync_names(&self) -> io::Result<()> {
-        self.files.sync_names()
+    fn sync_directory(&self) -> io::Result<()> {
+        self.files.sync_directory()
     }
 
     fn list(&self) -> io::Result<Vec<String>> {
--- a/crates/dunepond-testkit/src/faulty_disk.rs
+++ b/crates/dunepond-testkit/src/faulty_disk.rs
@@ -152,8 +152,8 @@
         self.store(false)?.remove(name)
     }
 
-    fn sync_names(&self) -> io::Result<()> {
-        self.store(false)?.sync_names()
+    fn sync_directory(&self) -> io::Result<()> {
+        self.store(false)?.sync_directory()
     }
 
     fn list(&self) -> io::Result<Vec<String>> {
--- a/crates/dunepond-testkit/src/memory_store.rs
+++ b/crates/dunepond-testkit/src/memory_store.rs
@@ -252,7 +252,7 @@
         Ok(())
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         let mut state = self.0.lock().unwrap();
         if state.begin_call(false)? {
             return State::stopped_error();
