--- a/crates/dunepond-consensus/src/voter/quota_release.rs
+++ b/crates/dunepond-consensus/src/voter/quota_release.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use dunepond_quota::{BrokerRun, QuotaEntry, ReceivedReport, ReuseDelays, reusable_from};
+use dunepond_quota::{LeasedProcess, QuotaEntry, ReceivedReport, ReuseDelays, reusable_from};
 
 use super::Voter;
 use super::observations::SeenShrink;
@@ -52,11 +52,11 @@
     /// other brokers.
     fn reusable_from(&self, broker: &str, shrink: SeenShrink, delays: ReuseDelays) -> f64 {
         let leases = self.lease_requests.granted.iter().filter(|((name, _), _)| name == broker);
-        let runs = leases.map(|(_, lease)| BrokerRun {
+        let processes = leases.map(|(_, lease)| LeasedProcess {
             lease_over_at: lease.over_at,
             acknowledged_at: (lease.shrink.number >= shrink.generation).then_some(lease.shrink.at),
         });
-        reusable_from(shrink.seen_at, self.observations.leading_since(), runs, delays)
+        reusable_from(shrink.seen_at, self.observations.leading_since(), processes, delays)
     }
 
     /// The last demand report of each broker, by name, and the seconds for which this voter has led; `None` if it does not
--- a/crates/dunepond-quota/src/lib.rs
+++ b/crates/dunepond-quota/src/lib.rs
@@ -26,5 +26,5 @@
 pub use ledger::{BrokerShares, QuotaLedger, UnitGrant};
 pub use local_quota::{Allocation, LocalQuota};
 pub use planner::{PlannerConfig, ReceivedReport, SplitRule, next_entry, target_units};
-pub use reuse::{BrokerRun, ReuseDelays, reusable_from};
+pub use reuse::{LeasedProcess, ReuseDelays, reusable_from};
 pub use shared_quotas::{MAX_BROKER_COUNT, MAX_QUOTA_COUNT, MAX_WINDOW_MILLIS, SharedQuotas, TOTAL_UNITS};
--- a/crates/dunepond-quota/src/reuse.rs
+++ b/crates/dunepond-quota/src/reuse.rs
@@ -16,7 +16,7 @@
 /// A process of a broker to which this leader granted a lease; each restart of the broker starts another process. Times
 /// are in seconds on the leader's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BrokerRun {
+pub struct LeasedProcess {
     /// Time at which the last lease of this broker process has certainly expired.
     pub lease_over_at: f64,
     /// Time at which this broker process first reported that it uses only the smaller share; `None` if it has not
@@ -26,12 +26,12 @@
 
 /// Returns the time from which a share that shrank is certainly used at its new size only. `shrink_seen_at` is when
 /// this leader saw the shrink committed; `leading_since` is when the leader's term began, or `None` if that is not
-/// known; `runs` are the processes of the broker to which this leader granted leases. Times are in seconds on the
+/// known; `processes` are those of the broker to which this leader granted leases. Times are in seconds on the
 /// leader's clock.
 pub fn reusable_from(
     shrink_seen_at: f64,
     leading_since: Option<f64>,
-    runs: impl Iterator<Item = BrokerRun>,
+    processes: impl Iterator<Item = LeasedProcess>,
     delays: ReuseDelays,
 ) -> f64 {
     let ReuseDelays { lease_seconds, action_seconds, window_seconds } = delays;
@@ -40,7 +40,8 @@
     if leading_since.is_none_or(|since| shrink_seen_at - since < lease_seconds) {
         return latest;
     }
-    let last_use =
-        runs.map(|run| run.acknowledged_at.unwrap_or(run.lease_over_at)).fold(shrink_seen_at, f64::max);
+    let last_use = processes
+        .map(|process| process.acknowledged_at.unwrap_or(process.lease_over_at))
+        .fold(shrink_seen_at, f64::max);
     latest.min(last_use + action_seconds + window_seconds)
 }
--- a/crates/dunepond-quota/tests/model.rs
+++ b/crates/dunepond-quota/tests/model.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Rules {
     /// If set (a deliberate bug): when a share shrinks, its old size is released at once.
-    grow_before_release: bool,
+    release_at_once: bool,
     /// If set (a deliberate bug): a lease starts when the reply arrives, instead of when the request was sent.
     lease_from_receipt: bool,
     /// If set (a deliberate bug): a broker uses its share right after a restart, while what it used before the restart
@@ -38,7 +38,7 @@
     no_clock_check: bool,
     /// If set (a deliberate bug): a new leader assumes at once that it knows all valid leases, although an earlier
     /// leader may have granted some.
-    early_release: bool,
+    new_leader_skips_wait: bool,
     /// If set (a deliberate bug): the release does not wait until use from before the shrink has left the window.
     no_window: bool,
     /// If set (a deliberate bug): the leader ignores that its clock runs faster than the brokers' clocks.
@@ -54,11 +54,11 @@
 }
 
 const TRUE_RULES: Rules = Rules {
-    grow_before_release: false,
+    release_at_once: false,
     lease_from_receipt: false,
     no_wait_after_start: false,
     no_clock_check: false,
-    early_release: false,
+    new_leader_skips_wait: false,
     no_window: false,
     no_drift: false,
     keeps_share: false,
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Broker {
     /// Number of the broker's current process; 0 before the first crash, and one more after each crash.
-    run: u8,
+    process_number: u8,
     started_at: u8,
     /// End of the broker's last lease; 0 if the broker has received no lease since its last start.
     lease_until: u8,
@@ -217,7 +217,7 @@
     fn available(&self, rules: &Rules, broker: usize) -> u8 {
         let b = &self.brokers[broker];
         let mut own = LocalQuota::new(&shared_quotas(), f64::from(b.started_at));
-        if rules.no_wait_after_start || b.run == 0 {
+        if rules.no_wait_after_start || b.process_number == 0 {
             // A broker that never crashed need not wait, since no earlier process used anything.
             own.window_seconds = 0.0;
         }
@@ -245,12 +245,13 @@
     /// The time on the leader's clock from which the units reserved for a broker's last shrink may be released.
     fn release_time(&self, rules: &Rules, broker: usize) -> f64 {
         let b = &self.brokers[broker];
-        let runs = b.leases.iter().flatten().map(|(over, acknowledged, at)| BrokerRun {
+        let processes = b.leases.iter().flatten().map(|(over, acknowledged, at)| LeasedProcess {
             lease_over_at: f64::from(*over),
             acknowledged_at: (*acknowledged >= b.shrunk_generation).then_some(f64::from(*at)),
         });
-        let term_began = if rules.early_release { Some(-99.0) } else { self.term_began.map(f64::from) };
-        reusable_from(f64::from(b.shrink_seen_at), term_began, runs, Self::delays(rules))
+        let term_began =
+            if rules.new_leader_skips_wait { Some(-99.0) } else { self.term_began.map(f64::from) };
+        reusable_from(f64::from(b.shrink_seen_at), term_began, processes, Self::delays(rules))
     }
 
     /// Amount that all brokers used over the last window, including use before a restart, in tenths of the quota's
@@ -284,13 +285,15 @@
         }
         for broker in 0..BROKERS {
             let b = &state.brokers[broker];
-            if b.request.is_none_or(|(run, sent, _)| (run, sent) != (b.run, state.now)) {
+            if b.request.is_none_or(|(process_number, sent, _)| {
+                (process_number, sent) != (b.process_number, state.now)
+            }) {
                 steps.push(Step::Request(broker));
             }
             if b.request.is_some() {
                 steps.push(Step::Reply(broker));
             }
-            if b.reply.is_some_and(|(run, ..)| run == b.run) {
+            if b.reply.is_some_and(|(process_number, ..)| process_number == b.process_number) {
                 steps.push(Step::Receive(broker));
             }
             if b.used.iter().sum::<u8>() < state.available(self, broker) {
@@ -336,7 +339,7 @@
             Step::Request(broker) => {
                 let b = &mut state.brokers[broker];
                 b.request = Some((
-                    b.run,
+                    b.process_number,
                     state.now,
                     b.allocation.map_or(0, |allocation| allocation.shrunk_generation),
                 ));
@@ -344,13 +347,16 @@
             Step::Reply(broker) => {
                 let (now, generation) = (state.leader_clock(), state.generation);
                 let b = &mut state.brokers[broker];
-                let (run, sent, reported) = b.request?;
+                let (process_number, sent, reported) = b.request?;
                 let (shrunk_generation, tenths) = (b.shrunk_generation, b.granted);
-                b.reply = Some((run, sent, AllocationReply { generation, shrunk_generation, tenths }));
+                b.reply =
+                    Some((process_number, sent, AllocationReply { generation, shrunk_generation, tenths }));
                 let lease = if self.no_drift { LEASE } else { 2 * LEASE };
-                let (over, acknowledged, at) = b.leases[run as usize].unwrap_or((0, reported, now));
+                let (over, acknowledged, at) =
+                    b.leases[process_number as usize].unwrap_or((0, reported, now));
                 let first = if reported > acknowledged { now } else { at };
-                b.leases[run as usize] = Some((over.max(now + lease), acknowledged.max(reported), first));
+                b.leases[process_number as usize] =
+                    Some((over.max(now + lease), acknowledged.max(reported), first));
             }
             Step::Receive(broker) => {
                 let now = state.now;
@@ -373,7 +379,7 @@
                 state.crashes += 1;
                 let b = &mut state.brokers[broker];
                 *b = Broker {
-                    run: b.run + 1,
+                    process_number: b.process_number + 1,
                     started_at: state.now,
                     lease_until: 0,
                     allocation: None,
@@ -392,7 +398,7 @@
                 state.apply(&entry(broker, 0))?;
                 state.shrinks += 1;
                 state.brokers[broker].shrink_seen_at = state.leader_clock();
-                if self.grow_before_release {
+                if self.release_at_once {
                     let generation = u64::from(state.generation);
                     state.apply(&QuotaEntry::Release { broker: name(broker), generation })?;
                 }
@@ -489,7 +495,7 @@
 /// more than the total if the rule is weakened. If no rule is weakened, the step `impossible` cannot be taken.
 #[rstest]
 #[case::grows_before_release(
-    Rules { grow_before_release: true, ..NO_FAILURES },
+    Rules { release_at_once: true, ..NO_FAILURES },
     &[Request(0), Reply(0), Receive(0), Use(0), Shrink(0), Grow(1), Request(1), Reply(1), Receive(1), Use(1)],
     Grow(1)
 )]
@@ -502,7 +508,7 @@
 #[case::window_ignored(Rules { no_window: true, ..NO_FAILURES }, &LATE_USE, Release(0))]
 #[case::drift_ignored(Rules { no_drift: true, ..NO_FAILURES }, &LATE_USE, Release(0))]
 #[case::early_release_by_new_leader(
-    Rules { early_release: true, max_elections: 1, ..NO_FAILURES },
+    Rules { new_leader_skips_wait: true, max_elections: 1, ..NO_FAILURES },
     &[Request(0), Reply(0), Receive(0), Elect, Shrink(0), Time, Use(0), Time, Release(0), Grow(1), Request(1), Reply(1), Receive(1),
       Use(1)],
     Release(0)
--- a/crates/dunepond-quota/tests/service.rs
+++ b/crates/dunepond-quota/tests/service.rs
@@ -53,7 +53,7 @@
     reported_at: BTreeMap<String, f64>,
     /// By broker: the end of its last lease, the shrink generation that it acknowledged, and when it acknowledged that
     /// generation.
-    runs: BTreeMap<String, (f64, u64, f64)>,
+    last_leases: BTreeMap<String, (f64, u64, f64)>,
     /// By broker: the generation of its last shrink, and when the leader saw that shrink.
     shrink_seen: BTreeMap<String, (u64, f64)>,
     next_plan_at: f64,
@@ -88,7 +88,7 @@
             brokers: (0..brokers).map(new_broker).collect(),
             reports: BTreeMap::new(),
             reported_at: BTreeMap::new(),
-            runs: BTreeMap::new(),
+            last_leases: BTreeMap::new(),
             shrink_seen: BTreeMap::new(),
             next_plan_at: 0.0,
             set_count: 0,
@@ -153,11 +153,11 @@
                 DemandReport { shrunk_generation: shrunk, shared: self.shared.clone(), demand_units };
             self.reports.insert(name(n), ReceivedReport { report, age_seconds: 0.0 });
             self.reported_at.insert(name(n), self.now);
-            let run = self.runs.entry(name(n)).or_insert((0.0, 0, self.now));
-            if shrunk > run.1 {
-                (run.1, run.2) = (shrunk, self.now);
+            let last_lease = self.last_leases.entry(name(n)).or_insert((0.0, 0, self.now));
+            if shrunk > last_lease.1 {
+                (last_lease.1, last_lease.2) = (shrunk, self.now);
             }
-            run.0 = self.now + LEASE_SECONDS * DRIFT_FACTOR;
+            last_lease.0 = self.now + LEASE_SECONDS * DRIFT_FACTOR;
             b.allocation = self.ledger.allocation_for(&name(n));
             b.lease_until = b.next_request_at + LEASE_SECONDS;
             b.next_request_at += LEASE_SECONDS / 3.0;
@@ -178,11 +178,12 @@
                 self.shrink_seen.get(&broker).filter(|seen| seen.0 == generation).map(|seen| seen.1);
             let shrink_seen = shrink_seen.unwrap_or(self.now);
             self.shrink_seen.insert(broker.clone(), (generation, shrink_seen));
-            let run = self.runs.get(&broker).map(|(lease_over_at, acknowledged, at)| BrokerRun {
-                lease_over_at: *lease_over_at,
-                acknowledged_at: (*acknowledged >= generation).then_some(*at),
-            });
-            if self.now >= reusable_from(shrink_seen, Some(-99.0), run.into_iter(), delays) {
+            let process =
+                self.last_leases.get(&broker).map(|(lease_over_at, acknowledged, at)| LeasedProcess {
+                    lease_over_at: *lease_over_at,
+                    acknowledged_at: (*acknowledged >= generation).then_some(*at),
+                });
+            if self.now >= reusable_from(shrink_seen, Some(-99.0), process.into_iter(), delays) {
                 self.ledger.apply(&QuotaEntry::Release { broker, generation }).unwrap();
             }
         }
