--- a/crates/dunepond-control-plane/src/control_loop/leases.rs
+++ b/crates/dunepond-control-plane/src/control_loop/leases.rs
@@ -65,7 +65,13 @@
         if let Some(pending) = self.state.messages.pending.remove(&(broker.clone(), reply.id)) {
             return self.peers.respond(pending.responder, Ok(body));
         }
-        self.send_request(&broker, RequestKind::State, body, self.lease_seconds, SentRequest::PushedLease);
+        self.send_request(
+            &broker,
+            RequestKind::LeaseReply,
+            body,
+            self.lease_seconds,
+            SentRequest::PushedLease,
+        );
     }
 
     /// Handles the response to a lease request; `body` is `None` if the request failed.
--- a/crates/dunepond-control-plane/src/control_loop/messages.rs
+++ b/crates/dunepond-control-plane/src/control_loop/messages.rs
@@ -109,14 +109,14 @@
                 self.handle_consensus_message(&from, body);
             }
             RequestKind::Lease => self.handle_lease_request(from, body, responder),
-            RequestKind::State => {
+            RequestKind::LeaseReply => {
                 self.peers.respond(responder, Ok(Vec::new()));
                 self.on_pushed_reply(&from, body);
             }
             RequestKind::Propose => self.handle_proposal(&from, body, responder),
             RequestKind::RebalancePlan => self.handle_offer(&from, body, responder),
             RequestKind::TransferCounts => self.handle_counts(&from, body, responder),
-            RequestKind::Fill => self.handle_entries(&from, body, responder),
+            RequestKind::SettlementEntries => self.handle_entries(&from, body, responder),
             // Never received here: the membership crate responds to liveness checks itself.
             RequestKind::LivenessCheck => drop(responder),
         }
--- a/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/mod.rs
@@ -111,7 +111,7 @@
             return;
         }
         if let Ok(body) = postcard::to_stdvec(&due) {
-            let (kind, timeout) = (RequestKind::Fill, ENTRIES_TIMEOUT_SECONDS);
+            let (kind, timeout) = (RequestKind::SettlementEntries, ENTRIES_TIMEOUT_SECONDS);
             self.send_request(&leader, kind, body, timeout, SentRequest::SettlementEntries);
         }
     }
--- a/crates/dunepond-membership/examples/cost.rs
+++ b/crates/dunepond-membership/examples/cost.rs
@@ -61,7 +61,7 @@
         });
         for _ in 0..REQUEST_COUNT {
             let started = Instant::now();
-            client.request("n1", RequestKind::State, vec![7; BODY_BYTES], 5.0).expect("room");
+            client.request("n1", RequestKind::LeaseReply, vec![7; BODY_BYTES], 5.0).expect("room");
             loop {
                 match responses.recv().expect("the membership runs") {
                     Event::Response { result, .. } => break drop(result.expect("an echo")),
--- a/crates/dunepond-membership/src/core/mod.rs
+++ b/crates/dunepond-membership/src/core/mod.rs
@@ -7,9 +7,9 @@
 //! process, they show that peers are alive which overdue timers would otherwise declare down.
 
 mod changes;
-mod freshness;
 mod liveness;
 mod receive;
+mod replay_protection;
 mod versions;
 
 use crate::codec::{Authenticator, MAX_OVERHEAD_BYTES};
@@ -91,7 +91,7 @@
     sequences: versions::SequenceNumbers,
     /// The last gossip that was sent to each peer from which no address token has been received yet, by the peer's
     /// name; it is sent again if the token arrives soon afterwards.
-    unverified_gossip: BTreeMap<String, freshness::SentGossip>,
+    gossip_without_token: BTreeMap<String, replay_protection::SentGossip>,
     datagram_limiter: RateLimiter,
     request_limiter: RateLimiter,
     refusal_limiter: RateLimiter,
@@ -185,7 +185,7 @@
             liveness_checks: BTreeMap::new(),
             versions: versions::VersionState::new(options.supported_versions, now),
             sequences: versions::SequenceNumbers::default(),
-            unverified_gossip: BTreeMap::new(),
+            gossip_without_token: BTreeMap::new(),
             datagram_limiter: RateLimiter::default(),
             request_limiter: RateLimiter::default(),
             refusal_limiter: RateLimiter::default(),
--- a/crates/dunepond-membership/src/core/receive.rs
+++ b/crates/dunepond-membership/src/core/receive.rs
@@ -53,7 +53,7 @@
         }
         let message = decode(bytes, &self.authenticator, &from, self.supported_versions())?;
         self.verify_membership_sender(&message.header, source)?;
-        self.check_fresh(&message.envelope, &message.header, bytes.len(), actions)?;
+        self.check_not_replayed(&message.envelope, &message.header, bytes.len(), actions)?;
         let (header, payload) = (message.header, message.payload);
         let name = &header.from.name;
         let per_second = self.limits.max_datagrams_per_second;
--- a/crates/dunepond-membership/src/core/replay_protection.rs
+++ b/crates/dunepond-membership/src/core/replay_protection.rs
@@ -133,7 +133,7 @@
     /// Checks that a datagram, from protocol version 2 on, echoes the address token of this broker's current
     /// incarnation and is not a replay. A sender that does not echo the token receives the token in a hello. For any
     /// other sender, the receipt of the message is recorded.
-    pub(super) fn check_fresh(
+    pub(super) fn check_not_replayed(
         &mut self,
         envelope: &Envelope,
         header: &MessageHeader,
@@ -179,7 +179,7 @@
 
     /// Stores gossip that was sent without the receiver's address token, so that it can be sent again with the token.
     pub(super) fn keep_for_resend(&mut self, name: String, payload: &[u8]) {
-        let kept = &mut self.unverified_gossip;
+        let kept = &mut self.gossip_without_token;
         if kept.len() < self.limits.max_members || kept.contains_key(&name) {
             kept.insert(name, SentGossip { sent_at: self.now, payload: payload.to_vec() });
         }
@@ -187,7 +187,7 @@
 
     /// Sends the stored gossip to `name` again, with the address token that `name` has issued in the meantime.
     pub(super) fn resend_gossip(&mut self, name: &str, actions: &mut Actions) {
-        let Some(sent) = self.unverified_gossip.remove(name) else { return };
+        let Some(sent) = self.gossip_without_token.remove(name) else { return };
         if self.now - sent.sent_at >= RESEND_WINDOW_SECONDS {
             return;
         }
--- a/crates/dunepond-membership/src/incarnations.rs
+++ b/crates/dunepond-membership/src/incarnations.rs
@@ -62,13 +62,17 @@
     /// message of its latest known incarnation. In seconds.
     retention_seconds: f64,
     /// Largest number of tracked names that are not configured.
-    max_unknown_names: usize,
+    max_unconfigured_names: usize,
     by_name: BTreeMap<String, Incarnation>,
 }
 
 impl Incarnations {
-    pub fn new(token_secret: [u8; 32], retention_seconds: f64, max_unknown_names: usize) -> Incarnations {
-        Incarnations { token_secret, retention_seconds, max_unknown_names, by_name: BTreeMap::new() }
+    pub fn new(
+        token_secret: [u8; 32],
+        retention_seconds: f64,
+        max_unconfigured_names: usize,
+    ) -> Incarnations {
+        Incarnations { token_secret, retention_seconds, max_unconfigured_names, by_name: BTreeMap::new() }
     }
 
     /// Returns the address token that this broker issues to `name`; it is never 0.
@@ -121,11 +125,13 @@
         envelope: &Envelope,
         now: f64,
     ) -> Result<(), PeerError> {
-        if !self.by_name.contains_key(&id.name) && !configured && self.by_name.len() >= self.max_unknown_names
+        if !self.by_name.contains_key(&id.name)
+            && !configured
+            && self.by_name.len() >= self.max_unconfigured_names
         {
             self.by_name.retain(|_, latest| now - latest.last_received_at < self.retention_seconds);
-            if self.by_name.len() >= self.max_unknown_names {
-                return Err(PeerError::TooManyMembers { limit: self.max_unknown_names });
+            if self.by_name.len() >= self.max_unconfigured_names {
+                return Err(PeerError::TooManyMembers { limit: self.max_unconfigured_names });
             }
         }
         let new = || Incarnation::new(id.incarnation, now, envelope.supported);
--- a/crates/dunepond-membership/src/request_kind.rs
+++ b/crates/dunepond-membership/src/request_kind.rs
@@ -16,10 +16,10 @@
     TransferCounts,
     /// Entries for the settlement ledger that the leader is asked to propose, such as the record of a fill that has
     /// started.
-    Fill,
+    SettlementEntries,
     /// A reply to a lease request. A voter sends it as a separate request if the lease request went to another voter or
     /// is no longer pending.
-    State,
+    LeaseReply,
     /// A liveness check, in which a suspected member is asked over a connection to refute the suspicion. This crate
     /// answers it without the caller.
     LivenessCheck,
@@ -34,8 +34,8 @@
         RequestKind::Lease,
         RequestKind::Propose,
         RequestKind::TransferCounts,
-        RequestKind::Fill,
-        RequestKind::State,
+        RequestKind::SettlementEntries,
+        RequestKind::LeaseReply,
         RequestKind::LivenessCheck,
         RequestKind::RebalancePlan,
     ];
@@ -47,8 +47,8 @@
             RequestKind::Lease => "/lease",
             RequestKind::Propose => "/propose",
             RequestKind::TransferCounts => "/counts",
-            RequestKind::Fill => "/fill",
-            RequestKind::State => "/state",
+            RequestKind::SettlementEntries => "/fill",
+            RequestKind::LeaseReply => "/state",
             RequestKind::RebalancePlan => "/moves",
             RequestKind::LivenessCheck => "/sign",
         }
@@ -61,8 +61,8 @@
             | RequestKind::Lease
             | RequestKind::Propose
             | RequestKind::TransferCounts
-            | RequestKind::Fill
-            | RequestKind::State => 1,
+            | RequestKind::SettlementEntries
+            | RequestKind::LeaseReply => 1,
             RequestKind::LivenessCheck | RequestKind::RebalancePlan => 2,
         }
     }
--- a/crates/dunepond-membership/tests/fleet/mod.rs
+++ b/crates/dunepond-membership/tests/fleet/mod.rs
@@ -111,7 +111,7 @@
 
     /// Sends a request, and waits for its outcome.
     pub fn call(&self, to: &str, body: &[u8], timeout_seconds: f64) -> Result<Vec<u8>, PeerError> {
-        let id = self.peers.request(to, RequestKind::State, body.to_vec(), timeout_seconds).unwrap();
+        let id = self.peers.request(to, RequestKind::LeaseReply, body.to_vec(), timeout_seconds).unwrap();
         self.wait_for_response(id)
     }
 }
--- a/crates/dunepond-membership/tests/golden.rs
+++ b/crates/dunepond-membership/tests/golden.rs
@@ -556,7 +556,8 @@
     results.extend(refusals().into_iter().map(|(label, reason)| (label, Err(reason))));
     let mut actual = Vec::new();
     for (label, result) in results {
-        let message_type = MessageType::Request { id: 3, kind: RequestKind::State.into(), timeout_ms: 5000 };
+        let message_type =
+            MessageType::Request { id: 3, kind: RequestKind::LeaseReply.into(), timeout_ms: 5000 };
         let header = MessageHeader {
             from: from.clone(),
             to: "n1".into(),
--- a/crates/dunepond-membership/tests/requests.rs
+++ b/crates/dunepond-membership/tests/requests.rs
@@ -13,7 +13,7 @@
 
 /// Starts a server that reads the start of a request, writes `response`, and then closes the connection or keeps it
 /// open. Returns its address.
-fn server(response: Vec<u8>, closes: bool) -> SocketAddr {
+fn fake_server(response: Vec<u8>, closes: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -75,7 +75,7 @@
     #[case] closes: bool,
     #[case] expected_error: &str,
 ) {
-    let broker = start_broker(bind_free_port(), options("n1", 1, &[("bad", server(response, closes))]));
+    let broker = start_broker(bind_free_port(), options("n1", 1, &[("bad", fake_server(response, closes))]));
     let started = Instant::now();
     let error = broker.call("bad", b"x", 0.4).unwrap_err();
     let elapsed = started.elapsed().as_secs_f64();
@@ -85,7 +85,7 @@
 
 #[test]
 fn silent_peer_does_not_delay_others() {
-    let fleet = fleet(2, |options| options.known_peers.push(("silent".into(), server(vec![], false))));
+    let fleet = fleet(2, |options| options.known_peers.push(("silent".into(), fake_server(vec![], false))));
     for _ in 0..20 {
         fleet[0].peers.request("silent", RequestKind::Raft, vec![], 3.0).unwrap();
     }
@@ -106,7 +106,7 @@
 
 #[test]
 fn concurrent_requests_are_limited() {
-    let silent = server(vec![], false);
+    let silent = fake_server(vec![], false);
     let mut options = options("n1", 1, &[("silent", silent)]);
     options.limits.max_requests = 50;
     options.limits.max_requests_per_peer = 40;
@@ -186,7 +186,7 @@
     let fleet = fleet(2, |_| {});
     let largest_body = vec![7; 4 << 20];
     assert!(matches!(
-        fleet[0].peers.request("n2", RequestKind::State, vec![0; (4 << 20) + 1], 1.0),
+        fleet[0].peers.request("n2", RequestKind::LeaseReply, vec![0; (4 << 20) + 1], 1.0),
         Err(PeerError::TooLarge { .. })
     ));
     std::thread::scope(|scope| {
@@ -284,7 +284,7 @@
 #[test]
 fn queued_bytes_are_limited() {
     let mut fleet = fleet(2, |options| {
-        options.known_peers.push(("silent".into(), server(vec![], false)));
+        options.known_peers.push(("silent".into(), fake_server(vec![], false)));
         options.limits.max_receive_bytes = 8 << 20;
         options.limits.max_send_bytes = 10 << 20;
         options.limits.max_pending_requests_per_peer = 2;
@@ -295,7 +295,7 @@
     let n2 = fleet.pop().unwrap();
     let large = || vec![0; 3 << 20];
     // The timeout is long, so that no request times out on a slow machine.
-    let request = |to: &str, body| n2.peers.request(to, RequestKind::State, body, 20.0);
+    let request = |to: &str, body| n2.peers.request(to, RequestKind::LeaseReply, body, 20.0);
     let wait_for_requests = |count| {
         fleet[0]
             .wait_until("the requests to be received", |peers| peers.counters().requests_received == count)
@@ -339,7 +339,7 @@
 
 #[test]
 fn stop_does_not_wait_for_peers() {
-    let silent = server(vec![], false);
+    let silent = fake_server(vec![], false);
     let broker = start_broker(bind_free_port(), options("n1", 1, &[("silent", silent)]));
     for _ in 0..20 {
         broker.peers.request("silent", RequestKind::Raft, vec![], 30.0).unwrap();
--- a/crates/dunepond-membership/tests/untrusted_senders.rs
+++ b/crates/dunepond-membership/tests/untrusted_senders.rs
@@ -246,7 +246,7 @@
         let (started, mut answered) = (Instant::now(), 0);
         while fleet[0].peers.counters().rate_limited == 0 && started.elapsed() < TEST_TIMEOUT {
             let ids: Vec<u64> = (0..50)
-                .filter_map(|_| n2.peers.request("n1", RequestKind::State, vec![], 5.0).ok())
+                .filter_map(|_| n2.peers.request("n1", RequestKind::LeaseReply, vec![], 5.0).ok())
                 .collect();
             answered += n2.wait_for_responses(&ids).iter().filter(|result| result.is_ok()).count() as u64;
         }
