--- a/crates/dunepond-broker/tests/client_disconnect.rs
+++ b/crates/dunepond-broker/tests/client_disconnect.rs
@@ -100,7 +100,7 @@
 fn request_and_close_at_idle_timeout_are_not_dispatched() {
     let mut harness = Harness::with_query(100.0);
     harness.clients.reply(100.0, harness.id, 200, "{}", 0.0, &mut harness.timers);
-    assert_eq!(harness.client.read_answer().unwrap().status, 200);
+    assert_eq!(harness.client.read_response().unwrap().status, 200);
     harness.clients.clients_to_read.clear();
     harness.send(&query_request("find", "c2", &[1], "2.0"));
     harness.disconnect();
--- a/crates/dunepond-broker/tests/connection_close.rs
+++ b/crates/dunepond-broker/tests/connection_close.rs
@@ -103,7 +103,7 @@
     /// Answers the client's query and checks that the client receives the response.
     fn respond(&mut self, client: &mut Client, id: usize) {
         self.clients.reply(self.now, id, 200, "{}", 0.0, &mut self.timers);
-        assert_eq!(client.read_answer().unwrap().status, 200);
+        assert_eq!(client.read_response().unwrap().status, 200);
         self.clients.clients_to_read.clear();
     }
 
--- a/crates/dunepond-broker/tests/shutdown_requests.rs
+++ b/crates/dunepond-broker/tests/shutdown_requests.rs
@@ -140,7 +140,7 @@
 fn backlog_accepted_once_room_is_free() {
     let nodes = vec![Node::start("s-0")];
     nodes[0].set_behavior(NodeBehavior::Hang);
-    let (broker, list) = Broker::start_for_with(&nodes, "/limits/sockets", json!(48));
+    let (broker, list) = Broker::start_with_config_value(&nodes, "/limits/sockets", json!(48));
     let mut waiting_clients: Vec<_> = (0..18).map(|_| Client::connect(&broker)).collect();
     waiting_clients
         .iter_mut()
@@ -154,8 +154,8 @@
     client.send(&query_request("find", "c1", &[1], "1.5"));
     broker.wait_until(0.8);
     broker.nodes[0].set_behavior(NodeBehavior::Serve);
-    assert!(client.read_answer().is_some());
-    assert!(waiting_clients.iter_mut().all(|client| client.read_answer().is_some()));
+    assert!(client.read_response().is_some());
+    assert!(waiting_clients.iter_mut().all(|client| client.read_response().is_some()));
     drop(waiting_clients);
     broker.assert_exits_in_time(client);
 }
