--- a/crates/dunepond-testkit/src/auditor/finding.rs
+++ b/crates/dunepond-testkit/src/auditor/finding.rs
@@ -42,8 +42,8 @@
         /// Time between the two attempts, in seconds.
         interval_seconds: f64,
     },
-    /// A non-idempotent part was sent to a node that does not own its segment in every configuration version under
-    /// which the part was sent.
+    /// A non-idempotent part was sent to a node that is not the owner of its segment: at least one of the configuration
+    /// versions under which the part was sent does not name this node as the owner.
     #[error(
         "broker {broker} sent the non-idempotent part {request_id}/{segment_id} to {node}, which does not own the \
          segment in all of the configuration versions {versions:?}"
@@ -97,7 +97,8 @@
         segment_id: u64,
         /// Name of the broker that sent the first attempt.
         first_broker: String,
-        /// Name of the broker that sent the second attempt; the first broker if its attempt numbers repeat.
+        /// Name of the broker that sent the second attempt. It is the same as `first_broker` if a single incarnation of that
+        /// broker sent all attempts and repeated an attempt number.
         second_broker: String,
     },
     /// The nodes counted more than one run of a non-idempotent part.
--- a/crates/dunepond-testkit/src/auditor/quotas.rs
+++ b/crates/dunepond-testkit/src/auditor/quotas.rs
@@ -9,7 +9,7 @@
 pub const QUOTA_UNITS: u64 = 1_000_000;
 
 /// An interval in which one broker's share of a quota counts, in seconds on the monotonic clock. It ends one window
-/// after the broker's permission to use the share, because use counts until its window has passed.
+/// after the broker's permission to use the share, because any use counts against the quota for one window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaInterval {
     /// Name of the broker.
@@ -24,10 +24,10 @@
     pub to: f64,
 }
 
-/// Sum of all brokers' shares of a quota that count from a moment on.
+/// Sum of all brokers' shares of a quota after one of these shares has started or stopped counting.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaSum<'a> {
-    /// The moment, in seconds on the monotonic clock.
+    /// When that share started or stopped counting, in seconds on the monotonic clock.
     pub at: f64,
     /// Sum of the shares, in units.
     pub units: u64,
--- a/crates/dunepond-testkit/src/body_cluster/mod.rs
+++ b/crates/dunepond-testkit/src/body_cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Test harness for large request bodies: stand-in nodes that count the parts they ran, clients that send raw bodies, and a
-//! broker with fault injection on the disk that it spills bodies to.
+//! Test harness for large request bodies: stand-in nodes that count the parts they ran, clients that send streamed queries,
+//! and a broker with fault injection on the disk that it spills bodies to.
 
 mod node;
 mod request;
--- a/crates/dunepond-testkit/src/body_cluster/request.rs
+++ b/crates/dunepond-testkit/src/body_cluster/request.rs
@@ -1,4 +1,5 @@
-//! Queries in the raw form, which carry the query's properties in header fields and a body of any size, and their clients.
+//! Streamed queries and the clients that send them. Such a query has its properties in HTTP header fields instead of a JSON
+//! body, so its body can have any content and size.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -16,7 +17,7 @@
 /// Time budget that [`body_request`] gives a query.
 const DEFAULT_BUDGET_SECONDS: f64 = 20.0;
 
-/// A query in the raw form.
+/// A streamed query: its properties are in HTTP header fields instead of a JSON body.
 #[derive(Clone, Debug)]
 pub struct BodyRequest {
     /// The query class, which is also the path of the request.
@@ -44,7 +45,8 @@
 pub struct BodyOutcome {
     /// The answer; `None` if the connection ended without one or the client disconnected.
     pub response: Option<Response>,
-    /// Time from the established connection to the end of the request, in seconds.
+    /// Time from the established connection until the whole answer was read, the connection failed or the client disconnected,
+    /// in seconds.
     pub elapsed_seconds: f64,
 }
 
--- a/crates/dunepond-testkit/src/experiments/fleet_at_size/components.rs
+++ b/crates/dunepond-testkit/src/experiments/fleet_at_size/components.rs
@@ -1,5 +1,5 @@
-//! Measures components whose cost grows with the fleet: versions by the number of segments in the map, carried counts and
-//! membership by the number of brokers.
+//! Measures components whose cost grows with the fleet: versions by the number of segments in the map, counts of carried bytes
+//! and membership by the number of brokers.
 
 use std::collections::VecDeque;
 use std::hint::black_box;
@@ -75,8 +75,8 @@
     }
 }
 
-/// Reports the size of the carried counts and the time to update balances from them, by the number of brokers. Each broker
-/// sends all counts that it knows to one other broker per second.
+/// Reports the encoded size of the counts of bytes that partners carried for each other, and the time to update balances from
+/// them, by the number of brokers. Each broker sends all counts that it knows to one other broker per second.
 fn report_counts(options: &RunOptions, experiment_report: &mut ExperimentReport) {
     let sizes: &[usize] = if options.quick { &[10, 30, 100] } else { &[10, 30, 100, 300, 1000, 3000] };
     let (mut count_bytes, mut update_times) = (Vec::new(), Vec::new());
--- a/crates/dunepond-testkit/src/experiments/quota.rs
+++ b/crates/dunepond-testkit/src/experiments/quota.rs
@@ -43,7 +43,7 @@
     1.0 - outcome_ratio(outcomes, |outcome| outcome.is_idempotent(), |outcome| outcome.status == Some(200))
 }
 
-/// Returns the most queries served in any window, divided by the quota of a window.
+/// Returns the largest number of queries served in any window, divided by the quota of a window.
 fn peak_quota_ratio(outcomes: &[QueryOutcome]) -> f64 {
     let Some(first) = outcomes.iter().map(|outcome| outcome.started_at).min() else { return 0.0 };
     let served = outcomes.iter().filter(|outcome| outcome.status == Some(200));
--- a/crates/dunepond-testkit/src/experiments/restart.rs
+++ b/crates/dunepond-testkit/src/experiments/restart.rs
@@ -157,7 +157,7 @@
 struct CrashLoop {
     /// Smallest margin of the retry budget over all incarnations, in retries; negative if the budget was exceeded.
     budget_margin: f64,
-    /// Most parts that a node in slow start got within a second.
+    /// Largest number of parts that the node in slow start got within one second.
     max_cold_parts: f64,
 }
 
--- a/crates/dunepond-testkit/src/experiments/settlement/simulation.rs
+++ b/crates/dunepond-testkit/src/experiments/settlement/simulation.rs
@@ -102,7 +102,7 @@
     pub cell_count: f64,
 }
 
-/// Counts of a broker that are in flight to the planner.
+/// A message in flight from a broker to the planner, with the broker's counts of carried bytes.
 struct SentCounts {
     /// Time of arrival, in simulated seconds.
     due: f64,
@@ -127,12 +127,12 @@
     rng: Pcg64Mcg,
     /// Draws queries and fill demands. It is separate from `rng` so that these are the same under every rule.
     traffic_rng: Pcg64Mcg,
-    /// Counts of each partner's broker; one broker per partner is enough.
+    /// Carried bytes as counted by each partner's broker; one broker per partner is enough.
     local_counts: Vec<LocalCounts>,
     broker_partners: BrokerPartners,
-    /// Counts that are in flight to the planner.
+    /// Messages with counts of carried bytes that are in flight to the planner.
     in_transit: Vec<SentCounts>,
-    /// Counts that the planner has received.
+    /// Counts of carried bytes that the planner has received.
     merged_counts: CarriedCounts,
     balances: Balances,
     planner: FillPlanner,
@@ -351,8 +351,8 @@
         self.running_fills.retain(|(_, progress)| !progress.state().is_final());
     }
 
-    /// Completes a fill: records its unsettled bytes as carried and applies its settlement, if any, twice, since the log may
-    /// repeat it.
+    /// Completes a fill: records the bytes that settle no debt as carried by the fill's source for the partner that was filled,
+    /// and applies the fill's settlement, if any, twice, since the log may repeat it.
     fn finish_fill(&mut self, fill: &Fill) {
         self.result.fill_count += 1.0;
         self.planner.fill_ended(&fill.id, true);
--- a/crates/dunepond-testkit/src/experiments/shutdown.rs
+++ b/crates/dunepond-testkit/src/experiments/shutdown.rs
@@ -6,9 +6,9 @@
 use crate::shutdown::{ShutdownPlan, ShutdownReport, Violation, run_seeds};
 use crate::stand_ins::broker_program;
 
-/// Number of seeds of a full run if `--plays` is not given.
+/// Number of seeds of a full run if the option for it, `--plays`, has its default value of 1.
 const SEEDS: u64 = 50;
-/// Number of seeds of a quick run if `--plays` is not given.
+/// Number of seeds of a quick run if the option for it, `--plays`, has its default value of 1.
 const QUICK_SEEDS: u64 = 8;
 /// Maximum number of violations that are printed per seed.
 const MAX_PRINTED_VIOLATIONS: usize = 6;
--- a/crates/dunepond-testkit/src/shutdown/report.rs
+++ b/crates/dunepond-testkit/src/shutdown/report.rs
@@ -228,7 +228,8 @@
     let is_excused = |ended: Instant, at: Instant| {
         timeline.stops.iter().any(|stop| stop.delays_attempt(request, ended, at))
     };
-    // Only the first attempt of a part, number 0, can be excused: the broker decides on a retry after the stop.
+    // A stop of the broker's process excuses a late attempt only if it is the first of its part, number 0. The broker decides on
+    // a retry after the stop, and can check the time limits then.
     let is_late = |ended: Instant, allowed: Duration, number: usize, at: Instant| {
         at > ended + allowed + slack && !(number == 0 && is_excused(ended, at))
     };
--- a/crates/dunepond-testkit/tests/auditor.rs
+++ b/crates/dunepond-testkit/tests/auditor.rs
@@ -189,7 +189,8 @@
     );
 }
 
-/// A broker's expired share still counts until the window after it has passed, and a restarted broker begins without a share.
+/// A broker's share counts for one more window of the quota after the broker may no longer use it, and a restarted broker begins
+/// without a share.
 #[test]
 fn consecutive_shares_stay_within_quota() {
     let share = |at: f64, brk: &str, run: u64, part: u32, from: f64, until: f64| {
--- a/crates/dunepond-testkit/tests/phases.rs
+++ b/crates/dunepond-testkit/tests/phases.rs
@@ -343,7 +343,8 @@
     }
     let answers: Vec<_> = clients.iter_mut().map(|client| client.read_response().unwrap()).collect();
     assert!(answers.iter().all(|answer| parse_response(answer).complete));
-    // With 12 nodes and two denials needed for each segment, a query that shares no probes sends 24.
+    // Without an earlier search, two replicas must deny a match before a segment is left out of the search. A query that shares
+    // no probes therefore probes each of the 12 nodes, which hold its 24 segments, about twice: it sends about 24 probes.
     assert!(cluster.probe_count() <= 3 * 24, "{}", cluster.probe_count());
 }
 
