--- a/crates/dunepond-body-buffer/src/manager/admission.rs
+++ b/crates/dunepond-body-buffer/src/manager/admission.rs
@@ -17,7 +17,8 @@
     /// Admits a body, chooses its tier and reserves space for its stated length.
     ///
     /// # Errors
-    /// Returns why the body is not accepted. [`Self::fallback_counts`] counts the body under [`Tier::PassThrough`].
+    /// Returns why the body is not accepted. [`Self::fallback_counts`] counts it as a body that could not be placed in the
+    /// last tier, [`Tier::PassThrough`].
     pub fn admit(&mut self, now: f64, incoming: IncomingBody) -> Result<Placement, FallbackReason> {
         let IncomingBody { tenant, query_class, stated_length } = incoming;
         let owner = Owner { tenant, query_class };
--- a/crates/dunepond-body-buffer/src/manager/mod.rs
+++ b/crates/dunepond-body-buffer/src/manager/mod.rs
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Number of times that a body could not be placed in a tier, by tier, reason and query class. Under
-    /// [`Tier::PassThrough`], bodies are counted that were not accepted.
+    /// Number of times that a body could not be placed in a tier, by tier, reason and query class. A body that was not
+    /// accepted is counted under the last tier, [`Tier::PassThrough`].
     pub fn fallback_counts(&self) -> impl Iterator<Item = FallbackCount> {
         self.fallback_counts.iter().map(|(key, count)| FallbackCount {
             tier: key.tier,
--- a/crates/dunepond-body-buffer/src/usage.rs
+++ b/crates/dunepond-body-buffer/src/usage.rs
@@ -7,8 +7,8 @@
 /// Purposes other than buffered bodies for which requests use memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OtherUsage {
-    /// Read and write buffers: bytes that were read but are not part of a body yet, and bytes that are framed for
-    /// sending and not shared with a body.
+    /// Read and write buffers: bytes that were read but are not part of a body yet, and framed bytes that wait to be sent.
+    /// Bytes that are sent directly from a body's memory are not included, because they are counted with the body.
     Buffers,
     /// Values that nodes returned in their responses.
     NodeValues,
--- a/crates/dunepond-prefilter/src/audit_budget/tests/mod.rs
+++ b/crates/dunepond-prefilter/src/audit_budget/tests/mod.rs
@@ -9,7 +9,7 @@
         audits += usize::from(budget.try_take()) + usize::from(budget.try_take());
     }
     assert!((190..=200).contains(&audits), "{audits}");
-    // The audits that accumulate over a long time without any are limited to the maximum of 4.
+    // However many segments were pruned since the last audit, the budget holds at most its maximum of 4 audits.
     budget.deposit(1_000_000);
     assert_eq!((0..100).filter(|_| budget.try_take()).count(), 4);
 }
--- a/crates/dunepond-prefilter/src/evidence.rs
+++ b/crates/dunepond-prefilter/src/evidence.rs
@@ -28,9 +28,9 @@
 /// When a request was sent or a search began.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SentAt {
-    /// Sequence number of the request among all requests; 0 for a search.
+    /// Sequence number of the request among all requests, from 1; 0 if this is the beginning of a search.
     pub sequence: u64,
-    /// Time of sending, in seconds.
+    /// Time at which the request was sent or the search began, in seconds.
     pub time: f64,
 }
 
@@ -39,14 +39,16 @@
 /// within one reading of the clock.
 #[derive(Clone, Copy, Debug)]
 pub struct CountsSince {
-    /// Sequence number of the last request that was sent before the query arrived. Later requests count.
+    /// Sequence number of the last request that was sent before the query arrived. The query may use the answers to all later
+    /// requests.
     pub sequence: u64,
-    /// Time in seconds. Requests and searches that were sent later count, whatever their sequence number.
+    /// Time in seconds. The query may use the results of all requests and searches that began later, whatever their sequence
+    /// number.
     pub time: f64,
 }
 
 impl CountsSince {
-    /// Whether the result of a request or a search that was sent at `sent` counts.
+    /// Whether the query may use the result of a request that was sent, or a search that began, at `sent`.
     pub fn includes(&self, sent: SentAt) -> bool {
         sent.sequence > self.sequence || sent.time > self.time
     }
@@ -86,7 +88,7 @@
     /// Keys of `entries` in the order of insertion.
     order: VecDeque<(QueryKey, SegmentIndex)>,
     max_entries: usize,
-    /// The latest version of each segment that any replica has stated; entries of earlier versions do not count.
+    /// The latest version of each segment that any replica has stated; entries of earlier versions are not used.
     versions: HashMap<SegmentIndex, Version>,
 }
 
@@ -186,7 +188,7 @@
     }
 
     /// Returns the evidence by which a segment may be pruned, from requests and searches that are recent enough by
-    /// `since`; `None` if the segment must be searched. `is_trusted` tells which nodes' denials count.
+    /// `since`; `None` if the segment must be searched. `is_trusted` tells which nodes' denials may be used.
     pub fn basis(
         &self,
         key: QueryKey,
--- a/crates/dunepond-prefilter/src/evidence/tests/mod.rs
+++ b/crates/dunepond-prefilter/src/evidence/tests/mod.rs
@@ -24,7 +24,7 @@
     assert_eq!(evidence.basis(1, 0, since(-0.5), |node| node != 8), None);
 }
 
-/// Answers to old requests do not count: the content may have changed after the request, and a faulty replica could
+/// Answers to old requests are not used as evidence: the content may have changed after the request, and a faulty replica could
 /// state the old version.
 #[test]
 fn stale_answers_do_not_count() {
--- a/crates/dunepond-prefilter/src/lib.rs
+++ b/crates/dunepond-prefilter/src/lib.rs
@@ -11,7 +11,7 @@
 //!
 //! A segment is pruned on evidence (`evidence`): two replicas deny a match in the same version, or one replica does and
 //! the last search by this process found nothing in that version. If a search refutes a node's denial, the node's
-//! denials do not count until enough of them have been confirmed (`trust`). A node that does not answer is not asked
+//! denials are not used until enough of them have been confirmed (`trust`). A node that does not answer is not asked
 //! for a while (`backoff`). Whether asking first is beneficial is learned for each query class (`benefit`). Some pruned
 //! segments are searched all the same, to check the denials (`audit_budget`).
 #![warn(missing_docs)]
--- a/crates/dunepond-prefilter/src/prefilter/mod.rs
+++ b/crates/dunepond-prefilter/src/prefilter/mod.rs
@@ -153,7 +153,7 @@
         InFlight { queries: self.open.len(), requests: self.sent.len() }
     }
 
-    /// The number of nodes whose denials do not count now because one was refuted.
+    /// The number of nodes whose denials are not used as evidence now, because one was refuted.
     pub fn distrusted_nodes(&self) -> usize {
         self.trust.distrusted()
     }
--- a/crates/dunepond-prefilter/src/prefilter/planning.rs
+++ b/crates/dunepond-prefilter/src/prefilter/planning.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Returns the pruned segments of a query whose evidence no longer counts, for example because their content
+    /// Returns the pruned segments of a query whose evidence is no longer valid, for example because their content
     /// changed or a denial was refuted. They must be searched before the query's answer can be complete. Each segment
     /// is returned only once.
     pub fn take_revoked(&mut self, id: QueryId) -> Vec<SegmentIndex> {
--- a/crates/dunepond-prefilter/src/prefilter/requests.rs
+++ b/crates/dunepond-prefilter/src/prefilter/requests.rs
@@ -134,7 +134,8 @@
     }
 
     /// Returns the number of an existing request that asks another node than those in `denied_by` about the query's
-    /// text and this segment. The request is not sent yet, or was sent recently enough for its answer to count.
+    /// text and this segment. The request is not sent yet, or was sent recently enough for the query
+    /// to use its answer.
     fn shared_request(&self, id: QueryId, segment: SegmentIndex, denied_by: &[NodeId]) -> Option<u64> {
         let open = self.open.get(&id)?;
         let (key, since) = (open.query.key, open.counts_since);
--- a/crates/dunepond-prefilter/src/trust.rs
+++ b/crates/dunepond-prefilter/src/trust.rs
@@ -1,5 +1,5 @@
-//! Decides which nodes' denials count. After a search refutes a node's denial, the node is distrusted until a number of
-//! its denials have been confirmed by searches; the number doubles with each further false denial.
+//! Decides which nodes' denials are used as evidence. After a search refutes a node's denial, the node is distrusted
+//! until a number of its denials have been confirmed by searches; the number doubles with each further false denial.
 
 use std::collections::BTreeMap;
 
@@ -29,8 +29,8 @@
 }
 
 impl Trust {
-    /// Whether a node's denials count. Every node is trusted until one of its denials is refuted; this is safe because
-    /// a segment is never pruned on the denial of one node alone.
+    /// Whether a node's denials may be used as evidence. Every node is trusted until one of its denials is refuted; this
+    /// is safe because a segment is never pruned on the denial of one node alone.
     pub fn is_trusted(&self, node: NodeId) -> bool {
         self.records.get(&node).is_none_or(|record| record.needed == 0)
     }
--- a/crates/dunepond-sim-adapter/src/session.rs
+++ b/crates/dunepond-sim-adapter/src/session.rs
@@ -7,10 +7,11 @@
 use crate::transport::{Named, WireTransport};
 use crate::wire::{self, Arrival, EndpointLists, ListForm, event};
 
-/// A query, or the parts of its second step, whose rows are still being received.
+/// What the rows that are being received describe: a query with the parts of its first step, or the parts of its second step,
+/// which the answer to the first step contained.
 struct Incoming {
     id: QueryId,
-    /// The query itself; `None` for a second step.
+    /// The query itself; `None` if the rows are the parts of its second step.
     query: Option<AnnouncedQuery>,
     parts: Vec<Part>,
 }
@@ -81,8 +82,8 @@
         Ok(())
     }
 
-    /// Passes the query that is being received, or the parts of its second step, to the router. Called once no more rows of
-    /// that query can follow.
+    /// Passes what has been received to the router: a query with the parts of its first step, or the parts of its second step,
+    /// which the answer to the first step contained. Called once no more rows of the same step can follow.
     pub fn flush_incoming(&mut self) -> Result<(), ConfigError> {
         let Some(incoming) = self.incoming.take() else { return Ok(()) };
         let Some(announced) = incoming.query else {
--- a/crates/dunepond-sim-adapter/src/wire.rs
+++ b/crates/dunepond-sim-adapter/src/wire.rs
@@ -215,8 +215,8 @@
     Ok(event.number_or(field::DELAY, 0.0)? / MS_PER_SECOND)
 }
 
-/// Reads the row of a query, without its parts. The simulator holds the bodies and the wire contains only the names of parts,
-/// so each body is available for retries and no frame takes long to send.
+/// Reads the row of a query, without its parts. The simulator keeps the bodies, so they are always available for retries
+/// (`body_retained`). The wire contains only the names of parts, so no frame takes long to send (`streamed` is `false`).
 pub fn read_query(event: &Fields, id: QueryId, query_class_count: usize) -> Result<Query, ConfigError> {
     Ok(Query {
         id,
