--- a/crates/dunepond-routing/src/policy/admission.rs
+++ b/crates/dunepond-routing/src/policy/admission.rs
@@ -21,10 +21,10 @@
 /// Weight, in the overload level, of the share of recent queries that missed their latency objective.
 const MISSED_WEIGHT: f64 = 0.5;
 /// Number of recent queries from which the share that missed their latency objective is computed.
-const MISSED_SAMPLE_COUNT: usize = 16;
+const OBJECTIVE_SAMPLE_COUNT: usize = 16;
 /// Number of assumed on-time queries that are added to the recent ones when the share that missed their
 /// latency objective is computed. This prior is needed because a few samples are not significant.
-const MISSED_PRIOR_COUNT: f64 = 4.0;
+const ON_TIME_PRIOR_COUNT: f64 = 4.0;
 /// Number of recent queries among which a new query is ranked by value density.
 const VALUE_SAMPLE_COUNT: usize = 64;
 /// Wait of a query with two steps, as a multiple of the wait of its first step: the second step waits again,
@@ -107,8 +107,8 @@
         let density = class.priority_weight * late_ratio / work;
         keep_last(&mut self.admission.value_densities, density, VALUE_SAMPLE_COUNT);
         let densities = &self.admission.value_densities;
-        let below = |other: &f64| 0.5 * (f64::from(*other < density) + f64::from(*other <= density));
-        densities.iter().map(below).sum::<f64>() / densities.len() as f64
+        let rank_weight = |other: &f64| 0.5 * (f64::from(*other < density) + f64::from(*other <= density));
+        densities.iter().map(rank_weight).sum::<f64>() / densities.len() as f64
     }
 
     /// Returns the overload level, given the ratio of a query's expected wait to its useful time. A level of
@@ -219,8 +219,8 @@
     /// shows when such estimates are too low.
     fn missed_share(&self) -> f64 {
         let since = self.objectives_ago(RECENT_OBJECTIVES);
-        let (mut missed, mut all) = (0.0, MISSED_PRIOR_COUNT);
-        for result in self.admission.missed_objectives.iter().filter(|result| result.at > since) {
+        let (mut missed, mut all) = (0.0, ON_TIME_PRIOR_COUNT);
+        for result in self.admission.objective_results.iter().filter(|result| result.at > since) {
             missed += f64::from(result.missed);
             all += 1.0;
         }
@@ -231,7 +231,7 @@
     pub(super) fn record_objective(&mut self, query: &InFlightQuery) {
         let missed = self.now > query.objective_at - self.deployment.tick;
         let result = ObjectiveResult { at: self.now, missed };
-        keep_last(&mut self.admission.missed_objectives, result, MISSED_SAMPLE_COUNT);
+        keep_last(&mut self.admission.objective_results, result, OBJECTIVE_SAMPLE_COUNT);
     }
 
     /// Returns whether this broker's share of a tenant's quota allows another query. The tenant's admitted
--- a/crates/dunepond-routing/src/policy/completion.rs
+++ b/crates/dunepond-routing/src/policy/completion.rs
@@ -64,7 +64,7 @@
     /// attempt cap is not reached, its required node is active, and another attempt is safe.
     pub(super) fn may_send(&self, query: &InFlightQuery, part: &PartState) -> bool {
         !part.is_done()
-            && !query.body_consumed
+            && !query.body_unavailable
             && part.attempts.len() < self.attempt_cap(query)
             && self.required_node_is_available(part)
             && self.may_run_again(query, part)
@@ -93,7 +93,7 @@
     /// not to have run, and its part can then be sent again even if it must not run twice.
     pub fn needs_body(&self, id: QueryId) -> bool {
         let Some(query) = self.queries.get(&id) else { return false };
-        if query.body_consumed {
+        if query.body_unavailable {
             return false;
         }
         let cap = self.attempt_cap(query);
@@ -109,7 +109,7 @@
         let part = &mut query.parts[ended.part];
         part.attempts[ended.attempt].outcome = Some(ended.outcome);
         if ended.outcome == AttemptOutcome::Served && !part.is_done() {
-            part.status = PartStatus::Done;
+            part.status = PartStatus::Served;
             part.cancel_outstanding(transport, &self.deployment, ended.query, ended.part);
         }
         self.run_request_stages(transport, ended.query);
--- a/crates/dunepond-routing/src/policy/dispatch.rs
+++ b/crates/dunepond-routing/src/policy/dispatch.rs
@@ -35,7 +35,7 @@
         };
         for part in query.step_start..query.parts.len() {
             let state = &query.parts[part];
-            if state.is_pruned() || !state.attempts.is_empty() || query.body_consumed {
+            if state.is_pruned() || !state.attempts.is_empty() || query.body_unavailable {
                 continue;
             }
             if let Some(node) = self.choose_replica(query, part, answered_since) {
@@ -44,7 +44,7 @@
         }
         // The body of a single-shot query is available on arrival only: a part that has no replica now can
         // never be sent, and the query may have to end.
-        if query.single_shot && !mem::replace(&mut query.body_consumed, true) {
+        if query.single_shot && !mem::replace(&mut query.body_unavailable, true) {
             return self.answer_or_end(transport, query);
         }
         StageResult::Continue
--- a/crates/dunepond-routing/src/policy/endpoint_list.rs
+++ b/crates/dunepond-routing/src/policy/endpoint_list.rs
@@ -55,7 +55,7 @@
             && was_polled
         {
             self.endpoint_poll.next_at = self.now + POLL_INTERVAL_RATIO * poll_deadline;
-            self.endpoint_poll.refusals = 0;
+            self.endpoint_poll.failed_polls = 0;
         }
     }
 
@@ -80,9 +80,9 @@
     pub fn on_list_poll_failed(&mut self, transport: &mut dyn Transport) {
         self.sync_clock(transport);
         if let Some(poll_deadline) = self.deployment.list_poll_deadline {
-            let doubled = FIRST_BACKOFF_RATIO * 2_f64.powi(self.endpoint_poll.refusals);
+            let doubled = FIRST_BACKOFF_RATIO * 2_f64.powi(self.endpoint_poll.failed_polls);
             let backoff = doubled.min(POLL_INTERVAL_RATIO) * poll_deadline;
-            self.endpoint_poll.refusals += 1;
+            self.endpoint_poll.failed_polls += 1;
             self.endpoint_poll.next_at = self.now + backoff * self.rng.random_range(BACKOFF_SPREAD);
         }
         self.schedule_wake(transport);
--- a/crates/dunepond-routing/src/policy/router.rs
+++ b/crates/dunepond-routing/src/policy/router.rs
@@ -84,7 +84,7 @@
     pub fn on_body_discarded(&mut self, transport: &mut dyn Transport, id: QueryId) {
         self.sync_clock(transport);
         if let Some(query) = self.queries.get_mut(&id) {
-            query.body_consumed = true;
+            query.body_unavailable = true;
             self.run_request_stages(transport, id);
         }
     }
--- a/crates/dunepond-routing/src/state/admission.rs
+++ b/crates/dunepond-routing/src/state/admission.rs
@@ -13,8 +13,8 @@
     /// For each tenant and query class, the seconds for which the client of the last query that was not a
     /// retry was ready to wait.
     pub first_try_seconds: Vec<f64>,
-    /// Whether each recent query that had attempts missed its latency objective, oldest first.
-    pub missed_objectives: VecDeque<ObjectiveResult>,
+    /// Whether each recent query that had attempts met its latency objective, oldest first.
+    pub objective_results: VecDeque<ObjectiveResult>,
 }
 
 /// Whether a query that had attempts met its latency objective.
@@ -32,7 +32,7 @@
             value_densities: VecDeque::new(),
             within_quota: deployment.quotas.iter().map(|_| VecDeque::new()).collect(),
             first_try_seconds: Vec::new(),
-            missed_objectives: VecDeque::new(),
+            objective_results: VecDeque::new(),
         }
     }
 }
--- a/crates/dunepond-routing/src/state/endpoint_poll.rs
+++ b/crates/dunepond-routing/src/state/endpoint_poll.rs
@@ -7,13 +7,13 @@
     /// Instant of the next poll of the endpoint list; `f64::MIN` before the first one, `f64::MAX` if the list
     /// is pushed and never polled.
     pub next_at: f64,
-    /// Number of consecutive polls of the endpoint list that failed.
-    pub refusals: i32,
+    /// Number of consecutive polls of the endpoint list that failed, including watches that were interrupted.
+    pub failed_polls: i32,
 }
 
 impl EndpointPoll {
     pub fn new(deployment: &Deployment) -> Self {
         let polled = deployment.list_poll_deadline.is_some();
-        Self { next_at: if polled { f64::MIN } else { f64::MAX }, refusals: 0 }
+        Self { next_at: if polled { f64::MIN } else { f64::MAX }, failed_polls: 0 }
     }
 }
--- a/crates/dunepond-routing/src/state/query.rs
+++ b/crates/dunepond-routing/src/state/query.rs
@@ -32,7 +32,7 @@
     /// Whether the body is available only once, so that parts are sent on arrival or never.
     pub single_shot: bool,
     /// Whether the body is no longer available, so that no more attempts can be sent.
-    pub body_consumed: bool,
+    pub body_unavailable: bool,
     /// Whether sending the frames may take long, so that the host reports when each has been sent completely.
     pub streamed: bool,
     /// Whether no part is sent before the prefilter has reported which parts are pruned.
@@ -74,7 +74,7 @@
     /// No node has served the part yet.
     Pending,
     /// A node has served the part.
-    Done,
+    Served,
     /// The prefilter has shown that the part's result is empty: the part is done without having been sent.
     Pruned,
 }
@@ -105,7 +105,7 @@
             is_second_step: false,
             probing: Probing::NotProbed,
             single_shot: !query.body_retained,
-            body_consumed: false,
+            body_unavailable: false,
             streamed: query.streamed,
             awaits_prefilter: query.awaits_prefilter,
             audit: query.audit,
--- a/crates/dunepond-routing/tests/bodies.rs
+++ b/crates/dunepond-routing/tests/bodies.rs
@@ -56,7 +56,7 @@
 #[case::idempotent(FULL, AttemptOutcome::Error, FinalAnswer::Rejected { retry_after: 0.0 })]
 #[case::may_have_run(NON_IDEMPOTENT, AttemptOutcome::ConnectionLost, FinalAnswer::Failed)]
 #[case::never_ran(NON_IDEMPOTENT, AttemptOutcome::Rejected, FinalAnswer::Rejected { retry_after: 0.0 })]
-fn failure_after_body_release_is_final(
+fn failure_after_body_discard_is_final(
     #[case] query_class: usize,
     #[case] outcome: AttemptOutcome,
     #[case] expected: FinalAnswer,
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn body_is_released_at_the_attempt_cap() {
+fn body_is_not_needed_at_the_attempt_cap() {
     let mut cluster = Cluster::new(Deployment { max_attempts: 1, ..deployment() });
     cluster.transport.nodes = vec![None; 6];
     let query = cluster.query(FULL, &[0]);
--- a/crates/dunepond-routing/tests/fleet/slow_start_events.rs
+++ b/crates/dunepond-routing/tests/fleet/slow_start_events.rs
@@ -147,8 +147,9 @@
     event: Event,
 ) {
     let mut fleet = Fleet::new(brokers, 12, None);
-    // Of the sixteen seeds that were tried, this is the one with which an earlier slow start limit, based on rates and turns,
-    // failed most often.
+    // Of the sixteen seeds that were tried, this is the one with which an earlier slow start limit failed most often; it
+    // derived a rate from the completions measured at the moment and let a broker send one part to the node in each interval
+    // of that rate, whereas now completions fill token buckets.
     fleet.rng = Pcg64Mcg::seed_from_u64(9);
     if matches!(load, Load::Uneven) {
         fleet.load_shares = (0..brokers).map(|id| if id % 6 == 0 { 5.0 } else { 0.6 }).collect();
