--- a/crates/dunepond-recovery/src/spent_budgets.rs
+++ b/crates/dunepond-recovery/src/spent_budgets.rs
@@ -5,7 +5,7 @@
 //! one would lack the spending just before the crash. After a crash, the restarted broker therefore assumes that
 //! everything that could have been spent was spent, until such spending would have left every budget window.
 
-use dunepond_routing::{AdmissionRecord, NodeId, SlowStartRecord, SpentBudgets};
+use dunepond_routing::{ArrivalRecord, NodeId, SlowStartRecord, SpentBudgets};
 use serde::{Deserialize, Serialize};
 
 use crate::learned_state::NodeIdentity;
@@ -25,8 +25,9 @@
         at: Timestamp,
         /// Ages of the retries and hedged requests that were charged to the retry budget.
         retries: Vec<f64>,
-        /// Age and size of each batch of admitted requests.
-        admissions: Vec<AdmissionRecord>,
+        /// Age and size of each batch of queries and parts that arrived.
+        #[serde(rename = "admissions")]
+        arrivals: Vec<ArrivalRecord>,
         /// For each node in slow start: its name, the time in Unix seconds at which its process started, and the ages
         /// of the requests sent to it.
         slow_start_sends: Vec<(String, f64, Vec<f64>)>,
@@ -55,7 +56,7 @@
         Self::BrokerStopped {
             at,
             retries: spent.retries.clone(),
-            admissions: spent.admissions.clone(),
+            arrivals: spent.arrivals.clone(),
             slow_start_sends: slow_start_sends.collect(),
         }
     }
@@ -80,10 +81,10 @@
         let all_durations = |ages: &[f64]| ages.iter().all(|age| is_duration(*age));
         match self {
             Self::BrokerStarted { at } => at.is_valid(),
-            Self::BrokerStopped { at, retries, admissions, slow_start_sends } => {
+            Self::BrokerStopped { at, retries, arrivals, slow_start_sends } => {
                 at.is_valid()
                     && all_durations(retries)
-                    && admissions.iter().all(|record| is_duration(record.ago) && is_duration(record.count))
+                    && arrivals.iter().all(|record| is_duration(record.ago) && is_duration(record.count))
                     && slow_start_sends
                         .iter()
                         .all(|(_, started_at, ages)| is_duration(*started_at) && all_durations(ages))
@@ -103,13 +104,13 @@
     if !complete {
         return OutstandingCharges::Unknown;
     }
-    let (at, retries, admissions, slow_start_sends) = match records.last() {
+    let (at, retries, arrivals, slow_start_sends) = match records.last() {
         // No broker has used the budget journal's directory before, so nothing is charged. A broker that ran without a
         // directory did not keep its spent budgets across restarts either.
         None => return OutstandingCharges::Known(SpentBudgets::default()),
         Some(BudgetRecord::BrokerStarted { .. }) => return OutstandingCharges::Unknown,
-        Some(BudgetRecord::BrokerStopped { at, retries, admissions, slow_start_sends }) => {
-            (at, retries, admissions, slow_start_sends)
+        Some(BudgetRecord::BrokerStopped { at, retries, arrivals, slow_start_sends }) => {
+            (at, retries, arrivals, slow_start_sends)
         }
     };
     let Some(elapsed) = now.seconds_since(at) else { return OutstandingCharges::Unknown };
@@ -124,9 +125,9 @@
     });
     OutstandingCharges::Known(SpentBudgets {
         retries: aged(retries),
-        admissions: admissions
+        arrivals: arrivals
             .iter()
-            .map(|record| AdmissionRecord { ago: record.ago + elapsed, ..*record })
+            .map(|record| ArrivalRecord { ago: record.ago + elapsed, ..*record })
             .collect(),
         slow_start_sends: slow_start_sends.collect(),
     })
--- a/crates/dunepond-recovery/tests/golden.rs
+++ b/crates/dunepond-recovery/tests/golden.rs
@@ -5,8 +5,8 @@
 
 use dunepond_recovery::{BudgetRecord, FORMAT_VERSION, LearnedSnapshot, NodeIdentity, Timestamp};
 use dunepond_routing::{
-    AdmissionRecord, IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState,
-    SlowStartRecord, SpentBudgets,
+    ArrivalRecord, IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState, SlowStartRecord,
+    SpentBudgets,
 };
 
 fn golden(name: &str) -> Vec<u8> {
@@ -84,7 +84,7 @@
 fn budget_records_match_golden_bytes() {
     let spent = SpentBudgets {
         retries: vec![0.5, 2.25],
-        admissions: vec![AdmissionRecord { ago: 0.5, count: 1.0 }, AdmissionRecord { ago: 1.5, count: 40.0 }],
+        arrivals: vec![ArrivalRecord { ago: 0.5, count: 1.0 }, ArrivalRecord { ago: 1.5, count: 40.0 }],
         // `identities()`, the endpoint list, does not name node 9, so the record leaves its requests out.
         slow_start_sends: vec![
             SlowStartRecord { node: 3, sent_ago: vec![0.25, 0.75] },
--- a/crates/dunepond-recovery/tests/restart.rs
+++ b/crates/dunepond-recovery/tests/restart.rs
@@ -4,8 +4,8 @@
 use dunepond_recovery::spent_budgets::outstanding_charges;
 use dunepond_recovery::*;
 use dunepond_routing::{
-    AdmissionRecord, IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState,
-    SlowStartRecord, SpentBudgets,
+    ArrivalRecord, IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState, SlowStartRecord,
+    SpentBudgets,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -125,7 +125,7 @@
 fn spent() -> SpentBudgets {
     SpentBudgets {
         retries: vec![0.5, 0.1],
-        admissions: vec![AdmissionRecord { ago: 0.4, count: 3.0 }],
+        arrivals: vec![ArrivalRecord { ago: 0.4, count: 3.0 }],
         slow_start_sends: vec![SlowStartRecord { node: 2, sent_ago: vec![0.3] }],
     }
 }
@@ -137,7 +137,7 @@
     let records = [BudgetRecord::BrokerStarted { at: at(STOPPED_AT - 9.0) }, stopped];
     let expected = SpentBudgets {
         retries: vec![1.5, 1.1],
-        admissions: vec![AdmissionRecord { ago: 1.4, count: 3.0 }],
+        arrivals: vec![ArrivalRecord { ago: 1.4, count: 3.0 }],
         slow_start_sends: vec![SlowStartRecord { node: 2, sent_ago: vec![1.3] }],
     };
     assert_eq!(
--- a/crates/dunepond-routing/src/learned.rs
+++ b/crates/dunepond-routing/src/learned.rs
@@ -78,14 +78,15 @@
     /// For each retry or hedged request, the seconds since it was sent.
     pub retries: Vec<f64>,
     /// The queries and parts that arrived; the retry budget grows with their number.
-    pub admissions: Vec<AdmissionRecord>,
+    #[serde(rename = "admissions")]
+    pub arrivals: Vec<ArrivalRecord>,
     /// The parts that were sent to each node during its slow start.
     pub slow_start_sends: Vec<SlowStartRecord>,
 }
 
 /// Number of queries and parts that arrived at the same instant.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AdmissionRecord {
+pub struct ArrivalRecord {
     /// Seconds since the arrival.
     pub ago: f64,
     /// Number of queries and parts that arrived.
--- a/crates/dunepond-routing/src/lib.rs
+++ b/crates/dunepond-routing/src/lib.rs
@@ -28,8 +28,8 @@
 };
 pub use endpoint::{Endpoint, EndpointState, NodeId};
 pub use learned::{
-    AdmissionRecord, IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState,
-    SlowStartRecord, SpentBudgets,
+    ArrivalRecord, IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState, SlowStartRecord,
+    SpentBudgets,
 };
 pub use policy::{
     MAX_SHUTDOWN_SECONDS, MAX_STALL_SECONDS, SIGNAL_POLL_INTERVAL, STALL_THRESHOLD_SECONDS, ShutdownStage,
--- a/crates/dunepond-routing/src/policy/warm_restart.rs
+++ b/crates/dunepond-routing/src/policy/warm_restart.rs
@@ -57,7 +57,7 @@
         };
         SpentBudgets {
             retries: ages(&self.retries.retries_sent),
-            admissions: self.retries.arrived.iter().map(|work| work.to_record(now)).collect(),
+            arrivals: self.retries.arrived.iter().map(|work| work.to_record(now)).collect(),
             slow_start_sends: self.listed_nodes().map(slow_start_record).collect(),
         }
     }
@@ -72,7 +72,7 @@
             return;
         };
         self.retries.retries_sent.extend(spent.retries.iter().map(|ago| now - ago));
-        for record in &spent.admissions {
+        for record in &spent.arrivals {
             self.retries.add_arrived(now - record.ago, record.count);
         }
         for record in &spent.slow_start_sends {
--- a/crates/dunepond-routing/src/state/retry_budget.rs
+++ b/crates/dunepond-routing/src/state/retry_budget.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 use super::age;
-use crate::{AdmissionRecord, Deployment};
+use crate::{ArrivalRecord, Deployment};
 
 /// What the retry budget remembers about sent retries and arrived work.
 pub struct RetryHistory {
@@ -53,7 +53,7 @@
 
 impl ArrivedWork {
     /// Converts the record to the stored form, with an age instead of an instant.
-    pub fn to_record(self, now: f64) -> AdmissionRecord {
-        AdmissionRecord { ago: age(self.at, now), count: self.count }
+    pub fn to_record(self, now: f64) -> ArrivalRecord {
+        ArrivalRecord { ago: age(self.at, now), count: self.count }
     }
 }
--- a/crates/dunepond-routing/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunepond_routing::{
-    AdmissionRecord, AttemptEnded, AttemptId, AttemptOutcome, Deployment, Endpoint, EndpointState,
-    Idempotency, IdleResetRecord, LatencyRecord, NodeId, Part, Query, QueryClass, QueryId, QuotaShares,
-    RetryBudget, Router, Rules, Shutdown, ShutdownStage, SlowStart, SlowStartRecord, Transport,
+    ArrivalRecord, AttemptEnded, AttemptId, AttemptOutcome, Deployment, Endpoint, EndpointState, Idempotency,
+    IdleResetRecord, LatencyRecord, NodeId, Part, Query, QueryClass, QueryId, QuotaShares, RetryBudget,
+    Router, Rules, Shutdown, ShutdownStage, SlowStart, SlowStartRecord, Transport,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -972,7 +972,7 @@
         }
         digest.number(learned.baseline_latency.unwrap_or(-1.0));
         spent.retries.iter().for_each(|ago| digest.number(*ago));
-        for AdmissionRecord { ago, count } in &spent.admissions {
+        for ArrivalRecord { ago, count } in &spent.arrivals {
             digest.number(*ago);
             digest.number(*count);
         }
