--- a/crates/dunepond-recovery/src/learned_state.rs
+++ b/crates/dunepond-recovery/src/learned_state.rs
@@ -1,7 +1,7 @@
 //! The stored form of what a broker learned about nodes, and how much of it is restored after a restart. Nodes and query
 //! classes are stored by name, since their indices may differ between two processes.
 
-use dunepond_routing::{IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState, NodeId};
+use dunepond_routing::{IdleUseRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState, NodeId};
 use serde::{Deserialize, Serialize};
 
 use crate::{DecodeError, Timestamp, decode, encode, is_duration};
@@ -45,7 +45,8 @@
     query_classes: Vec<String>,
     nodes: Vec<StoredNode>,
     latency_samples: Vec<LatencyRecord>,
-    idle_resets: Vec<IdleResetRecord>,
+    #[serde(rename = "idle_resets")]
+    idle_uses: Vec<IdleUseRecord>,
     baseline_latency: Option<f64>,
 }
 
@@ -125,7 +126,7 @@
             query_classes: query_classes.to_vec(),
             nodes: nodes.collect(),
             latency_samples: learned.latency_samples.clone(),
-            idle_resets: learned.idle_resets.clone(),
+            idle_uses: learned.idle_uses.clone(),
             baseline_latency: learned.baseline_latency,
         }
     }
@@ -161,7 +162,10 @@
             && self.latency_samples.iter().all(|sample| {
                 is_duration(sample.latency) && is_duration(sample.ago) && is_duration(sample.node_share)
             })
-            && self.idle_resets.iter().all(|reset| is_duration(reset.ago) && is_duration(reset.idle_seconds))
+            && self
+                .idle_uses
+                .iter()
+                .all(|idle_use| is_duration(idle_use.ago) && is_duration(idle_use.idle_seconds))
             && self.baseline_latency.is_none_or(is_duration)
     }
 
@@ -247,9 +251,10 @@
             let latencies = newest(&self.latency_samples, weight).iter();
             learned.latency_samples =
                 latencies.map(|sample| LatencyRecord { ago: sample.ago + elapsed, ..*sample }).collect();
-            let resets = self.idle_resets.iter();
-            learned.idle_resets =
-                resets.map(|reset| IdleResetRecord { ago: reset.ago + elapsed, ..*reset }).collect();
+            let idle_uses = self.idle_uses.iter();
+            learned.idle_uses = idle_uses
+                .map(|idle_use| IdleUseRecord { ago: idle_use.ago + elapsed, ..*idle_use })
+                .collect();
             learned.baseline_latency = self.baseline_latency;
         }
         TrustedState { confidence, learned, nodes }
--- a/crates/dunepond-recovery/tests/golden.rs
+++ b/crates/dunepond-recovery/tests/golden.rs
@@ -5,7 +5,7 @@
 
 use dunepond_recovery::{BudgetRecord, FORMAT_VERSION, LearnedSnapshot, NodeIdentity, Timestamp};
 use dunepond_routing::{
-    ArrivalRecord, IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState, SlowStartRecord,
+    ArrivalRecord, IdleUseRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState, SlowStartRecord,
     SpentBudgets,
 };
 
@@ -53,9 +53,9 @@
             LatencyRecord { latency: 0.25, ago: 1.5, node_share: 0.125 },
             LatencyRecord { latency: 0.5, ago: 0.75, node_share: 1.0 },
         ],
-        idle_resets: vec![
-            IdleResetRecord { ago: 4.0, idle_seconds: 30.0, broke: true },
-            IdleResetRecord { ago: 2.0, idle_seconds: 15.0, broke: false },
+        idle_uses: vec![
+            IdleUseRecord { ago: 4.0, idle_seconds: 30.0, broke: true },
+            IdleUseRecord { ago: 2.0, idle_seconds: 15.0, broke: false },
         ],
         baseline_latency: Some(0.0625),
     };
--- a/crates/dunepond-recovery/tests/restart.rs
+++ b/crates/dunepond-recovery/tests/restart.rs
@@ -4,7 +4,7 @@
 use dunepond_recovery::spent_budgets::outstanding_charges;
 use dunepond_recovery::*;
 use dunepond_routing::{
-    ArrivalRecord, IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState, SlowStartRecord,
+    ArrivalRecord, IdleUseRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState, SlowStartRecord,
     SpentBudgets,
 };
 use proptest::prelude::*;
@@ -45,7 +45,7 @@
     LearnedState {
         nodes: nodes.collect(),
         latency_samples: vec![LatencyRecord { latency: 0.2, ago: 1.0, node_share: 0.1 }; 64],
-        idle_resets: vec![IdleResetRecord { ago: 1.0, idle_seconds: 30.0, broke: true }],
+        idle_uses: vec![IdleUseRecord { ago: 1.0, idle_seconds: 30.0, broke: true }],
         baseline_latency: Some(0.1),
     }
 }
--- a/crates/dunepond-routing/src/learned.rs
+++ b/crates/dunepond-routing/src/learned.rs
@@ -14,7 +14,8 @@
     /// The last attempts that warm nodes (those past their slow start) served, oldest first.
     pub latency_samples: Vec<LatencyRecord>,
     /// Outcomes of attempts on connections that had been idle.
-    pub idle_resets: Vec<IdleResetRecord>,
+    #[serde(rename = "idle_resets")]
+    pub idle_uses: Vec<IdleUseRecord>,
     /// Lowest median latency of attempts so far, in seconds; `None` while it is not known.
     pub baseline_latency: Option<f64>,
 }
@@ -62,7 +63,7 @@
 
 /// The outcome of an attempt on a connection that had been idle.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct IdleResetRecord {
+pub struct IdleUseRecord {
     /// Seconds since the attempt ended.
     pub ago: f64,
     /// Seconds that the connection had been idle before the attempt.
--- a/crates/dunepond-routing/src/lib.rs
+++ b/crates/dunepond-routing/src/lib.rs
@@ -28,7 +28,7 @@
 };
 pub use endpoint::{Endpoint, EndpointState, NodeId};
 pub use learned::{
-    ArrivalRecord, IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState, SlowStartRecord,
+    ArrivalRecord, IdleUseRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState, SlowStartRecord,
     SpentBudgets,
 };
 pub use policy::{
--- a/crates/dunepond-routing/src/policy/idle_reset.rs
+++ b/crates/dunepond-routing/src/policy/idle_reset.rs
@@ -6,10 +6,10 @@
 //! than a lost part.
 
 use super::latency::FRESH_OBJECTIVES;
-use crate::state::{IdleReset, OutstandingAttempt, Router, keep_last};
+use crate::state::{IdleUse, OutstandingAttempt, Router, keep_last};
 
 /// Number of kept samples of attempts on connections that had been idle for long.
-const RESET_SAMPLE_COUNT: usize = 8;
+const IDLE_USE_SAMPLE_COUNT: usize = 8;
 /// Smallest number of resets among the samples at which idle connections are closed instead of used. It is
 /// more than one, because a single connection may break for another reason.
 const MIN_RESET_COUNT: usize = 2;
@@ -38,27 +38,28 @@
     /// Records that an attempt was served, if the idle time of its connection is comparable to that of a
     /// recorded attempt.
     pub(super) fn record_idle_success(&mut self, attempt: &OutstandingAttempt) {
-        if self.idle_resets.iter().any(|reset| is_comparable(attempt.idle_seconds, reset)) {
+        if self.idle_uses.iter().any(|idle_use| is_comparable(attempt.idle_seconds, idle_use)) {
             self.record_idle_use(attempt, false);
         }
     }
 
     fn record_idle_use(&mut self, attempt: &OutstandingAttempt, broke: bool) {
-        let reset = IdleReset { at: self.now, idle_seconds: attempt.idle_seconds, broke };
-        keep_last(&mut self.idle_resets, reset, RESET_SAMPLE_COUNT);
+        let idle_use = IdleUse { at: self.now, idle_seconds: attempt.idle_seconds, broke };
+        keep_last(&mut self.idle_uses, idle_use, IDLE_USE_SAMPLE_COUNT);
     }
 
     /// Returns whether connections with a comparable idle time (seconds) have been reset so often that a new
     /// connection should be used instead.
     pub(super) fn is_likely_reset(&self, idle_seconds: f64) -> bool {
         let since = self.objectives_ago(RESET_FRESH_OBJECTIVES);
-        let is_relevant_reset =
-            |reset: &&IdleReset| reset.broke && reset.at > since && is_comparable(idle_seconds, reset);
-        self.idle_resets.iter().filter(is_relevant_reset).count() >= MIN_RESET_COUNT
+        let is_relevant_reset = |idle_use: &&IdleUse| {
+            idle_use.broke && idle_use.at > since && is_comparable(idle_seconds, idle_use)
+        };
+        self.idle_uses.iter().filter(is_relevant_reset).count() >= MIN_RESET_COUNT
     }
 }
 
 /// Returns whether an idle time is comparable to that of a recorded attempt.
-fn is_comparable(idle_seconds: f64, reset: &IdleReset) -> bool {
-    idle_seconds > COMPARABLE_IDLE_RATIO * reset.idle_seconds
+fn is_comparable(idle_seconds: f64, idle_use: &IdleUse) -> bool {
+    idle_seconds > COMPARABLE_IDLE_RATIO * idle_use.idle_seconds
 }
--- a/crates/dunepond-routing/src/policy/warm_restart.rs
+++ b/crates/dunepond-routing/src/policy/warm_restart.rs
@@ -6,7 +6,7 @@
 
 use std::collections::VecDeque;
 
-use crate::state::{CompletionSample, Ejection, IdleReset, Node, NodeSample, Router};
+use crate::state::{CompletionSample, Ejection, IdleUse, Node, NodeSample, Router};
 use crate::{LearnedState, NodeId, SlowStartRecord, SpentBudgets, Transport};
 
 impl Router {
@@ -18,7 +18,7 @@
         LearnedState {
             nodes: self.listed_nodes().map(|(id, node)| node.to_learned(id, now)).collect(),
             latency_samples: self.latency.completions.iter().map(|sample| sample.to_record(now)).collect(),
-            idle_resets: self.idle_resets.iter().map(|reset| reset.to_record(now)).collect(),
+            idle_uses: self.idle_uses.iter().map(|idle_use| idle_use.to_record(now)).collect(),
             baseline_latency: (baseline < f64::MAX).then_some(baseline),
         }
     }
@@ -38,7 +38,7 @@
         let completions =
             learned.latency_samples.iter().map(|record| CompletionSample::from_record(record, now));
         self.latency.completions.extend(completions);
-        self.idle_resets.extend(learned.idle_resets.iter().map(|record| IdleReset::from_record(record, now)));
+        self.idle_uses.extend(learned.idle_uses.iter().map(|record| IdleUse::from_record(record, now)));
         if let Some(baseline) = learned.baseline_latency {
             self.latency.baseline = self.latency.baseline.min(baseline);
         }
--- a/crates/dunepond-routing/src/state/mod.rs
+++ b/crates/dunepond-routing/src/state/mod.rs
@@ -22,7 +22,7 @@
 pub use self::query::{Attempt, InFlightQuery, PartState, PartStatus, Probing};
 pub use self::retry_budget::RetryHistory;
 pub use self::shutdown::Shutdown;
-use crate::{Deployment, IdleResetRecord, NodeId, QueryClass, QueryId, QuotaShares, Rules};
+use crate::{Deployment, IdleUseRecord, NodeId, QueryClass, QueryId, QuotaShares, Rules};
 
 /// Makes the routing decisions of one broker and holds all the state on which they depend.
 ///
@@ -46,7 +46,7 @@
     pub(crate) admission: AdmissionHistory,
     pub(crate) retries: RetryHistory,
     pub(crate) probes: VecDeque<ProbeResult>,
-    pub(crate) idle_resets: VecDeque<IdleReset>,
+    pub(crate) idle_uses: VecDeque<IdleUse>,
     /// Instant of the requested call of [`Router::on_wake`]; `f64::MAX` if none is requested.
     pub(crate) wake_due_at: f64,
     pub(crate) endpoint_poll: EndpointPoll,
@@ -66,7 +66,7 @@
 
 /// The outcome of an attempt on a connection that had been idle.
 #[derive(Clone, Copy)]
-pub struct IdleReset {
+pub struct IdleUse {
     /// When the attempt ended.
     pub at: f64,
     /// Seconds that the connection had been idle before the attempt.
@@ -75,16 +75,16 @@
     pub broke: bool,
 }
 
-impl IdleReset {
+impl IdleUse {
     /// Converts the outcome of the attempt to the stored form, with an age instead of an instant.
-    pub fn to_record(self, now: f64) -> IdleResetRecord {
-        IdleResetRecord { ago: age(self.at, now), idle_seconds: self.idle_seconds, broke: self.broke }
+    pub fn to_record(self, now: f64) -> IdleUseRecord {
+        IdleUseRecord { ago: age(self.at, now), idle_seconds: self.idle_seconds, broke: self.broke }
     }
 
     /// Converts the stored outcome of an attempt on an idle connection; the stored age of the outcome becomes an
     /// instant on this process's clock.
-    pub fn from_record(record: &IdleResetRecord, now: f64) -> Self {
-        let &IdleResetRecord { ago, idle_seconds, broke } = record;
+    pub fn from_record(record: &IdleUseRecord, now: f64) -> Self {
+        let &IdleUseRecord { ago, idle_seconds, broke } = record;
         Self { at: now - ago, idle_seconds, broke }
     }
 }
@@ -104,7 +104,7 @@
             admission: AdmissionHistory::new(&deployment),
             retries: RetryHistory::new(&deployment),
             probes: VecDeque::new(),
-            idle_resets: VecDeque::new(),
+            idle_uses: VecDeque::new(),
             wake_due_at: f64::MAX,
             endpoint_poll: EndpointPoll::new(&deployment),
             shutdown: None,
--- a/crates/dunepond-routing/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -5,8 +5,8 @@
 
 use dunepond_routing::{
     ArrivalRecord, AttemptEnded, AttemptId, AttemptOutcome, Deployment, Endpoint, EndpointState, Idempotency,
-    IdleResetRecord, LatencyRecord, NodeId, Part, Query, QueryClass, QueryId, QuotaShares, RetryBudget,
-    Router, Rules, Shutdown, ShutdownStage, SlowStart, SlowStartRecord, Transport,
+    IdleUseRecord, LatencyRecord, NodeId, Part, Query, QueryClass, QueryId, QuotaShares, RetryBudget, Router,
+    Rules, Shutdown, ShutdownStage, SlowStart, SlowStartRecord, Transport,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -965,7 +965,7 @@
         for LatencyRecord { latency: elapsed, ago, node_share: part } in &learned.latency_samples {
             [*elapsed, *ago, *part].into_iter().for_each(|n| digest.number(n));
         }
-        for IdleResetRecord { ago, idle_seconds: idle, broke } in &learned.idle_resets {
+        for IdleUseRecord { ago, idle_seconds: idle, broke } in &learned.idle_uses {
             digest.number(*ago);
             digest.number(*idle);
             digest.flag(*broke);
