--- a/crates/dunepond-recovery/tests/golden.rs
+++ b/crates/dunepond-recovery/tests/golden.rs
@@ -5,8 +5,8 @@
 
 use dunepond_recovery::{BudgetRecord, FORMAT_VERSION, LearnedSnapshot, NodeIdentity, Timestamp};
 use dunepond_routing::{
-    AdmissionRecord, IdleResetRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState,
-    SlowStartRecord, SpentBudgets,
+    ArrivalRecord, IdleUseRecord, LatencyRecord, LearnedNode, LearnedSample, LearnedState, SlowStartRecord,
+    SpentBudgets,
 };
 
 fn golden(name: &str) -> Vec<u8> {
@@ -53,9 +53,9 @@
             LatencyRecord { latency: 0.25, ago: 1.5, node_share: 0.125 },
             LatencyRecord { latency: 0.5, ago: 0.75, node_share: 1.0 },
         ],
-        idle_resets: vec![
-            IdleResetRecord { ago: 4.0, idle_seconds: 30.0, broke: true },
-            IdleResetRecord { ago: 2.0, idle_seconds: 15.0, broke: false },
+        idle_uses: vec![
+            IdleUseRecord { ago: 4.0, idle_seconds: 30.0, broke: true },
+            IdleUseRecord { ago: 2.0, idle_seconds: 15.0, broke: false },
         ],
         baseline_latency: Some(0.0625),
     };
@@ -84,7 +84,7 @@
 fn budget_records_match_golden_bytes() {
     let spent = SpentBudgets {
         retries: vec![0.5, 2.25],
-        admissions: vec![AdmissionRecord { ago: 0.5, count: 1.0 }, AdmissionRecord { ago: 1.5, count: 40.0 }],
+        arrivals: vec![ArrivalRecord { ago: 0.5, count: 1.0 }, ArrivalRecord { ago: 1.5, count: 40.0 }],
         // `identities()`, the endpoint list, does not name node 9, so the record leaves its requests out.
         slow_start_sends: vec![
             SlowStartRecord { node: 3, sent_ago: vec![0.25, 0.75] },
--- a/crates/dunepond-routing/src/learned.rs
+++ b/crates/dunepond-routing/src/learned.rs
@@ -14,7 +14,8 @@
     /// The last attempts that warm nodes (those past their slow start) served, oldest first.
     pub latency_samples: Vec<LatencyRecord>,
     /// Outcomes of attempts on connections that had been idle.
-    pub idle_resets: Vec<IdleResetRecord>,
+    #[serde(rename = "idle_resets")]
+    pub idle_uses: Vec<IdleUseRecord>,
     /// Lowest median latency of attempts so far, in seconds; `None` while it is not known.
     pub baseline_latency: Option<f64>,
 }
@@ -62,7 +63,7 @@
 
 /// The outcome of an attempt on a connection that had been idle.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct IdleResetRecord {
+pub struct IdleUseRecord {
     /// Seconds since the attempt ended.
     pub ago: f64,
     /// Seconds that the connection had been idle before the attempt.
@@ -78,14 +79,15 @@
     /// For each retry or hedged request, the seconds since it was sent.
     pub retries: Vec<f64>,
     /// The queries and parts that arrived; the retry budget grows with their number.
-    pub admissions: Vec<AdmissionRecord>,
+    #[serde(rename = "admissions")]
+    pub arrivals: Vec<ArrivalRecord>,
     /// The parts that were sent to each node during its slow start.
     pub slow_start_sends: Vec<SlowStartRecord>,
 }
 
 /// Number of queries and parts that arrived at the same instant.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AdmissionRecord {
+pub struct ArrivalRecord {
     /// Seconds since the arrival.
     pub ago: f64,
     /// Number of queries and parts that arrived.
--- a/crates/dunepond-routing/tests/golden_orders.rs
+++ b/crates/dunepond-routing/tests/golden_orders.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use dunepond_routing::{
-    AdmissionRecord, AttemptEnded, AttemptId, AttemptOutcome, Deployment, Endpoint, EndpointState,
-    Idempotency, IdleResetRecord, LatencyRecord, NodeId, Part, Query, QueryClass, QueryId, QuotaShares,
-    RetryBudget, Router, Rules, Shutdown, ShutdownStage, SlowStart, SlowStartRecord, Transport,
+    ArrivalRecord, AttemptEnded, AttemptId, AttemptOutcome, Deployment, Endpoint, EndpointState, Idempotency,
+    IdleUseRecord, LatencyRecord, NodeId, Part, Query, QueryClass, QueryId, QuotaShares, RetryBudget, Router,
+    Rules, Shutdown, ShutdownStage, SlowStart, SlowStartRecord, Transport,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -965,14 +965,14 @@
         for LatencyRecord { latency: elapsed, ago, node_share: part } in &learned.latency_samples {
             [*elapsed, *ago, *part].into_iter().for_each(|n| digest.number(n));
         }
-        for IdleResetRecord { ago, idle_seconds: idle, broke } in &learned.idle_resets {
+        for IdleUseRecord { ago, idle_seconds: idle, broke } in &learned.idle_uses {
             digest.number(*ago);
             digest.number(*idle);
             digest.flag(*broke);
         }
         digest.number(learned.baseline_latency.unwrap_or(-1.0));
         spent.retries.iter().for_each(|ago| digest.number(*ago));
-        for AdmissionRecord { ago, count } in &spent.admissions {
+        for ArrivalRecord { ago, count } in &spent.arrivals {
             digest.number(*ago);
             digest.number(*count);
         }
