--- a/crates/dunepond-consensus/src/active_config.rs
+++ b/crates/dunepond-consensus/src/active_config.rs
@@ -54,7 +54,7 @@
 
 /// The version or versions that a broker acts on while it has a valid lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum RolloutSide {
+pub(crate) enum ApplicableVersions {
     /// Only the active version.
     Active,
     /// The joint configuration: the stricter values of the active and the proposed version, field by field.
@@ -80,13 +80,13 @@
     pub active: Option<Arc<ConfigVersion>>,
     pub proposed: Option<Arc<ConfigVersion>>,
     /// The verified shard map of the active version, if it has one.
-    pub active_proof: Option<VerifiedMap>,
+    pub active_map: Option<VerifiedMap>,
     /// The verified shard map of the proposed version, if it has one.
-    pub proposed_proof: Option<VerifiedMap>,
+    pub proposed_map: Option<VerifiedMap>,
     /// The transition from the active version's shard map to the proposed version's, if both have one and they differ.
     pub transition: Option<MapTransition>,
     /// The version or versions that the broker acts on while it has a valid lease.
-    pub side: RolloutSide,
+    pub applicable_versions: ApplicableVersions,
     /// Start of the lease in seconds on the broker's own clock: the time at which its request was sent.
     pub lease_from: f64,
     /// End of the lease in seconds on the broker's own clock, exclusive.
@@ -111,10 +111,10 @@
         Self {
             active: None,
             proposed: None,
-            active_proof: None,
-            proposed_proof: None,
+            active_map: None,
+            proposed_map: None,
             transition: None,
-            side: RolloutSide::Active,
+            applicable_versions: ApplicableVersions::Active,
             lease_from: 0.0,
             lease_until: f64::NEG_INFINITY,
             maps_enabled,
@@ -136,10 +136,10 @@
             (Some(active), Some(proposed)) => Some(strictest_rules(active, proposed)),
             (active, proposed) => active.clone().or(proposed.clone()),
         };
-        self.leased_rules = match self.side {
-            RolloutSide::Active => active,
-            RolloutSide::Joint => self.strictest_rules.clone(),
-            RolloutSide::Proposed => proposed,
+        self.leased_rules = match self.applicable_versions {
+            ApplicableVersions::Active => active,
+            ApplicableVersions::Joint => self.strictest_rules.clone(),
+            ApplicableVersions::Proposed => proposed,
         };
         let excluded = self.active.iter().chain(&self.proposed).map(|version| &version.excluded_nodes);
         self.excluded_nodes =
@@ -148,8 +148,8 @@
     }
 }
 
-fn owner_of(proof: &VerifiedMap, segment: u64) -> Option<&str> {
-    proof.segment(segment).map(|segment| segment.owner.as_str())
+fn owner_of(map: &VerifiedMap, segment: u64) -> Option<&str> {
+    map.segment(segment).map(|segment| segment.owner.as_str())
 }
 
 impl ActiveConfig {
@@ -190,11 +190,11 @@
         if !self.lease_valid(now) {
             return ConfigPhase::LeaseExpired(active);
         }
-        match self.snapshot.side {
-            RolloutSide::Active if active == 0 => ConfigPhase::Unconfigured,
-            RolloutSide::Active => ConfigPhase::Active(active),
-            RolloutSide::Joint => ConfigPhase::Joint(active, proposed),
-            RolloutSide::Proposed => ConfigPhase::Active(proposed),
+        match self.snapshot.applicable_versions {
+            ApplicableVersions::Active if active == 0 => ConfigPhase::Unconfigured,
+            ApplicableVersions::Active => ConfigPhase::Active(active),
+            ApplicableVersions::Joint => ConfigPhase::Joint(active, proposed),
+            ApplicableVersions::Proposed => ConfigPhase::Active(proposed),
         }
     }
 
@@ -214,7 +214,7 @@
     pub fn owner(&self, segment: u64, now: f64) -> SegmentOwner<'_> {
         let snapshot = &self.snapshot;
         let unavailable = SegmentOwner::Unavailable(snapshot.retry_after_seconds);
-        let (active, proposed) = (snapshot.active_proof.as_ref(), snapshot.proposed_proof.as_ref());
+        let (active, proposed) = (snapshot.active_map.as_ref(), snapshot.proposed_map.as_ref());
         if !self.lease_valid(now) {
             // Without a lease this broker may not know yet that the owner of the segment changed, or that a first shard
             // map became active.
@@ -222,14 +222,16 @@
             let has_no_map = active.is_none() && proposed.is_none();
             return if maps_impossible && has_no_map { SegmentOwner::AnyReplica } else { unavailable };
         }
-        let owner = match (snapshot.side, active, proposed) {
-            (RolloutSide::Active, None, _) | (_, None, None) => return SegmentOwner::AnyReplica,
-            (RolloutSide::Active, Some(active), _) => owner_of(active, segment),
-            (RolloutSide::Proposed, _, Some(proposed)) => owner_of(proposed, segment),
+        let owner = match (snapshot.applicable_versions, active, proposed) {
+            (ApplicableVersions::Active, None, _) | (_, None, None) => return SegmentOwner::AnyReplica,
+            (ApplicableVersions::Active, Some(active), _) => owner_of(active, segment),
+            (ApplicableVersions::Proposed, _, Some(proposed)) => owner_of(proposed, segment),
             // A version without a map allows any owner, so the owner of the other version's map satisfies both.
-            (RolloutSide::Joint, None, Some(map)) => owner_of(map, segment),
-            (RolloutSide::Joint | RolloutSide::Proposed, Some(map), None) => owner_of(map, segment),
-            (RolloutSide::Joint, Some(active), Some(proposed)) => match &snapshot.transition {
+            (ApplicableVersions::Joint, None, Some(map)) => owner_of(map, segment),
+            (ApplicableVersions::Joint | ApplicableVersions::Proposed, Some(map), None) => {
+                owner_of(map, segment)
+            }
+            (ApplicableVersions::Joint, Some(active), Some(proposed)) => match &snapshot.transition {
                 Some(transition) => transition.owner_of_segment(segment, TransitionPhase::Joint),
                 // If there is no shard map transition, both versions have the same map.
                 None => {
@@ -251,10 +253,10 @@
     /// if no known version has a map.
     pub fn map(&self, now: f64) -> Option<&VerifiedMap> {
         let snapshot = &self.snapshot;
-        if snapshot.side == RolloutSide::Proposed && self.lease_valid(now) {
-            return snapshot.proposed_proof.as_ref();
+        if snapshot.applicable_versions == ApplicableVersions::Proposed && self.lease_valid(now) {
+            return snapshot.proposed_map.as_ref();
         }
-        snapshot.active_proof.as_ref().or(snapshot.proposed_proof.as_ref())
+        snapshot.active_map.as_ref().or(snapshot.proposed_map.as_ref())
     }
 
     /// Number of the active version as of the last adopted grant; 0 if there is none.
--- a/crates/dunepond-consensus/src/format1.rs
+++ b/crates/dunepond-consensus/src/format1.rs
@@ -11,7 +11,7 @@
 
 use crate::log_entry::LogEntry;
 use crate::{
-    Command, ConfigVersion, ConsensusConfig, OpenChange, PastChange, PersistedState, ReplicatedState,
+    Command, ConfigVersion, ConsensusConfig, PastChange, PersistedState, ProposedChange, ReplicatedState,
     RolloutStep, VoterSlot,
 };
 
@@ -142,8 +142,8 @@
     Some(state)
 }
 
-fn open_change(old: OpenChange1) -> OpenChange {
-    OpenChange {
+fn open_change(old: OpenChange1) -> ProposedChange {
+    ProposedChange {
         version: Arc::new(old.version.0),
         digest: old.digest,
         step: old.step,
--- a/crates/dunepond-consensus/src/lease_client/adoption.rs
+++ b/crates/dunepond-consensus/src/lease_client/adoption.rs
@@ -5,7 +5,9 @@
 
 use dunepond_shard_map as maps;
 
-use super::{ConfigVersion, KnownVersion, LeaseClient, LeaseGrant, Rejection, RolloutSide, VerifiedMap};
+use super::{
+    ApplicableVersions, ConfigVersion, KnownVersion, LeaseClient, LeaseGrant, Rejection, VerifiedMap,
+};
 use crate::replicated_state::{ValidatedProposal, validate_proposal, with_completed_fills};
 use crate::{ConsensusConfig, RolloutStep, SettlementUpdate};
 
@@ -40,7 +42,7 @@
         (self.fleet_id, self.epoch) = (grant.fleet_id, grant.epoch);
         self.snapshot.allocation = grant.quota.clone();
         self.voters.set_committed(grant.voters.clone(), grant.voters_number);
-        self.snapshot.side = self.side(grant);
+        self.snapshot.applicable_versions = self.applicable_versions(grant);
         self.adopt_settlements(&grant.settlements);
         Ok(())
     }
@@ -77,8 +79,8 @@
             Some(known) => Some(self.validate(active, proof.as_ref(), &known.version)?),
             None => None,
         };
-        self.snapshot.active_proof = proof;
-        (self.snapshot.proposed_proof, self.snapshot.transition) = match validated {
+        self.snapshot.active_map = proof;
+        (self.snapshot.proposed_map, self.snapshot.transition) = match validated {
             Some(validated) => (validated.proof, validated.transition),
             None => (None, None),
         };
@@ -109,7 +111,7 @@
         let Some(map) = &version.map else { return Ok(None) };
         version.check_rules()?;
         let is_known = self.active.as_ref().is_some_and(|known| known.digest == *digest);
-        let proof = match self.snapshot.active_proof.as_ref().filter(|_| is_known) {
+        let proof = match self.snapshot.active_map.as_ref().filter(|_| is_known) {
             Some(proof) => proof.clone(),
             None => maps::verify(map, &[], &self.config.map_requirements).map_err(Rejection::InvalidMap)?,
         };
@@ -117,13 +119,15 @@
     }
 
     /// The version or versions on which this broker acts while the lease from this grant is valid.
-    fn side(&self, grant: &LeaseGrant) -> RolloutSide {
-        let Some(proposed) = &grant.proposed else { return RolloutSide::Active };
+    fn applicable_versions(&self, grant: &LeaseGrant) -> ApplicableVersions {
+        let Some(proposed) = &grant.proposed else { return ApplicableVersions::Active };
         match proposed.step {
             RolloutStep::Staged(ratio) if is_in_first_stage(&self.config.name, proposed.number, ratio) => {
-                RolloutSide::Proposed
+                ApplicableVersions::Proposed
+            }
+            RolloutStep::Joint | RolloutStep::Staged(_) | RolloutStep::RollingBack => {
+                ApplicableVersions::Joint
             }
-            RolloutStep::Joint | RolloutStep::Staged(_) | RolloutStep::RollingBack => RolloutSide::Joint,
         }
     }
 
--- a/crates/dunepond-consensus/src/lease_client/clock_guard.rs
+++ b/crates/dunepond-consensus/src/lease_client/clock_guard.rs
@@ -11,7 +11,7 @@
 #[derive(Clone)]
 pub(super) struct ClockSample {
     leader: String,
-    leader_run: u64,
+    leader_run_id: u64,
     received_at: f64,
     sent_at: f64,
 }
@@ -20,7 +20,7 @@
     pub fn new(grant: &LeaseGrant, sent_at: f64) -> Self {
         Self {
             leader: grant.leader.clone(),
-            leader_run: grant.leader_run,
+            leader_run_id: grant.leader_run_id,
             received_at: grant.received_at,
             sent_at,
         }
@@ -29,7 +29,7 @@
     /// Whether both samples are from the same process of the same leader, so that `received_at` is from the same clock
     /// in both.
     fn same_clock(&self, other: &Self) -> bool {
-        self.leader == other.leader && self.leader_run == other.leader_run
+        self.leader == other.leader && self.leader_run_id == other.leader_run_id
     }
 }
 
--- a/crates/dunepond-consensus/src/lease_client/mod.rs
+++ b/crates/dunepond-consensus/src/lease_client/mod.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::active_config::{ConfigSnapshot, RolloutSide};
+use crate::active_config::{ApplicableVersions, ConfigSnapshot};
 use crate::config_version::known_keys;
 use crate::{
     ActiveConfig, ConfigVersion, ConsensusConfig, LeaseAnswer, LeaseGrant, LeaseReply, LeaseRequest,
@@ -136,7 +136,7 @@
         self.snapshot.maps_enabled |= active.iter().any(|known| known.version.map.is_some());
         let completed_fills = persisted.completed_fills.into_iter().collect();
         let Ok(proof) = self.prove(active.as_ref(), &completed_fills) else { return self.refresh() };
-        (self.active, self.completed_fills, self.snapshot.active_proof) = (active, completed_fills, proof);
+        (self.active, self.completed_fills, self.snapshot.active_map) = (active, completed_fills, proof);
         if let Some(proposed) = proposed.first() {
             self.restore_proposed(proposed);
         }
@@ -144,12 +144,12 @@
     }
 
     fn restore_proposed(&mut self, proposed: &Arc<ConfigVersion>) {
-        let proof = self.snapshot.active_proof.as_ref();
+        let proof = self.snapshot.active_map.as_ref();
         let Ok(validated) = self.validate(self.active.as_ref(), proof, proposed) else { return };
         self.proposed = Some(KnownVersion::new(proposed));
-        self.snapshot.proposed_proof = validated.proof;
+        self.snapshot.proposed_map = validated.proof;
         self.snapshot.transition = validated.transition;
-        self.snapshot.side = RolloutSide::Joint;
+        self.snapshot.applicable_versions = ApplicableVersions::Joint;
     }
 
     /// Sets whether this broker's nodes are overloaded; the next request reports it.
--- a/crates/dunepond-consensus/src/lease_messages.rs
+++ b/crates/dunepond-consensus/src/lease_messages.rs
@@ -123,7 +123,7 @@
     pub leader: String,
     /// Random number that the leader drew when its process started.
     #[serde(rename = "run")]
-    pub leader_run: u64,
+    pub leader_run_id: u64,
     /// When the request arrived, in seconds on the leader's clock.
     #[serde(rename = "heard")]
     pub received_at: f64,
@@ -173,14 +173,14 @@
 }
 
 /// The leader that grants a lease, and when it received the request, in seconds on its clock.
-pub(crate) struct Grantor {
+pub(crate) struct GrantOrigin {
     pub leader: String,
-    pub leader_run: u64,
+    pub leader_run_id: u64,
     pub received_at: f64,
 }
 
 impl LeaseGrant {
-    pub(crate) fn new(state: &ReplicatedState, request: &LeaseRequest, grantor: Grantor) -> Self {
+    pub(crate) fn new(state: &ReplicatedState, request: &LeaseRequest, origin: GrantOrigin) -> Self {
         let active = state.active.iter().map(|(version, digest)| (version, digest));
         let open = state.open.iter().map(|open| (&open.version, &open.digest));
         let unknown = active.chain(open).filter(|(version, digest)| !request.knows(version, digest));
@@ -204,9 +204,9 @@
             completed_fills: state.completed_fills.iter().cloned().collect(),
             settlements: state.settlements.updates_after(request.known_settlements),
             quota: state.quota.allocation_for(&request.broker),
-            leader: grantor.leader,
-            leader_run: grantor.leader_run,
-            received_at: grantor.received_at,
+            leader: origin.leader,
+            leader_run_id: origin.leader_run_id,
+            received_at: origin.received_at,
         }
     }
 }
--- a/crates/dunepond-consensus/src/lib.rs
+++ b/crates/dunepond-consensus/src/lib.rs
@@ -44,7 +44,7 @@
 pub use recovery_order::{RECOVERY_CONFIRMATION, RecoveryError, RecoveryOrder};
 pub use rejection::Rejection;
 pub use replicated_state::{
-    ChangeEnd, OpenChange, PastChange, ReplicatedState, RolloutStep, SettlementLog, SettlementRecord,
+    ChangeEnd, PastChange, ProposedChange, ReplicatedState, RolloutStep, SettlementLog, SettlementRecord,
     SettlementUpdate, StateChange, VoterList,
 };
 pub use routing_rules::{RoutingRules, strictest_rules};
--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -23,7 +23,7 @@
 use crate::{Command, ConfigVersion, ConsensusConfig, Rejection, VoterSlot, codec};
 pub use settlement_log::{SettlementLog, SettlementRecord, SettlementUpdate};
 pub use state_change::StateChange;
-pub use version_change::{ChangeEnd, OpenChange, PastChange, RolloutStep};
+pub use version_change::{ChangeEnd, PastChange, ProposedChange, RolloutStep};
 pub(crate) use version_change::{ValidatedProposal, validate_proposal, with_completed_fills};
 pub use voter_list::VoterList;
 
@@ -58,7 +58,7 @@
     #[serde(rename = "done")]
     pub completed_fills: BTreeSet<(u64, String)>,
     /// The proposed version and its progress, if there is one.
-    pub open: Option<OpenChange>,
+    pub open: Option<ProposedChange>,
     /// Highest configuration version number ever proposed.
     #[serde(rename = "highest")]
     pub highest_number: u64,
--- a/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log.rs
@@ -24,13 +24,14 @@
 const OPEN_VERSION_COUNT: u64 = 8;
 
 /// An applied entry of the settlement log, and the oldest configuration version whose fills could be settled when it
-/// was applied. A broker that first closes all versions before `floor` and then applies `entry` gets the same ledger as
+/// was applied. A broker that first closes all versions before `oldest_open_version` and then applies `entry` gets the same ledger as
 /// the voters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SettlementRecord {
     /// Number of the oldest configuration version whose fills could be settled when the entry was applied; settlements
     /// of fills of earlier versions are rejected.
-    pub floor: u64,
+    #[serde(rename = "floor")]
+    pub oldest_open_version: u64,
     /// The applied change of the settlement ledger.
     pub entry: SettlementEntry,
 }
@@ -78,7 +79,7 @@
         let applied = self.ledger.apply(&entry);
         debug_assert_eq!(applied, Ok(ApplyOutcome::New));
         self.count += 1;
-        self.last.push_back(SettlementRecord { floor: self.ledger.floor(), entry });
+        self.last.push_back(SettlementRecord { oldest_open_version: self.ledger.floor(), entry });
         if self.last.len() > RETAINED_ENTRY_COUNT {
             self.last.pop_front();
         }
--- a/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/settlement_log/tests/mod.rs
@@ -56,7 +56,7 @@
     (0..first_retained - 1).for_each(|fill| earlier.apply(settle(1 + fill / FILLS_PER_VERSION, fill)));
     let mut ledger = earlier.ledger;
     for record in log.last.iter().take((count - first_retained) as usize) {
-        ledger.close_versions(record.floor);
+        ledger.close_versions(record.oldest_open_version);
         ledger.apply(&record.entry).unwrap();
     }
     ledger
@@ -74,7 +74,7 @@
                 known = update.from;
             }
             for record in update.entries {
-                ledger.close_versions(record.floor);
+                ledger.close_versions(record.oldest_open_version);
                 assert_eq!(ledger.apply(&record.entry), Ok(ApplyOutcome::New));
                 known += 1;
             }
--- a/crates/dunepond-consensus/src/replicated_state/version_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -28,7 +28,7 @@
 
 /// A version that is proposed, and neither active nor withdrawn yet, and the progress of its rollout.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct OpenChange {
+pub struct ProposedChange {
     /// The proposed version.
     pub version: Arc<ConfigVersion>,
     /// Digest of the proposed version.
@@ -87,13 +87,13 @@
 /// Validates a proposed version against the active one. Voters and lease clients both use this function.
 pub(crate) fn validate_proposal(
     active: Option<&ConfigVersion>,
-    active_proof: Option<&VerifiedMap>,
+    active_map: Option<&VerifiedMap>,
     version: &ConfigVersion,
     config: &ConsensusConfig,
 ) -> Result<ValidatedProposal, Rejection> {
     version.check_rules()?;
     let Some(map) = &version.map else {
-        return match active_proof {
+        return match active_map {
             Some(_) => Err(Rejection::MapDropped(version.number)),
             None => Ok(ValidatedProposal { proof: None, transition: None }),
         };
@@ -107,10 +107,10 @@
     }
     let unchanged = active.and_then(|version| version.map.as_ref()) == Some(map);
     if unchanged {
-        return Ok(ValidatedProposal { proof: active_proof.cloned(), transition: None });
+        return Ok(ValidatedProposal { proof: active_map.cloned(), transition: None });
     }
     let to = maps::verify(map, &[], &config.map_requirements).map_err(Rejection::InvalidMap)?;
-    let Some(from) = active_proof else {
+    let Some(from) = active_map else {
         return Ok(ValidatedProposal { proof: Some(to), transition: None });
     };
     let transition = maps::verify_transition(from, &to).map_err(Rejection::InvalidMap)?;
@@ -149,12 +149,12 @@
     }
 
     /// The change to the proposed version, if that version has the given number; otherwise an error.
-    fn open_with_number(&self, number: u64) -> Result<&OpenChange, Rejection> {
+    fn open_with_number(&self, number: u64) -> Result<&ProposedChange, Rejection> {
         self.open.as_ref().filter(|open| open.version.number == number).ok_or(Rejection::NotProposed(number))
     }
 
     /// The change to the proposed version. The caller has checked that a version is proposed.
-    fn open_mut(&mut self) -> &mut OpenChange {
+    fn open_mut(&mut self) -> &mut ProposedChange {
         self.open.as_mut().expect("the caller has checked that a change is open")
     }
 
@@ -222,7 +222,7 @@
         let number = version.number;
         self.highest_number = number;
         let required_fills = proposal.transition.iter().flat_map(MapTransition::required_fills);
-        self.open = Some(OpenChange {
+        self.open = Some(ProposedChange {
             digest: version.digest(),
             version,
             step: RolloutStep::Joint,
--- a/crates/dunepond-consensus/src/voter/housekeeping.rs
+++ b/crates/dunepond-consensus/src/voter/housekeeping.rs
@@ -5,7 +5,7 @@
 use super::Voter;
 use super::raft_node::elections_seconds;
 use crate::log_entry::LogEntry;
-use crate::{Command, ConsensusConfig, OpenChange, Rejection, RolloutStep};
+use crate::{Command, ConsensusConfig, ProposedChange, Rejection, RolloutStep};
 
 /// Number of election timeouts after which the leader writes an entry again if the previous one is not applied yet.
 const RETRY_ELECTIONS: f64 = 1.0;
@@ -71,7 +71,7 @@
     }
 
     /// The next entry about the proposed version, if one is due.
-    fn next_rollout_entry(&self, now: f64, open: &OpenChange) -> Option<LogEntry> {
+    fn next_rollout_entry(&self, now: f64, open: &ProposedChange) -> Option<LogEntry> {
         let number = open.version.number;
         let seen_at = self.observations.open_seen_at(number)?;
         match open.step {
@@ -87,7 +87,7 @@
 
     /// The entry that ends the joint step, if it is due: the first stage, the activation, or the withdrawal because fills
     /// are overdue.
-    fn next_joint_entry(&self, now: f64, open: &OpenChange, seen_at: f64) -> Option<LogEntry> {
+    fn next_joint_entry(&self, now: f64, open: &ProposedChange, seen_at: f64) -> Option<LogEntry> {
         let number = open.version.number;
         let activate = LogEntry::Command(Command::Activate { number });
         match self.state.check(&activate) {
--- a/crates/dunepond-consensus/src/voter/lease_requests.rs
+++ b/crates/dunepond-consensus/src/voter/lease_requests.rs
@@ -9,7 +9,7 @@
 
 use super::Voter;
 use super::envelope::Body;
-use crate::lease_messages::Grantor;
+use crate::lease_messages::GrantOrigin;
 use crate::{Effects, LeaseAnswer, LeaseGrant, LeaseReply, LeaseRequest};
 
 /// Largest number of waiting requests; further ones are answered with [`LeaseAnswer::NoLeader`].
@@ -221,8 +221,8 @@
     fn grant_lease(&mut self, now: f64, pending: PendingRequest) {
         let PendingRequest { request, via, received_at } = pending;
         let leader = self.config.name.clone();
-        let grantor = Grantor { leader, leader_run: self.folder.run_id, received_at };
-        let grant = LeaseGrant::new(&self.state, &request, grantor);
+        let origin = GrantOrigin { leader, leader_run_id: self.folder.run_id, received_at };
+        let grant = LeaseGrant::new(&self.state, &request, origin);
         let longest = grant.lease_seconds.max(self.state.longest_lease_seconds);
         let over_at = received_at + self.config.with_drift(longest);
         let open = self.state.open.as_ref().map(|open| open.version.number);
--- a/crates/dunepond-consensus/tests/golden/documents.rs
+++ b/crates/dunepond-consensus/tests/golden/documents.rs
@@ -93,8 +93,8 @@
     applied_ledger.apply(&allotment_entry()).unwrap();
     applied_ledger.apply(&SettlementEntry::Settle(settlement("6"))).unwrap();
     let entries = vec![
-        SettlementRecord { floor: 0, entry: allotment_entry() },
-        SettlementRecord { floor: 4, entry: settlement_entry },
+        SettlementRecord { oldest_open_version: 0, entry: allotment_entry() },
+        SettlementRecord { oldest_open_version: 4, entry: settlement_entry },
     ];
     SettlementUpdate { from: 4, count: 6, ledger: with_ledger.then(|| Box::new(applied_ledger)), entries }
 }
@@ -117,7 +117,7 @@
         settlements: SettlementUpdate::default(),
         quota: None,
         leader: text("n1"),
-        leader_run: 9,
+        leader_run_id: 9,
         received_at: 0.75,
     }
 }
--- a/crates/dunepond-consensus/tests/lease_client.rs
+++ b/crates/dunepond-consensus/tests/lease_client.rs
@@ -35,7 +35,7 @@
         settlements: SettlementUpdate::default(),
         quota: None,
         leader: String::from("n2"),
-        leader_run: 7,
+        leader_run_id: 7,
         received_at: 500.0,
     }
 }
--- a/crates/dunepond-consensus/tests/model.rs
+++ b/crates/dunepond-consensus/tests/model.rs
@@ -18,7 +18,7 @@
 /// The rules of the protocol, and the bounds of the search. Some rules can be weakened, to check that the model checker
 /// then finds a violation.
 #[derive(Clone, Copy, Debug)]
-struct Rule {
+struct ModelConfig {
     /// Weakened: a lease counts from when the broker receives the reply, instead of from when it sent the request.
     from_receipt: bool,
     /// Weakened: a leader replies without confirmation by a quorum, so that a former leader may reply, too.
@@ -101,8 +101,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Action {
-    /// Time passes. The bits are the clocks that advance by two units, as in [`Rule::clocks`]; the others advance by
-    /// one.
+    /// Time passes. The bits are the clocks that advance by two units, as in [`ModelConfig::clocks`]; the others
+    /// advance by one.
     Time(u8),
     /// A broker sends a lease request. An earlier one that is still in flight is lost.
     Request(usize),
@@ -160,8 +160,8 @@
 const LEASE_AT_LEADER: u8 = LEASE * DRIFT;
 
 impl FleetState {
-    fn restart_wait(&mut self, rule: &Rule) {
-        self.wait = LEASE_AT_LEADER + QUERY_AT_LEADER - rule.wait_reduction;
+    fn restart_wait(&mut self, config: &ModelConfig) {
+        self.wait = LEASE_AT_LEADER + QUERY_AT_LEADER - config.wait_reduction;
     }
 
     fn may_activate(&self) -> bool {
@@ -172,7 +172,7 @@
     }
 }
 
-impl Model for Rule {
+impl Model for ModelConfig {
     type State = FleetState;
     type Action = Action;
 
@@ -367,8 +367,8 @@
                 let all: Vec<u8> = versions_sent(a).into_iter().chain(versions_sent(b)).flatten().collect();
                 all.iter().all(|version| *version == all[0])
             }),
-            Property::sometimes("the last version is active", |rule: &Self, state: &FleetState| {
-                state.brokers.iter().any(|broker| broker.sole_version() == Some(rule.versions))
+            Property::sometimes("the last version is active", |config: &Self, state: &FleetState| {
+                state.brokers.iter().any(|broker| broker.sole_version() == Some(config.versions))
             }),
         ]
     }
@@ -376,9 +376,9 @@
 
 /// Explores all states up to `depth` actions. Returns the number of states, the depth reached, and the properties that do
 /// not hold, with the actions that lead to a violation.
-fn explore(rule: Rule, depth: usize) -> (usize, usize, Vec<String>) {
+fn explore(config: ModelConfig, depth: usize) -> (usize, usize, Vec<String>) {
     let threads = 2;
-    let checker = rule
+    let checker = config
         .checker()
         .threads(threads)
         .target_max_depth(depth)
@@ -401,7 +401,7 @@
 
 #[test]
 fn one_change_holds_in_every_interleaving() {
-    let (states, depth, failures) = explore(Rule { clocks: &[1, 6], ..CORRECT_RULE }, 11);
+    let (states, depth, failures) = explore(ModelConfig { clocks: &[1, 6], ..CORRECT_CONFIG }, 11);
     println!("{states} states, depth {depth}");
     assert!(failures.is_empty(), "{failures:#?}");
 }
@@ -410,30 +410,30 @@
 #[ignore = "takes minutes"]
 fn two_changes_and_stages_hold_in_every_interleaving() {
     let all_clocks = &[0, 1, 2, 3, 4, 5, 6, 7];
-    for (rule, depth) in [
-        (CORRECT_RULE, 40),
-        (Rule { clocks: all_clocks, duplicated: true, ..CORRECT_RULE }, 16),
-        (Rule { versions: 2, ..CORRECT_RULE }, 18),
-        (Rule { stage: true, ..CORRECT_RULE }, 18),
+    for (config, depth) in [
+        (CORRECT_CONFIG, 40),
+        (ModelConfig { clocks: all_clocks, duplicated: true, ..CORRECT_CONFIG }, 16),
+        (ModelConfig { versions: 2, ..CORRECT_CONFIG }, 18),
+        (ModelConfig { stage: true, ..CORRECT_CONFIG }, 18),
     ] {
-        let (states, depth, failures) = explore(rule, depth);
-        println!("{rule:?}: {states} states, depth {depth}");
+        let (states, depth, failures) = explore(config, depth);
+        println!("{config:?}: {states} states, depth {depth}");
         assert!(failures.is_empty(), "{failures:#?}");
     }
 }
 
 /// Asserts that the model checker finds a violated property under a weakened rule.
-fn assert_violation_found(rule: Rule) {
-    let (states, depth, failures) = explore(rule, 17);
-    println!("{rule:?}: {states} states, depth {depth}: {failures:?}");
+fn assert_violation_found(config: ModelConfig) {
+    let (states, depth, failures) = explore(config, 17);
+    println!("{config:?}: {states} states, depth {depth}: {failures:?}");
     assert!(
         failures.iter().any(|failure| failure.contains(':')),
-        "no violation was found under the weakened rule: {rule:?}"
+        "no violation was found under the weakened rule: {config:?}"
     );
 }
 
 /// The protocol without a weakened rule.
-const CORRECT_RULE: Rule = Rule {
+const CORRECT_CONFIG: ModelConfig = ModelConfig {
     from_receipt: false,
     without_quorum: false,
     wait_reduction: 0,
@@ -446,17 +446,17 @@
 };
 
 #[rstest]
-#[case::wait_without_queries(Rule { wait_reduction: QUERY_AT_LEADER, ..CORRECT_RULE })]
-#[case::early_activation_by_new_leader(Rule { always_ends_early: true, ..CORRECT_RULE })]
-fn weakened_rule_violates_property(#[case] rule: Rule) {
-    assert_violation_found(rule);
+#[case::wait_without_queries(ModelConfig { wait_reduction: QUERY_AT_LEADER, ..CORRECT_CONFIG })]
+#[case::early_activation_by_new_leader(ModelConfig { always_ends_early: true, ..CORRECT_CONFIG })]
+fn weakened_rule_violates_property(#[case] config: ModelConfig) {
+    assert_violation_found(config);
 }
 
 #[rstest]
-#[case::lease_from_receipt(Rule { from_receipt: true, ..CORRECT_RULE })]
-#[case::unconfirmed_replies(Rule { without_quorum: true, ..CORRECT_RULE })]
-#[case::immediate_rollback(Rule { stage: true, immediate_rollback: true, ..CORRECT_RULE })]
+#[case::lease_from_receipt(ModelConfig { from_receipt: true, ..CORRECT_CONFIG })]
+#[case::unconfirmed_replies(ModelConfig { without_quorum: true, ..CORRECT_CONFIG })]
+#[case::immediate_rollback(ModelConfig { stage: true, immediate_rollback: true, ..CORRECT_CONFIG })]
 #[ignore = "takes a minute"]
-fn weakened_rule_violates_property_in_longer_run(#[case] rule: Rule) {
-    assert_violation_found(rule);
+fn weakened_rule_violates_property_in_longer_run(#[case] config: ModelConfig) {
+    assert_violation_found(config);
 }
--- a/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
+++ b/crates/dunepond-control-plane/src/control_loop/settlements/log_entries.rs
@@ -52,7 +52,7 @@
         for logged in update.entries {
             self.settlement.applied_entries += 1;
             let balances = &mut self.traffic.balances;
-            balances.close_versions(logged.floor);
+            balances.close_versions(logged.oldest_open_version);
             match balances.apply(&logged.entry) {
                 Ok(ApplyOutcome::New) => self.on_applied(logged.entry),
                 Ok(ApplyOutcome::Duplicate) => {}
