--- a/crates/dunepond-consensus/src/lease_client/mod.rs
+++ b/crates/dunepond-consensus/src/lease_client/mod.rs
@@ -64,7 +64,7 @@
 /// A broker's client for leases: it requests them, validates the grants and keeps the resulting [`ActiveConfig`].
 pub struct LeaseClient {
     config: ConsensusConfig,
-    incarnation: u64,
+    run_id: u64,
     rng: Pcg64Mcg,
     next_id: u64,
     /// Pending requests, the oldest one first.
@@ -95,11 +95,11 @@
     /// process start.
     pub fn new(config: ConsensusConfig, persisted: Option<PersistedState>, now: f64, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let incarnation = rng.random();
+        let run_id = rng.random();
         let first = rng.random_range(0..config.voters.len().max(1));
         let snapshot = ConfigSnapshot::unleased(config.maps_enabled, config.lease_seconds);
         let mut client = Self {
-            incarnation,
+            run_id,
             next_id: 1,
             pending: Vec::new(),
             next_request_at: now,
@@ -196,7 +196,7 @@
             sent_at: now,
             known_versions: known.map(|known| (known.version.number, known.digest.clone())).collect(),
             joint_version: self.joint_version(),
-            incarnation: self.incarnation,
+            run_id: self.run_id,
             known_settlements: self.known_settlements,
             demand: self.demand.clone().map(|report| self.with_acknowledged_shrink(report)),
             forwarded: false,
@@ -256,7 +256,7 @@
     /// Why the reply was not adopted.
     pub fn handle_reply(&mut self, now: f64, _from: &str, reply: LeaseReply) -> Result<(), Rejection> {
         self.observe_clock(now);
-        let is_for_us = reply.incarnation == self.incarnation;
+        let is_for_us = reply.run_id == self.run_id;
         let position = self.pending.iter().position(|request| request.id == reply.id && is_for_us);
         let Some(position) = position else { return Err(Rejection::UnexpectedReply(reply.id)) };
         let grant = match reply.answer {
@@ -408,8 +408,8 @@
 
     /// Random number drawn at the start of this broker's process, which distinguishes it from earlier processes of the
     /// same broker.
-    pub fn incarnation(&self) -> u64 {
-        self.incarnation
+    pub fn run_id(&self) -> u64 {
+        self.run_id
     }
 
     /// Lets this client act like a later build that also implements `keys`; for tests.
--- a/crates/dunepond-consensus/src/lease_messages.rs
+++ b/crates/dunepond-consensus/src/lease_messages.rs
@@ -26,7 +26,8 @@
     #[serde(rename = "joint")]
     pub joint_version: Option<u64>,
     /// Random number that the broker drew when its process started.
-    pub incarnation: u64,
+    #[serde(rename = "incarnation")]
+    pub run_id: u64,
     /// Number of entries of the [`crate::SettlementLog`] that the broker already has.
     #[serde(rename = "debts")]
     pub known_settlements: u64,
@@ -46,8 +47,9 @@
 pub struct LeaseReply {
     /// Id of the request.
     pub id: u64,
-    /// The `incarnation` of the request.
-    pub incarnation: u64,
+    /// The `run_id` of the request.
+    #[serde(rename = "incarnation")]
+    pub run_id: u64,
     /// The `sent_at` of the request.
     #[serde(rename = "sent")]
     pub sent_at: f64,
@@ -158,7 +160,7 @@
 
 impl LeaseReply {
     pub(crate) fn to(request: &LeaseRequest, answer: LeaseAnswer) -> Self {
-        Self { id: request.id, incarnation: request.incarnation, sent_at: request.sent_at, answer }
+        Self { id: request.id, run_id: request.run_id, sent_at: request.sent_at, answer }
     }
 
     /// Encodes the reply for the transport to another broker.
--- a/crates/dunepond-consensus/src/rejection.rs
+++ b/crates/dunepond-consensus/src/rejection.rs
@@ -15,10 +15,10 @@
     #[error("this broker is not the leader; known leader: {0:?}")]
     NotLeader(Option<String>),
     /// Another version is already proposed, and neither active nor withdrawn yet; only one may be proposed at a time.
-    #[error("version {open} is already proposed, and neither active nor withdrawn yet")]
-    ChangeOpen {
+    #[error("version {number} is already proposed, and neither active nor withdrawn yet")]
+    AlreadyProposed {
         /// Number of the proposed version.
-        open: u64,
+        number: u64,
     },
     /// The version's number is not the next one; numbers are consecutive and never reused.
     #[error("the proposed version has number {given}, but the next number is {expected}")]
@@ -276,7 +276,7 @@
             Self::NotLeader(_) => {
                 "propose it at the leader; the broker does so by itself once it knows the leader"
             }
-            Self::ChangeOpen { .. } => {
+            Self::AlreadyProposed { .. } => {
                 "wait until the proposed version is active or withdrawn, or withdraw it"
             }
             Self::WrongNumber { .. } => {
--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -87,7 +87,7 @@
     unknown_parts: BTreeMap<String, ciborium::Value>,
     /// The active shard map, as verified by this voter. It is derived from the active version, and not stored.
     #[serde(skip)]
-    proof: Option<VerifiedMap>,
+    verified_map: Option<VerifiedMap>,
     /// The proposed version's verified shard map and the transition to it. They are derived from the versions, and not
     /// stored.
     #[serde(skip)]
@@ -115,7 +115,7 @@
             rebalance: PlanProgress::default(),
             required_parts: BTreeSet::new(),
             unknown_parts: BTreeMap::new(),
-            proof: None,
+            verified_map: None,
             proposal: None,
         }
     }
@@ -138,7 +138,7 @@
             }
             if let Some(map) = &version.map {
                 let proof = maps::verify(map, &[], &self.config.map_requirements).ok()?;
-                self.proof = Some(with_completed_fills(&proof, &self.completed_fills));
+                self.verified_map = Some(with_completed_fills(&proof, &self.completed_fills));
             }
         }
         if let Some(open) = &self.open {
--- a/crates/dunepond-consensus/src/replicated_state/rebalance.rs
+++ b/crates/dunepond-consensus/src/replicated_state/rebalance.rs
@@ -16,7 +16,7 @@
         RebalanceContext {
             open_version: self.open.as_ref().map(|open| open.version.number),
             highest_version: self.highest_number,
-            active_map: self.proof.as_ref(),
+            active_map: self.verified_map.as_ref(),
             max_changed_ratio: self.config.max_changed_ratio,
         }
     }
@@ -44,7 +44,7 @@
     /// step of that plan.
     pub(super) fn check_against_running_plan(&self, version: &ConfigVersion) -> Result<(), Rejection> {
         let digest = version.map.as_ref().map(|map| map.digest.as_str());
-        let active = self.proof.as_ref().map(|proof| proof.digest());
+        let active = self.verified_map.as_ref().map(|proof| proof.digest());
         let changed_map = digest.filter(|digest| active != Some(*digest));
         Ok(self.rebalance.check_version(version.number, changed_map)?)
     }
--- a/crates/dunepond-consensus/src/replicated_state/version_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -134,7 +134,7 @@
 
     /// The verified shard map of the active version, if it has one.
     pub fn map_proof(&self) -> Option<&VerifiedMap> {
-        self.proof.as_ref()
+        self.verified_map.as_ref()
     }
 
     /// The transition from the active shard map to the proposed one, with the fills that it requires and their source
@@ -160,7 +160,7 @@
 
     pub(super) fn check_proposal(&self, version: &ConfigVersion) -> Result<ValidatedProposal, Rejection> {
         if let Some(open) = &self.open {
-            return Err(Rejection::ChangeOpen { open: open.version.number });
+            return Err(Rejection::AlreadyProposed { number: open.version.number });
         }
         self.check_against_running_plan(version)?;
         let expected = self.highest_number + 1;
@@ -177,7 +177,7 @@
 
     pub(super) fn validate(&self, version: &ConfigVersion) -> Result<ValidatedProposal, Rejection> {
         let active = self.active.as_ref().map(|(version, _)| &**version);
-        validate_proposal(active, self.proof.as_ref(), version, &self.config)
+        validate_proposal(active, self.verified_map.as_ref(), version, &self.config)
     }
 
     pub(super) fn check_fill(&self, number: u64, segment: u64, holder: &str) -> Result<(), Rejection> {
@@ -249,9 +249,9 @@
         let open = self.open.take().expect("the caller has checked that a change is open");
         self.record_end(&open.version, ChangeEnd::Activated);
         let proposal = self.proposal.take().expect("an open change has a validated proposal");
-        self.proof = proposal.proof.map(|proof| with_completed_fills(&proof, &open.completed_fills));
+        self.verified_map = proposal.proof.map(|proof| with_completed_fills(&proof, &open.completed_fills));
         let fills = std::mem::take(&mut self.completed_fills).into_iter().chain(open.completed_fills);
-        if let Some(proof) = &self.proof {
+        if let Some(proof) = &self.verified_map {
             let is_in_map =
                 |id: u64, node: &str| proof.segment(id).is_some_and(|segment| proof.is_filled(segment, node));
             self.completed_fills = fills.filter(|(id, node)| is_in_map(*id, node)).collect();
--- a/crates/dunepond-consensus/src/voter/lease_requests.rs
+++ b/crates/dunepond-consensus/src/voter/lease_requests.rs
@@ -29,7 +29,7 @@
     confirmed_index: Option<u64>,
     /// When the confirmation of leadership in progress was started, on this voter's clock.
     confirming_since: f64,
-    /// The last lease of each broker process, by the broker's name and the random incarnation that the process drew
+    /// The last lease of each broker process, by the broker's name and the random run id that the process drew
     /// when it started.
     pub granted: BTreeMap<(String, u64), GrantedLease>,
     /// The last demand report of each broker, by its name.
@@ -104,7 +104,7 @@
             shrink: Acknowledged { number: 0, at: now },
             overloaded: false,
         };
-        let lease = self.granted.entry((request.broker.clone(), request.incarnation)).or_insert(first);
+        let lease = self.granted.entry((request.broker.clone(), request.run_id)).or_insert(first);
         lease.overloaded = request.overloaded;
         lease.over_at = lease.over_at.max(over_at);
         let joint = request.joint_version.filter(|joint| Some(*joint) == open);
--- a/crates/dunepond-consensus/src/voter/mod.rs
+++ b/crates/dunepond-consensus/src/voter/mod.rs
@@ -224,9 +224,9 @@
             _ => None,
         };
         if proposed.is_some()
-            && let Some(open) = self.observations.uncommitted_proposal(self.state.index)
+            && let Some(number) = self.observations.uncommitted_proposal(self.state.index)
         {
-            return Err(Rejection::ChangeOpen { open });
+            return Err(Rejection::AlreadyProposed { number });
         }
         if let Command::Propose(version) = &command {
             self.check_keys_known_by_all(version)?;
--- a/crates/dunepond-consensus/tests/errors.rs
+++ b/crates/dunepond-consensus/tests/errors.rs
@@ -16,7 +16,7 @@
     let fault = dunepond_shard_map::MapFault::NoSegments;
     let rejections = [
         NotLeader(None),
-        ChangeOpen { open: 1 },
+        AlreadyProposed { number: 1 },
         WrongNumber { given: 1, expected: 2 },
         WrongBase { given: 1, in_force: 2 },
         InvalidRule { key: "least", value: 2.0, expected: "a ratio" },
@@ -65,7 +65,7 @@
     // is the length that the list of examples must have.
     let count = |rejection: &Rejection| match rejection {
         NotLeader(_)
-        | ChangeOpen { .. }
+        | AlreadyProposed { .. }
         | WrongNumber { .. }
         | WrongBase { .. }
         | InvalidRule { .. }
@@ -162,7 +162,7 @@
         sent_at: 0.0,
         known_versions: Vec::new(),
         joint_version: None,
-        incarnation: 1,
+        run_id: 1,
         known_settlements: 0,
         demand: None,
         overloaded: false,
--- a/crates/dunepond-consensus/tests/golden/documents.rs
+++ b/crates/dunepond-consensus/tests/golden/documents.rs
@@ -52,7 +52,7 @@
         sent_at: 0.5,
         known_versions: Vec::new(),
         joint_version: None,
-        incarnation: 2,
+        run_id: 2,
         known_settlements: 0,
         demand: None,
         forwarded: false,
@@ -66,7 +66,7 @@
         sent_at: 1234.0625,
         known_versions: vec![(1, config_version(1, None).digest()), (2, full_version(2).digest())],
         joint_version: Some(2),
-        incarnation: 1 << 60,
+        run_id: 1 << 60,
         known_settlements: 70_000,
         demand: Some(demand_report()),
         forwarded: true,
@@ -151,7 +151,7 @@
 }
 
 fn reply(answer: LeaseAnswer) -> LeaseReply {
-    LeaseReply { id: 7, incarnation: 2, sent_at: 0.5, answer }
+    LeaseReply { id: 7, run_id: 2, sent_at: 0.5, answer }
 }
 
 #[test]
@@ -245,7 +245,7 @@
         .handle_reply(
             0.1,
             "n1",
-            LeaseReply { id: request.id, incarnation: request.incarnation, sent_at: request.sent_at, answer },
+            LeaseReply { id: request.id, run_id: request.run_id, sent_at: request.sent_at, answer },
         )
         .unwrap();
     let stored = golden("kept-full", &client.persisted_state().encode());
--- a/crates/dunepond-consensus/tests/lease_client.rs
+++ b/crates/dunepond-consensus/tests/lease_client.rs
@@ -54,7 +54,7 @@
     client.handle_reply(
         at,
         "n2",
-        LeaseReply { id: request.id, incarnation: request.incarnation, sent_at: request.sent_at, answer },
+        LeaseReply { id: request.id, run_id: request.run_id, sent_at: request.sent_at, answer },
     )
 }
 
@@ -116,7 +116,7 @@
         Err(Rejection::UnexpectedReply(first.id))
     );
     // A reply to an earlier or later process of the same broker, which sent a request with the same id.
-    let third = LeaseRequest { incarnation: 1, ..next_request(&mut client, 100.6) };
+    let third = LeaseRequest { run_id: 1, ..next_request(&mut client, 100.6) };
     assert_eq!(
         deliver_grant(&mut client, 100.7, &third, grant(7, Some(&second_version), None)),
         Err(Rejection::UnexpectedReply(third.id))
--- a/crates/dunepond-consensus/tests/scenarios/pauses.rs
+++ b/crates/dunepond-consensus/tests/scenarios/pauses.rs
@@ -91,7 +91,7 @@
         broker: String::from("n7"),
         known_versions: Vec::new(),
         joint_version: None,
-        incarnation: 1,
+        run_id: 1,
         known_settlements: 0,
         demand: None,
         overloaded: false,
--- a/crates/dunepond-consensus/tests/scenarios/rollout.rs
+++ b/crates/dunepond-consensus/tests/scenarios/rollout.rs
@@ -64,9 +64,9 @@
     let mut fleet = Fleet::with_map(5, 0, 21);
     fleet.propose(propose(2)).unwrap();
     // The second proposal is rejected both before and after the first one is committed.
-    assert_eq!(fleet.propose(propose(2)), Err(Rejection::ChangeOpen { open: 2 }));
+    assert_eq!(fleet.propose(propose(2)), Err(Rejection::AlreadyProposed { number: 2 }));
     fleet.run_for(0.2);
-    assert_eq!(fleet.propose(propose(3)), Err(Rejection::ChangeOpen { open: 2 }));
+    assert_eq!(fleet.propose(propose(3)), Err(Rejection::AlreadyProposed { number: 2 }));
     // If the leader proposes the second version without this check, all voters ignore the entry.
     let leader = fleet.leader().unwrap();
     fleet.propose_unchecked_at(leader, propose(3)).unwrap();
--- a/crates/dunepond-consensus/tests/storage_and_clock.rs
+++ b/crates/dunepond-consensus/tests/storage_and_clock.rs
@@ -47,7 +47,7 @@
             write_batch_to_journal(&voter, &effects, &mut journal, &mut max_journal_bytes);
             client_count += 1;
         }
-        // Each request has the name of one of a thousand brokers and a new incarnation, as if that broker had
+        // Each request has the name of one of a thousand brokers and a new run id, as if that broker had
         // restarted.
         let request = LeaseRequest {
             id: 1,
@@ -55,7 +55,7 @@
             sent_at: now,
             known_versions: Vec::new(),
             joint_version: None,
-            incarnation: client_count,
+            run_id: client_count,
             known_settlements: 0,
             demand: None,
             overloaded: false,
--- a/crates/dunepond-consensus/tests/voters.rs
+++ b/crates/dunepond-consensus/tests/voters.rs
@@ -140,7 +140,7 @@
         sent_at: 0.0,
         known_versions: Vec::new(),
         joint_version: None,
-        incarnation: 1,
+        run_id: 1,
         known_settlements: 0,
         demand: None,
         overloaded: false,
--- a/crates/dunepond-control-plane/src/control_loop/proposals.rs
+++ b/crates/dunepond-control-plane/src/control_loop/proposals.rs
@@ -72,9 +72,9 @@
         match outcome {
             Ok(()) => Self::Accepted,
             Err(Rejection::NotLeader(leader)) => Self::NotLeader(leader),
-            Err(why @ (Rejection::ChangeOpen { .. } | Rejection::NoLeader | Rejection::RollingBack(_))) => {
-                Self::RetryLater(why.to_string())
-            }
+            Err(
+                why @ (Rejection::AlreadyProposed { .. } | Rejection::NoLeader | Rejection::RollingBack(_)),
+            ) => Self::RetryLater(why.to_string()),
             Err(Rejection::Rebalance(why)) if why.is_transient() => Self::RetryLater(why.to_string()),
             Err(
                 Rejection::WrongNumber { given, expected } | Rejection::WrongVotersNumber { given, expected },
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
@@ -158,7 +158,7 @@
             Rejection::Rebalance(why) => why.is_transient() || !is_proposal,
             Rejection::NotLeader(_)
             | Rejection::Busy
-            | Rejection::ChangeOpen { .. }
+            | Rejection::AlreadyProposed { .. }
             | Rejection::NotProposed(_)
             | Rejection::RollingBack(_) => true,
             _ => false,
