--- a/crates/dunepond-consensus/src/format1.rs
+++ b/crates/dunepond-consensus/src/format1.rs
@@ -11,8 +11,8 @@
 
 use crate::log_entry::LogEntry;
 use crate::{
-    Command, ConfigVersion, ConsensusConfig, PastChange, PersistedState, ProposedChange, ReplicatedState,
-    RolloutStep, VoterSlot,
+    Command, ConfigVersion, ConsensusConfig, FolderStart, PastChange, PersistedState, ProposedChange,
+    ReplicatedState, RolloutStep,
 };
 
 /// A configuration version whose fields are encoded inline; later formats embed the packed configuration version as a
@@ -51,7 +51,7 @@
     Config(ConsensusConfig),
     StartStage { number: u64 },
     RollbackCompleted { number: u64 },
-    VoterSlot { voter: String, slot: VoterSlot },
+    VoterSlot { voter: String, slot: FolderStart },
 }
 
 #[derive(Deserialize)]
@@ -77,7 +77,7 @@
     settled_count: u64,
     settlements: VecDeque<Settlement1>,
     settlement_ids: BTreeSet<String>,
-    voter_slots: BTreeMap<String, VoterSlot>,
+    voter_slots: BTreeMap<String, FolderStart>,
 }
 
 #[derive(Deserialize)]
--- a/crates/dunepond-consensus/src/lib.rs
+++ b/crates/dunepond-consensus/src/lib.rs
@@ -49,4 +49,4 @@
 };
 pub use routing_rules::{RoutingRules, strictest_rules};
 pub use voter::Voter;
-pub use voter_change::{VoterChange, VoterInfo, VoterSlot};
+pub use voter_change::{FolderStart, VoterChange, VoterInfo};
--- a/crates/dunepond-consensus/src/log_entry.rs
+++ b/crates/dunepond-consensus/src/log_entry.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Command, ConsensusConfig, VoterSlot};
+use crate::{Command, ConsensusConfig, FolderStart};
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -25,7 +25,7 @@
     VoterSlot {
         voter: String,
         #[serde(rename = "seat")]
-        slot: VoterSlot,
+        slot: FolderStart,
     },
     /// The pending list of voters takes effect.
     #[serde(rename = "Voted")]
@@ -44,7 +44,7 @@
     pub number: u64,
     /// Name of the joining voter and the identity of its folder, if one joins.
     #[serde(rename = "joins")]
-    pub joining: Option<(String, VoterSlot)>,
+    pub joining: Option<(String, FolderStart)>,
     /// Name of the leaving voter, if one leaves, and the id of its folder, if one is recorded.
     #[serde(rename = "leaves")]
     pub leaving: Option<(String, Option<u64>)>,
--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::log_entry::LogEntry;
-use crate::{Command, ConfigVersion, ConsensusConfig, Rejection, VoterSlot, codec};
+use crate::{Command, ConfigVersion, ConsensusConfig, FolderStart, Rejection, codec};
 pub use settlement_log::{SettlementLog, SettlementRecord, SettlementUpdate};
 pub use state_change::StateChange;
 pub use version_change::{ChangeEnd, PastChange, ProposedChange, RolloutStep};
@@ -72,7 +72,7 @@
     pub voters: VoterList,
     /// Each voter's data folder and the latest committed process start on it, by the voter's name.
     #[serde(rename = "seats")]
-    pub voter_slots: BTreeMap<String, VoterSlot>,
+    pub voter_slots: BTreeMap<String, FolderStart>,
     /// Each broker's shares of fleet-wide quotas.
     #[serde(rename = "limits")]
     pub quota: QuotaLedger,
@@ -95,7 +95,7 @@
 }
 
 impl ReplicatedState {
-    pub(crate) fn new(config: ConsensusConfig, voter_slots: BTreeMap<String, VoterSlot>) -> Self {
+    pub(crate) fn new(config: ConsensusConfig, voter_slots: BTreeMap<String, FolderStart>) -> Self {
         Self {
             fleet_id: 0,
             epoch: 0,
--- a/crates/dunepond-consensus/src/voter/handshake.rs
+++ b/crates/dunepond-consensus/src/voter/handshake.rs
@@ -17,7 +17,7 @@
 use super::raft_node::{elections_seconds, raft_node};
 use super::{Participation, Voter};
 use crate::log_storage::{LogStorage, snapshot};
-use crate::{ConsensusError, ReplicatedState, VoterInfo, VoterSlot};
+use crate::{ConsensusError, FolderStart, ReplicatedState, VoterInfo};
 
 /// Largest number of folders of one voter for which the latest process start is remembered.
 const MAX_FOLDER_COUNT: usize = 16;
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct PeerFolder {
     /// Id of the folder, and the process start on it that sent the message.
-    pub slot: VoterSlot,
+    pub slot: FolderStart,
     /// Whether the folder contains no state of the fleet.
     pub empty: bool,
 }
@@ -49,13 +49,13 @@
     /// Keys of version extensions that the voter's build implements.
     pub known_keys: Vec<String>,
     /// The latest known process start on each of the voter's folders, by the folder's id.
-    latest_starts: BTreeMap<u64, VoterSlot>,
+    latest_starts: BTreeMap<u64, FolderStart>,
 }
 
 impl Voter {
     /// Name of the voter whose folder has this id, if it is known.
     pub(super) fn name_of(&self, folder_id: u64) -> Option<String> {
-        let has_id = |slot: &VoterSlot| slot.folder_id == folder_id;
+        let has_id = |slot: &FolderStart| slot.folder_id == folder_id;
         let peer = self.peers.iter().find(|(_, peer)| peer.folder.is_some_and(|folder| has_id(&folder.slot)));
         let committed = || self.state.voter_slots.iter().find(|(_, slot)| has_id(slot)).map(|(name, _)| name);
         let removed = || {
@@ -155,7 +155,7 @@
     /// Sends a hello reply to the voter `to`, whose message was sent from the folder and process start in `slot`.
     /// `seen` is a later process start on that folder, if this voter knows of one; it shows the sender that its folder
     /// was restored from a copy.
-    pub(super) fn send_hello_reply(&mut self, to: &str, slot: VoterSlot, seen: Option<VoterSlot>) {
+    pub(super) fn send_hello_reply(&mut self, to: &str, slot: FolderStart, seen: Option<FolderStart>) {
         let reply = HelloReply {
             folder_empty: !self.has_state,
             seen_slot: seen,
@@ -197,7 +197,7 @@
         true
     }
 
-    pub(super) fn handle_hello(&mut self, from: &str, slot: VoterSlot, known_keys: Vec<String>) {
+    pub(super) fn handle_hello(&mut self, from: &str, slot: FolderStart, known_keys: Vec<String>) {
         if let Some(peer) = self.peers.get_mut(from) {
             peer.known_keys = known_keys;
         }
@@ -206,7 +206,8 @@
 
     pub(super) fn handle_hello_reply(&mut self, now: f64, from: String, reply: HelloReply) {
         let own = self.slot();
-        let is_later_start = |seen: VoterSlot| seen.folder_id == own.folder_id && is_earlier_start(own, seen);
+        let is_later_start =
+            |seen: FolderStart| seen.folder_id == own.folder_id && is_earlier_start(own, seen);
         if reply.seen_slot.is_some_and(is_later_start) {
             self.discard_folder("another voter has seen a later start of this folder");
             return;
@@ -277,7 +278,7 @@
 
     /// The folders and process starts of all voters in the configuration file, by the voter's name; `None` unless all
     /// have reported an empty folder.
-    fn empty_slots(&self) -> Option<BTreeMap<String, VoterSlot>> {
+    fn empty_slots(&self) -> Option<BTreeMap<String, FolderStart>> {
         let mut slots = BTreeMap::from([(self.config.name.clone(), self.slot())]);
         for name in self.config.voters.iter().filter(|name| **name != self.config.name) {
             let peer = self.peers.get(name)?;
@@ -331,13 +332,13 @@
 
 /// Whether `slot` is an earlier process start on its folder than `seen`, or has the same start count but another run
 /// id, so that one of the two was made on a copy of the folder.
-fn is_earlier_start(slot: VoterSlot, seen: VoterSlot) -> bool {
+fn is_earlier_start(slot: FolderStart, seen: FolderStart) -> bool {
     slot.start_count < seen.start_count
         || (slot.start_count == seen.start_count && slot.run_id != seen.run_id)
 }
 
 /// The later one of two process starts on the same folder.
-fn later_start(a: Option<VoterSlot>, b: Option<VoterSlot>) -> Option<VoterSlot> {
+fn later_start(a: Option<FolderStart>, b: Option<FolderStart>) -> Option<FolderStart> {
     match (a, b) {
         (Some(a), Some(b)) => Some(if a.start_count >= b.start_count { a } else { b }),
         (a, b) => a.or(b),
--- a/crates/dunepond-consensus/src/voter/membership.rs
+++ b/crates/dunepond-consensus/src/voter/membership.rs
@@ -6,7 +6,7 @@
 
 use super::Voter;
 use crate::log_entry::{LogEntry, VoterReplacement};
-use crate::{VoterSlot, codec};
+use crate::{FolderStart, codec};
 
 impl Voter {
     /// The next log entry that changes the voters or records their folders and that the leader has to write; `None` if
@@ -19,7 +19,7 @@
 
     /// The name of a voter that runs on a new data folder or whose process was started again, with its present folder
     /// and process start; `None` if there is no such voter.
-    fn changed_slot(&self) -> Option<(String, VoterSlot)> {
+    fn changed_slot(&self) -> Option<(String, FolderStart)> {
         let own = (&self.config.name, self.slot(), false);
         let others = self.peers.iter().filter_map(|(name, peer)| {
             let folder = peer.folder.filter(|_| self.state.voters.contains(name))?;
@@ -89,7 +89,7 @@
 
     /// Writes an entry with a voter's folder and process start. A new process start on the committed folder is a normal
     /// entry; a new folder is a membership change that replaces the old folder.
-    pub(super) fn write_slot(&mut self, voter: String, slot: VoterSlot) {
+    pub(super) fn write_slot(&mut self, voter: String, slot: FolderStart) {
         let old = self.state.voter_slots.get(&voter).map(|slot| slot.folder_id);
         let entry = LogEntry::VoterSlot { voter, slot };
         if old == Some(slot.folder_id) {
--- a/crates/dunepond-consensus/src/voter/mod.rs
+++ b/crates/dunepond-consensus/src/voter/mod.rs
@@ -35,8 +35,8 @@
 use crate::log_storage::LogStorage;
 use crate::persistence::FolderIdentity;
 use crate::{
-    Command, ConfigVersion, ConsensusConfig, ConsensusError, Effects, LeaseRequest, Rejection,
-    ReplicatedState, RolloutStep, StoredVoter, VoterInfo, VoterSlot, WriteBatch, codec, decode,
+    Command, ConfigVersion, ConsensusConfig, ConsensusError, Effects, FolderStart, LeaseRequest, Rejection,
+    ReplicatedState, RolloutStep, StoredVoter, VoterInfo, WriteBatch, codec, decode,
 };
 use handshake::PeerVoter;
 use lease_requests::LeaseRequests;
@@ -355,8 +355,8 @@
     }
 
     /// This voter's data folder and the present process start on it.
-    fn slot(&self) -> VoterSlot {
-        VoterSlot {
+    fn slot(&self) -> FolderStart {
+        FolderStart {
             folder_id: self.folder.id,
             start_count: self.folder.start_count,
             run_id: self.folder.run_id,
--- a/crates/dunepond-consensus/src/voter/receive.rs
+++ b/crates/dunepond-consensus/src/voter/receive.rs
@@ -6,7 +6,7 @@
 use super::Voter;
 use super::envelope::{Body, Envelope};
 use crate::codec::Blob;
-use crate::{ConsensusError, Effects, Rejection, VoterSlot, decode};
+use crate::{ConsensusError, Effects, FolderStart, Rejection, decode};
 
 /// Largest number of unknown senders that are remembered until the next hellos.
 const MAX_UNKNOWN_SENDER_COUNT: usize = 16;
@@ -62,7 +62,7 @@
     }
 
     /// Passes a message on to the raft library.
-    fn step(&mut self, slot: VoterSlot, message: Message) {
+    fn step(&mut self, slot: FolderStart, message: Message) {
         if !self.is_active() || message.from != slot.folder_id || message.to != self.folder.id {
             return;
         }
--- a/crates/dunepond-consensus/src/voter_change.rs
+++ b/crates/dunepond-consensus/src/voter_change.rs
@@ -36,7 +36,7 @@
 /// A voter's data folder, and the latest process start on that folder which was known when this value was sent or
 /// stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VoterSlot {
+pub struct FolderStart {
     /// Id of the folder, drawn at random when the folder was empty.
     #[serde(rename = "folder")]
     pub folder_id: u64,
--- a/crates/dunepond-consensus/tests/golden/runs.rs
+++ b/crates/dunepond-consensus/tests/golden/runs.rs
@@ -28,7 +28,7 @@
     Terms(ConsensusConfig),
     Stage { number: u64 },
     Returned { number: u64 },
-    Seat { voter: String, seat: VoterSlot },
+    Seat { voter: String, seat: FolderStart },
     Voted(Voted),
     Calm { epoch: u64 },
 }
@@ -37,7 +37,7 @@
 #[derive(Serialize, Deserialize)]
 struct Voted {
     number: u64,
-    joins: Option<(String, VoterSlot)>,
+    joins: Option<(String, FolderStart)>,
     leaves: Option<(String, Option<u64>)>,
 }
 
