--- a/crates/dunepond-consensus/src/format1.rs
+++ b/crates/dunepond-consensus/src/format1.rs
@@ -132,7 +132,7 @@
     state.completed_fills = old.completed_fills;
     state.highest_number = old.highest_number;
     state.history = old.history;
-    state.open = old.open.map(open_change);
+    state.proposed = old.open.map(open_change);
     let ids_complete = old.settlement_ids.len() as u64 <= old.settled_count;
     for entry in old.settlements.into_iter().filter(|_| ids_complete).map(settlement) {
         if state.settlements.check(&entry).is_ok() {
--- a/crates/dunepond-consensus/src/lease_messages.rs
+++ b/crates/dunepond-consensus/src/lease_messages.rs
@@ -184,7 +184,7 @@
 impl LeaseGrant {
     pub(crate) fn new(state: &ReplicatedState, request: &LeaseRequest, origin: GrantOrigin) -> Self {
         let active = state.active.iter().map(|(version, digest)| (version, digest));
-        let open = state.open.iter().map(|open| (&open.version, &open.digest));
+        let open = state.proposed.iter().map(|open| (&open.version, &open.digest));
         let unknown = active.chain(open).filter(|(version, digest)| !request.knows(version, digest));
         Self {
             lease_seconds: state.config.lease_seconds,
@@ -193,7 +193,7 @@
             epoch: state.epoch,
             index: state.index,
             active: state.active.as_ref().map(|(version, digest)| (version.number, digest.clone())),
-            proposed: state.open.as_ref().map(|open| ProposedVersion {
+            proposed: state.proposed.as_ref().map(|open| ProposedVersion {
                 number: open.version.number,
                 digest: open.digest.clone(),
                 step: open.step,
--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -58,7 +58,8 @@
     #[serde(rename = "done")]
     pub completed_fills: BTreeSet<(u64, String)>,
     /// The proposed version and its progress, if there is one.
-    pub open: Option<ProposedChange>,
+    #[serde(rename = "open")]
+    pub proposed: Option<ProposedChange>,
     /// Highest configuration version number ever proposed.
     #[serde(rename = "highest")]
     pub highest_number: u64,
@@ -106,7 +107,7 @@
             config,
             active: None,
             completed_fills: BTreeSet::new(),
-            open: None,
+            proposed: None,
             highest_number: 0,
             history: VecDeque::new(),
             settlements: SettlementLog::default(),
@@ -141,7 +142,7 @@
                 self.verified_map = Some(with_completed_fills(&proof, &self.completed_fills));
             }
         }
-        if let Some(open) = &self.open {
+        if let Some(open) = &self.proposed {
             self.proposal = Some(self.validate(&open.version).ok()?);
         }
         Some(self)
@@ -161,7 +162,7 @@
             LogEntry::Command(command) => self.check_command(command),
             LogEntry::StartStage { number } => self.check_rollout(*number),
             LogEntry::RollbackCompleted { number } => self.check_rollback_completed(*number),
-            LogEntry::Config(_) => match &self.open {
+            LogEntry::Config(_) => match &self.proposed {
                 Some(open) => Err(Rejection::ConfigWhileOpen(open.version.number)),
                 None => Ok(()),
             },
--- a/crates/dunepond-consensus/src/replicated_state/version_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -145,21 +145,24 @@
 
     /// Number of fills that the proposed version requires and that are not complete; 0 if no version is proposed.
     pub fn missing_fills(&self) -> usize {
-        self.open.as_ref().map_or(0, |open| open.required_fills.difference(&open.completed_fills).count())
+        self.proposed.as_ref().map_or(0, |open| open.required_fills.difference(&open.completed_fills).count())
     }
 
     /// The change to the proposed version, if that version has the given number; otherwise an error.
     fn open_with_number(&self, number: u64) -> Result<&ProposedChange, Rejection> {
-        self.open.as_ref().filter(|open| open.version.number == number).ok_or(Rejection::NotProposed(number))
+        self.proposed
+            .as_ref()
+            .filter(|open| open.version.number == number)
+            .ok_or(Rejection::NotProposed(number))
     }
 
     /// The change to the proposed version. The caller has checked that a version is proposed.
     fn open_mut(&mut self) -> &mut ProposedChange {
-        self.open.as_mut().expect("the caller has checked that a change is open")
+        self.proposed.as_mut().expect("the caller has checked that a change is open")
     }
 
     pub(super) fn check_proposal(&self, version: &ConfigVersion) -> Result<ValidatedProposal, Rejection> {
-        if let Some(open) = &self.open {
+        if let Some(open) = &self.proposed {
             return Err(Rejection::AlreadyProposed { number: open.version.number });
         }
         self.check_against_running_plan(version)?;
@@ -222,7 +225,7 @@
         let number = version.number;
         self.highest_number = number;
         let required_fills = proposal.transition.iter().flat_map(MapTransition::required_fills);
-        self.open = Some(ProposedChange {
+        self.proposed = Some(ProposedChange {
             digest: version.digest(),
             version,
             step: RolloutStep::Joint,
@@ -246,7 +249,7 @@
     }
 
     pub(super) fn activate(&mut self, number: u64) -> StateChange {
-        let open = self.open.take().expect("the caller has checked that a change is open");
+        let open = self.proposed.take().expect("the caller has checked that a change is open");
         self.record_end(&open.version, ChangeEnd::Activated);
         let proposal = self.proposal.take().expect("an open change has a validated proposal");
         self.verified_map = proposal.proof.map(|proof| with_completed_fills(&proof, &open.completed_fills));
@@ -279,7 +282,7 @@
     }
 
     fn withdraw(&mut self, number: u64, reason: String) -> StateChange {
-        let open = self.open.take().expect("the caller has checked that a change is open");
+        let open = self.proposed.take().expect("the caller has checked that a change is open");
         self.proposal = None;
         self.rebalance.on_version_ended(number, VersionEnd::Withdrawn(&reason));
         self.record_end(&open.version, ChangeEnd::Withdrawn(reason));
--- a/crates/dunepond-consensus/src/voter/housekeeping.rs
+++ b/crates/dunepond-consensus/src/voter/housekeeping.rs
@@ -55,7 +55,7 @@
             let over_at = self.suspended_since? + self.state.quiescence_seconds(&self.config);
             return (now >= over_at).then_some(LogEntry::ResumeLeases { epoch: self.state.epoch });
         }
-        match &self.state.open {
+        match &self.state.proposed {
             Some(open) => self.next_rollout_entry(now, open),
             None => self.changed_config().map(LogEntry::Config),
         }
--- a/crates/dunepond-consensus/src/voter/lease_requests.rs
+++ b/crates/dunepond-consensus/src/voter/lease_requests.rs
@@ -225,7 +225,7 @@
         let grant = LeaseGrant::new(&self.state, &request, origin);
         let longest = grant.lease_seconds.max(self.state.longest_lease_seconds);
         let over_at = received_at + self.config.with_drift(longest);
-        let open = self.state.open.as_ref().map(|open| open.version.number);
+        let open = self.state.proposed.as_ref().map(|open| open.version.number);
         self.lease_requests.record_lease(now, &request, over_at, open);
         self.reply(via, &request, LeaseAnswer::Granted(Box::new(grant)));
     }
--- a/crates/dunepond-consensus/src/voter/mod.rs
+++ b/crates/dunepond-consensus/src/voter/mod.rs
@@ -248,7 +248,7 @@
             Command::Activate { number } => {
                 // An operator may end the first stage. If the version is not in that stage, only the leader knows when
                 // all brokers act on the joint configuration.
-                let open = self.state.open.as_ref();
+                let open = self.state.proposed.as_ref();
                 let staged = open.is_some_and(|open| matches!(open.step, RolloutStep::Staged(_)));
                 if staged { Ok(()) } else { Err(Rejection::LeaderOnly(*number)) }
             }
--- a/crates/dunepond-consensus/src/voter/observations.rs
+++ b/crates/dunepond-consensus/src/voter/observations.rs
@@ -75,7 +75,7 @@
     pub fn restart(&mut self, now: f64, state: &ReplicatedState) {
         let leadership = self.leadership.map(|leadership| Leadership { since: now, ..leadership });
         *self = Self { leadership, proposal: self.proposal, ..Self::new(now) };
-        if let Some(open) = &state.open {
+        if let Some(open) = &state.proposed {
             self.open = Some(SeenChange { number: open.version.number, seen_at: now });
             self.rollback_seen_at = (open.step == RolloutStep::RollingBack).then_some(now);
         }
--- a/crates/dunepond-consensus/tests/seeds.rs
+++ b/crates/dunepond-consensus/tests/seeds.rs
@@ -158,10 +158,10 @@
     fleet.run_for(10.0);
     let leader = fleet.leader().expect("a fleet without faults keeps its leader");
     let number = fleet.state(leader).highest_number;
-    if fleet.state(leader).open.is_some() {
+    if fleet.state(leader).proposed.is_some() {
         fleet.propose(Command::Withdraw { number, why: String::from("by hand") }).unwrap();
         assert!(
-            fleet.run_until(10.0, |fleet| fleet.state(leader).open.is_none()),
+            fleet.run_until(10.0, |fleet| fleet.state(leader).proposed.is_none()),
             "the proposed version is not withdrawn"
         );
     }
--- a/crates/dunepond-consensus/tests/storage_and_clock.rs
+++ b/crates/dunepond-consensus/tests/storage_and_clock.rs
@@ -38,7 +38,7 @@
         let effects = voter.tick(now);
         write_batch_to_journal(&voter, &effects, &mut journal, &mut max_journal_bytes);
         let number = voter.state().active_number();
-        if voter.is_leader() && voter.state().open.is_none() {
+        if voter.is_leader() && voter.state().proposed.is_none() {
             if [1_000, 10_000].contains(&number) {
                 sizes.push((voter.checkpoint().encode().len(), std::mem::take(&mut max_journal_bytes)));
             }
--- a/crates/dunepond-control-plane/src/control_loop/fills/demands.rs
+++ b/crates/dunepond-control-plane/src/control_loop/fills/demands.rs
@@ -14,7 +14,7 @@
             return None;
         }
         let state = self.voter.as_ref().map(Voter::state)?;
-        let (proposed, transition) = (state.open.as_ref()?, state.map_transition()?);
+        let (proposed, transition) = (state.proposed.as_ref()?, state.map_transition()?);
         let number = proposed.version.number;
         if self.version_fills.version != number {
             self.version_fills.abandon_all();
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -196,7 +196,7 @@
     if let Some(running) = &state.rebalance().running {
         return Err(RebalanceError::OtherPlanRunning { running: running.plan.id.clone() }.into());
     }
-    if let Some(open) = &state.open {
+    if let Some(open) = &state.proposed {
         return Err(RebalanceError::VersionOpen { open: open.version.number }.into());
     }
     let limits =
--- a/crates/dunepond-control-plane/src/explain/changes.rs
+++ b/crates/dunepond-control-plane/src/explain/changes.rs
@@ -41,7 +41,7 @@
 
     fn for_proposed(index: u64, number: u64, state: &ReplicatedState) -> Option<Self> {
         let config = &state.config;
-        let Some(open) = state.open.as_ref().filter(|open| open.version.number == number) else {
+        let Some(open) = state.proposed.as_ref().filter(|open| open.version.number == number) else {
             // Later entries, which were applied together with the proposal, have already activated or withdrawn the
             // version.
             let ended = state.history.iter().rev().find(|ended| ended.number == number)?;
@@ -66,7 +66,7 @@
     }
 
     fn for_staged(index: u64, number: u64, state: &ReplicatedState) -> Option<Self> {
-        let open = state.open.as_ref()?;
+        let open = state.proposed.as_ref()?;
         let RolloutStep::Staged(share) = open.step else { return None };
         let what = format!("{number} is staged at {share} of the brokers first, entry {index}");
         let limit = "the other brokers stay joint until it is confirmed or withdrawn";
@@ -75,7 +75,7 @@
     }
 
     fn for_rollback(index: u64, number: u64, state: &ReplicatedState) -> Option<Self> {
-        let open = state.open.as_ref()?;
+        let open = state.proposed.as_ref()?;
         let what = format!("{number} is rolled back, entry {index}");
         let limit = format!("all brokers stay joint for {:.2} s", state.quiescence_seconds(&state.config));
         let alternatives = format!("because: {}", shortened(open.withdraw_reason.as_deref().unwrap_or("")));
--- a/crates/dunepond-control-plane/src/explain/mod.rs
+++ b/crates/dunepond-control-plane/src/explain/mod.rs
@@ -115,7 +115,7 @@
 
     /// Explains why a command was refused, or why an entry of the log is ignored by all brokers.
     pub fn for_refusal(entry: &ProposedEntry, why: &Rejection, state: &ReplicatedState) -> Self {
-        let open = state.open.as_ref().map_or(0, |open| open.version.number);
+        let open = state.proposed.as_ref().map_or(0, |open| open.version.number);
         let alternatives =
             format!("in force {}, proposed {open}, next {}", state.active_number(), state.highest_number + 1);
         Self::new(Subject::Refused, &entry.what, &entry.authority, &why.to_string(), &alternatives)
--- a/crates/dunepond-simulation/src/scenario/fill_simulation.rs
+++ b/crates/dunepond-simulation/src/scenario/fill_simulation.rs
@@ -272,7 +272,7 @@
     /// The open version, as known to `leader`; `None` if there is none or it does not change the shard map.
     fn of(fleet: &Fleet, topology: &Topology, leader: usize) -> Option<Self> {
         let state = fleet.state(leader);
-        let open = state.open.as_ref()?;
+        let open = state.proposed.as_ref()?;
         let transition = state.map_transition()?;
         let number = open.version.number;
         let mut demands = Vec::new();
--- a/crates/dunepond-simulation/src/scenario/mod.rs
+++ b/crates/dunepond-simulation/src/scenario/mod.rs
@@ -185,7 +185,7 @@
     /// version is open.
     fn end_open_version(&mut self) {
         let end = self.fleet.now + MAX_RECOVERY_SECONDS;
-        while self.fleet.leader().is_none_or(|leader| self.fleet.state(leader).open.is_some()) {
+        while self.fleet.leader().is_none_or(|leader| self.fleet.state(leader).proposed.is_some()) {
             assert!(self.fleet.now < end, "{:.2}: the open version does not end", self.fleet.now);
             self.end_stage(false);
             self.run_for(END_STAGE_INTERVAL_SECONDS);
--- a/crates/dunepond-simulation/tests/memory_growth.rs
+++ b/crates/dunepond-simulation/tests/memory_growth.rs
@@ -98,7 +98,7 @@
         if number * replacements / versions != (number - 1) * replacements / versions {
             fleet.replace(VOTER_COUNT + number as usize % OTHER_COUNT, &format!("b{number}"));
         }
-        let has_ended = |fleet: &Fleet| fleet.leader().is_some_and(|n| fleet.state(n).open.is_none());
+        let has_ended = |fleet: &Fleet| fleet.leader().is_some_and(|n| fleet.state(n).proposed.is_none());
         assert!(fleet.run_until(20.0, has_ended), "{:.1}: version {number} is still open", fleet.now);
         let leader = fleet.leader().expect("a fleet with a leader");
         assert_eq!(fleet.state(leader).active_number(), number, "version {number} is not active");
