--- a/crates/dunepond-consensus/src/format1.rs
+++ b/crates/dunepond-consensus/src/format1.rs
@@ -55,7 +55,7 @@
 }
 
 #[derive(Deserialize)]
-struct OpenChange1 {
+struct ProposedChange1 {
     version: Version1,
     digest: String,
     step: RolloutStep,
@@ -71,7 +71,7 @@
     longest_lease_seconds: f64,
     active: Option<(Version1, String)>,
     completed_fills: BTreeSet<(u64, String)>,
-    open: Option<OpenChange1>,
+    proposed: Option<ProposedChange1>,
     highest_number: u64,
     history: VecDeque<PastChange>,
     settled_count: u64,
@@ -132,7 +132,7 @@
     state.completed_fills = old.completed_fills;
     state.highest_number = old.highest_number;
     state.history = old.history;
-    state.proposed = old.open.map(open_change);
+    state.proposed = old.proposed.map(proposed_change);
     let ids_complete = old.settlement_ids.len() as u64 <= old.settled_count;
     for entry in old.settlements.into_iter().filter(|_| ids_complete).map(settlement) {
         if state.settlements.check(&entry).is_ok() {
@@ -142,7 +142,7 @@
     Some(state)
 }
 
-fn open_change(old: OpenChange1) -> ProposedChange {
+fn proposed_change(old: ProposedChange1) -> ProposedChange {
     ProposedChange {
         version: Arc::new(old.version.0),
         digest: old.digest,
--- a/crates/dunepond-consensus/src/lease_messages.rs
+++ b/crates/dunepond-consensus/src/lease_messages.rs
@@ -184,8 +184,8 @@
 impl LeaseGrant {
     pub(crate) fn new(state: &ReplicatedState, request: &LeaseRequest, origin: GrantOrigin) -> Self {
         let active = state.active.iter().map(|(version, digest)| (version, digest));
-        let open = state.proposed.iter().map(|open| (&open.version, &open.digest));
-        let unknown = active.chain(open).filter(|(version, digest)| !request.knows(version, digest));
+        let proposed = state.proposed.iter().map(|proposed| (&proposed.version, &proposed.digest));
+        let unknown = active.chain(proposed).filter(|(version, digest)| !request.knows(version, digest));
         Self {
             lease_seconds: state.config.lease_seconds,
             required_parts: Vec::new(),
@@ -193,10 +193,10 @@
             epoch: state.epoch,
             index: state.index,
             active: state.active.as_ref().map(|(version, digest)| (version.number, digest.clone())),
-            proposed: state.proposed.as_ref().map(|open| ProposedVersion {
-                number: open.version.number,
-                digest: open.digest.clone(),
-                step: open.step,
+            proposed: state.proposed.as_ref().map(|proposed| ProposedVersion {
+                number: proposed.version.number,
+                digest: proposed.digest.clone(),
+                step: proposed.step,
             }),
             highest_number: state.highest_number,
             maps_enabled: state.config.maps_enabled,
--- a/crates/dunepond-consensus/src/rejection.rs
+++ b/crates/dunepond-consensus/src/rejection.rs
@@ -126,7 +126,7 @@
     Busy,
     /// The consensus configuration cannot change while a version is proposed.
     #[error("the consensus configuration cannot change while version {0} is proposed")]
-    ConfigWhileOpen(u64),
+    ConfigWhileProposed(u64),
     /// The list of voters is empty.
     #[error("the list of voters is empty")]
     NoVoters,
@@ -316,7 +316,7 @@
             Self::Quota(error) => error.help(),
             Self::Rebalance(error) => error.help(),
             Self::Busy => "wait; if it persists, check that a majority of the voters is up and connected",
-            Self::ConfigWhileOpen(_) => {
+            Self::ConfigWhileProposed(_) => {
                 "nothing to do: the leader proposes it again once the version is active or withdrawn"
             }
             Self::NoVoters
--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -142,8 +142,8 @@
                 self.verified_map = Some(with_completed_fills(&proof, &self.completed_fills));
             }
         }
-        if let Some(open) = &self.proposed {
-            self.proposal = Some(self.validate(&open.version).ok()?);
+        if let Some(proposed) = &self.proposed {
+            self.proposal = Some(self.validate(&proposed.version).ok()?);
         }
         Some(self)
     }
@@ -163,7 +163,7 @@
             LogEntry::StartStage { number } => self.check_rollout(*number),
             LogEntry::RollbackCompleted { number } => self.check_rollback_completed(*number),
             LogEntry::Config(_) => match &self.proposed {
-                Some(open) => Err(Rejection::ConfigWhileOpen(open.version.number)),
+                Some(proposed) => Err(Rejection::ConfigWhileProposed(proposed.version.number)),
                 None => Ok(()),
             },
             LogEntry::VoterSlot { voter, .. } if !self.voters.contains(voter) => {
@@ -194,7 +194,7 @@
         self.index = index;
         if let LogEntry::Command(Command::Propose(version)) = entry {
             let proposal = self.check_proposal(&version)?;
-            return Ok(self.open_change(Arc::new(*version), proposal));
+            return Ok(self.propose(Arc::new(*version), proposal));
         }
         self.check(&entry)?;
         match entry {
--- a/crates/dunepond-consensus/src/replicated_state/rebalance.rs
+++ b/crates/dunepond-consensus/src/replicated_state/rebalance.rs
@@ -14,7 +14,7 @@
     /// The part of the state against which entries of rebalancing plans are checked.
     pub fn rebalance_context(&self) -> RebalanceContext<'_> {
         RebalanceContext {
-            open_version: self.proposed.as_ref().map(|open| open.version.number),
+            open_version: self.proposed.as_ref().map(|proposed| proposed.version.number),
             highest_version: self.highest_number,
             active_map: self.verified_map.as_ref(),
             max_changed_ratio: self.config.max_changed_ratio,
--- a/crates/dunepond-consensus/src/replicated_state/version_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -145,25 +145,27 @@
 
     /// Number of fills that the proposed version requires and that are not complete; 0 if no version is proposed.
     pub fn missing_fills(&self) -> usize {
-        self.proposed.as_ref().map_or(0, |open| open.required_fills.difference(&open.completed_fills).count())
+        self.proposed
+            .as_ref()
+            .map_or(0, |proposed| proposed.required_fills.difference(&proposed.completed_fills).count())
     }
 
     /// The change to the proposed version, if that version has the given number; otherwise an error.
-    fn open_with_number(&self, number: u64) -> Result<&ProposedChange, Rejection> {
+    fn proposed_with_number(&self, number: u64) -> Result<&ProposedChange, Rejection> {
         self.proposed
             .as_ref()
-            .filter(|open| open.version.number == number)
+            .filter(|proposed| proposed.version.number == number)
             .ok_or(Rejection::NotProposed(number))
     }
 
     /// The change to the proposed version. The caller has checked that a version is proposed.
-    fn open_mut(&mut self) -> &mut ProposedChange {
+    fn proposed_mut(&mut self) -> &mut ProposedChange {
         self.proposed.as_mut().expect("the caller has checked that a change is open")
     }
 
     pub(super) fn check_proposal(&self, version: &ConfigVersion) -> Result<ValidatedProposal, Rejection> {
-        if let Some(open) = &self.proposed {
-            return Err(Rejection::AlreadyProposed { number: open.version.number });
+        if let Some(proposed) = &self.proposed {
+            return Err(Rejection::AlreadyProposed { number: proposed.version.number });
         }
         self.check_against_running_plan(version)?;
         let expected = self.highest_number + 1;
@@ -184,9 +186,9 @@
     }
 
     pub(super) fn check_fill(&self, number: u64, segment: u64, holder: &str) -> Result<(), Rejection> {
-        let open = self.open_with_number(number)?;
+        let proposed = self.proposed_with_number(number)?;
         let fill = (segment, holder.to_string());
-        if open.required_fills.contains(&fill) && !open.completed_fills.contains(&fill) {
+        if proposed.required_fills.contains(&fill) && !proposed.completed_fills.contains(&fill) {
             return Ok(());
         }
         Err(Rejection::FillNotNeeded { number, segment, holder: fill.1 })
@@ -194,7 +196,7 @@
 
     /// Checks whether the version may enter its first stage or be activated.
     pub(super) fn check_rollout(&self, number: u64) -> Result<(), Rejection> {
-        if self.open_with_number(number)?.step == RolloutStep::RollingBack {
+        if self.proposed_with_number(number)?.step == RolloutStep::RollingBack {
             return Err(Rejection::RollingBack(number));
         }
         match self.missing_fills() {
@@ -204,20 +206,20 @@
     }
 
     pub(super) fn check_withdraw(&self, number: u64) -> Result<(), Rejection> {
-        match self.open_with_number(number)?.step {
+        match self.proposed_with_number(number)?.step {
             RolloutStep::RollingBack => Err(Rejection::RollingBack(number)),
             RolloutStep::Joint | RolloutStep::Staged(_) => Ok(()),
         }
     }
 
     pub(super) fn check_rollback_completed(&self, number: u64) -> Result<(), Rejection> {
-        match self.open_with_number(number)?.step {
+        match self.proposed_with_number(number)?.step {
             RolloutStep::RollingBack => Ok(()),
             RolloutStep::Joint | RolloutStep::Staged(_) => Err(Rejection::NotProposed(number)),
         }
     }
 
-    pub(super) fn open_change(
+    pub(super) fn propose(
         &mut self,
         version: Arc<ConfigVersion>,
         proposal: ValidatedProposal,
@@ -238,28 +240,29 @@
     }
 
     pub(super) fn complete_fill(&mut self, number: u64, segment: u64, holder: String) -> StateChange {
-        self.open_mut().completed_fills.insert((segment, holder.clone()));
+        self.proposed_mut().completed_fills.insert((segment, holder.clone()));
         StateChange::FillCompleted { number, segment, holder }
     }
 
     pub(super) fn start_stage(&mut self, number: u64) -> StateChange {
-        let open = self.open_mut();
-        open.step = RolloutStep::Staged(open.version.first_stage_ratio.unwrap_or(1.0));
+        let proposed = self.proposed_mut();
+        proposed.step = RolloutStep::Staged(proposed.version.first_stage_ratio.unwrap_or(1.0));
         StateChange::Staged(number)
     }
 
     pub(super) fn activate(&mut self, number: u64) -> StateChange {
-        let open = self.proposed.take().expect("the caller has checked that a change is open");
-        self.record_end(&open.version, ChangeEnd::Activated);
+        let proposed = self.proposed.take().expect("the caller has checked that a change is open");
+        self.record_end(&proposed.version, ChangeEnd::Activated);
         let proposal = self.proposal.take().expect("an open change has a validated proposal");
-        self.verified_map = proposal.proof.map(|proof| with_completed_fills(&proof, &open.completed_fills));
-        let fills = std::mem::take(&mut self.completed_fills).into_iter().chain(open.completed_fills);
+        self.verified_map =
+            proposal.proof.map(|proof| with_completed_fills(&proof, &proposed.completed_fills));
+        let fills = std::mem::take(&mut self.completed_fills).into_iter().chain(proposed.completed_fills);
         if let Some(proof) = &self.verified_map {
             let is_in_map =
                 |id: u64, node: &str| proof.segment(id).is_some_and(|segment| proof.is_filled(segment, node));
             self.completed_fills = fills.filter(|(id, node)| is_in_map(*id, node)).collect();
         }
-        self.active = Some((open.version, open.digest));
+        self.active = Some((proposed.version, proposed.digest));
         self.settlements.close_old_versions(number);
         self.rebalance.on_version_ended(number, VersionEnd::Activated);
         StateChange::Activated(number)
@@ -267,25 +270,25 @@
 
     /// Withdraws the version, or begins its rollback if some brokers may already act only on it.
     pub(super) fn withdraw_or_roll_back(&mut self, number: u64, reason: String) -> StateChange {
-        let open = self.open_mut();
-        if matches!(open.step, RolloutStep::Staged(_)) {
-            open.step = RolloutStep::RollingBack;
-            open.withdraw_reason = Some(reason);
+        let proposed = self.proposed_mut();
+        if matches!(proposed.step, RolloutStep::Staged(_)) {
+            proposed.step = RolloutStep::RollingBack;
+            proposed.withdraw_reason = Some(reason);
             return StateChange::RollingBack(number);
         }
         self.withdraw(number, reason)
     }
 
     pub(super) fn complete_rollback(&mut self, number: u64) -> StateChange {
-        let reason = self.open_mut().withdraw_reason.take().unwrap_or_default();
+        let reason = self.proposed_mut().withdraw_reason.take().unwrap_or_default();
         self.withdraw(number, reason)
     }
 
     fn withdraw(&mut self, number: u64, reason: String) -> StateChange {
-        let open = self.proposed.take().expect("the caller has checked that a change is open");
+        let proposed = self.proposed.take().expect("the caller has checked that a change is open");
         self.proposal = None;
         self.rebalance.on_version_ended(number, VersionEnd::Withdrawn(&reason));
-        self.record_end(&open.version, ChangeEnd::Withdrawn(reason));
+        self.record_end(&proposed.version, ChangeEnd::Withdrawn(reason));
         StateChange::Withdrawn(number)
     }
 
--- a/crates/dunepond-consensus/src/voter/housekeeping.rs
+++ b/crates/dunepond-consensus/src/voter/housekeeping.rs
@@ -56,7 +56,7 @@
             return (now >= over_at).then_some(LogEntry::ResumeLeases { epoch: self.state.epoch });
         }
         match &self.state.proposed {
-            Some(open) => self.next_rollout_entry(now, open),
+            Some(proposed) => self.next_rollout_entry(now, proposed),
             None => self.changed_config().map(LogEntry::Config),
         }
     }
@@ -71,27 +71,28 @@
     }
 
     /// The next entry about the proposed version, if one is due.
-    fn next_rollout_entry(&self, now: f64, open: &ProposedChange) -> Option<LogEntry> {
-        let number = open.version.number;
-        let seen_at = self.observations.open_seen_at(number)?;
-        match open.step {
+    fn next_rollout_entry(&self, now: f64, proposed: &ProposedChange) -> Option<LogEntry> {
+        let number = proposed.version.number;
+        let seen_at = self.observations.proposed_seen_at(number)?;
+        match proposed.step {
             RolloutStep::Staged(_) => None,
             RolloutStep::RollingBack => {
                 let over_at =
                     self.observations.rollback_seen_at()? + self.state.quiescence_seconds(&self.config);
                 (now >= over_at).then_some(LogEntry::RollbackCompleted { number })
             }
-            RolloutStep::Joint => self.next_joint_entry(now, open, seen_at),
+            RolloutStep::Joint => self.next_joint_entry(now, proposed, seen_at),
         }
     }
 
     /// The entry that ends the joint step, if it is due: the first stage, the activation, or the withdrawal because fills
     /// are overdue.
-    fn next_joint_entry(&self, now: f64, open: &ProposedChange, seen_at: f64) -> Option<LogEntry> {
-        let number = open.version.number;
+    fn next_joint_entry(&self, now: f64, proposed: &ProposedChange, seen_at: f64) -> Option<LogEntry> {
+        let number = proposed.version.number;
         let activate = LogEntry::Command(Command::Activate { number });
         match self.state.check(&activate) {
-            Ok(()) if now >= self.all_joint_from(seen_at, number) => match open.version.first_stage_ratio {
+            Ok(()) if now >= self.all_joint_from(seen_at, number) => match proposed.version.first_stage_ratio
+            {
                 Some(_) => Some(LogEntry::StartStage { number }),
                 None => Some(activate),
             },
--- a/crates/dunepond-consensus/src/voter/lease_requests.rs
+++ b/crates/dunepond-consensus/src/voter/lease_requests.rs
@@ -95,9 +95,9 @@
         self.granted.iter().map(|((broker, _), lease)| (broker.as_str(), lease.overloaded))
     }
 
-    /// Records a lease that is granted at `now` and ends at `over_at` at the latest. `open` is the number of the
-    /// proposed version, if there is one.
-    fn record_lease(&mut self, now: f64, request: &LeaseRequest, over_at: f64, open: Option<u64>) {
+    /// Records a lease that is granted at `now` and ends at `over_at` at the latest. `proposed_number` is the
+    /// number of the proposed version, if there is one.
+    fn record_lease(&mut self, now: f64, request: &LeaseRequest, over_at: f64, proposed_number: Option<u64>) {
         let first = GrantedLease {
             over_at,
             joint: None,
@@ -107,7 +107,7 @@
         let lease = self.granted.entry((request.broker.clone(), request.run_id)).or_insert(first);
         lease.overloaded = request.overloaded;
         lease.over_at = lease.over_at.max(over_at);
-        let joint = request.joint_version.filter(|joint| Some(*joint) == open);
+        let joint = request.joint_version.filter(|joint| Some(*joint) == proposed_number);
         if joint != lease.joint.map(|acknowledged| acknowledged.number) {
             lease.joint = joint.map(|number| Acknowledged { number, at: now });
         }
@@ -225,8 +225,8 @@
         let grant = LeaseGrant::new(&self.state, &request, origin);
         let longest = grant.lease_seconds.max(self.state.longest_lease_seconds);
         let over_at = received_at + self.config.with_drift(longest);
-        let open = self.state.proposed.as_ref().map(|open| open.version.number);
-        self.lease_requests.record_lease(now, &request, over_at, open);
+        let proposed_number = self.state.proposed.as_ref().map(|proposed| proposed.version.number);
+        self.lease_requests.record_lease(now, &request, over_at, proposed_number);
         self.reply(via, &request, LeaseAnswer::Granted(Box::new(grant)));
     }
 }
--- a/crates/dunepond-consensus/src/voter/mod.rs
+++ b/crates/dunepond-consensus/src/voter/mod.rs
@@ -248,8 +248,8 @@
             Command::Activate { number } => {
                 // An operator may end the first stage. If the version is not in that stage, only the leader knows when
                 // all brokers act on the joint configuration.
-                let open = self.state.proposed.as_ref();
-                let staged = open.is_some_and(|open| matches!(open.step, RolloutStep::Staged(_)));
+                let proposed = self.state.proposed.as_ref();
+                let staged = proposed.is_some_and(|proposed| matches!(proposed.step, RolloutStep::Staged(_)));
                 if staged { Ok(()) } else { Err(Rejection::LeaderOnly(*number)) }
             }
             Command::Quota(dunepond_quota::QuotaEntry::Release { broker, .. }) => {
--- a/crates/dunepond-consensus/src/voter/observations.rs
+++ b/crates/dunepond-consensus/src/voter/observations.rs
@@ -43,7 +43,7 @@
 /// Times at which a voter observed changes of the replicated state, by its own clock.
 pub(super) struct Observations {
     /// The proposed configuration version, if there is one, and when it was first seen committed.
-    open: Option<SeenChange>,
+    proposed: Option<SeenChange>,
     /// When the start of the proposed version's rollback was first seen committed; `None` if no version is being rolled
     /// back.
     rollback_seen_at: Option<f64>,
@@ -61,7 +61,7 @@
 impl Observations {
     pub fn new(now: f64) -> Self {
         Self {
-            open: None,
+            proposed: None,
             rollback_seen_at: None,
             leadership: None,
             proposal: None,
@@ -75,9 +75,9 @@
     pub fn restart(&mut self, now: f64, state: &ReplicatedState) {
         let leadership = self.leadership.map(|leadership| Leadership { since: now, ..leadership });
         *self = Self { leadership, proposal: self.proposal, ..Self::new(now) };
-        if let Some(open) = &state.proposed {
-            self.open = Some(SeenChange { number: open.version.number, seen_at: now });
-            self.rollback_seen_at = (open.step == RolloutStep::RollingBack).then_some(now);
+        if let Some(proposed) = &state.proposed {
+            self.proposed = Some(SeenChange { number: proposed.version.number, seen_at: now });
+            self.rollback_seen_at = (proposed.step == RolloutStep::RollingBack).then_some(now);
         }
         self.observe_quota(now, &state.quota);
     }
@@ -86,20 +86,20 @@
     pub fn observe(&mut self, now: f64, change: &StateChange) {
         match change {
             StateChange::Proposed(number) => {
-                self.open = Some(SeenChange { number: *number, seen_at: now });
+                self.proposed = Some(SeenChange { number: *number, seen_at: now });
                 self.rollback_seen_at = None;
             }
             StateChange::RollingBack(_) => self.rollback_seen_at = Some(now),
             StateChange::Activated(_) | StateChange::Withdrawn(_) => {
-                (self.open, self.rollback_seen_at) = (None, None);
+                (self.proposed, self.rollback_seen_at) = (None, None);
             }
             _ => {}
         }
     }
 
     /// When the proposed version of this number was first seen committed; `None` if it is not proposed.
-    pub fn open_seen_at(&self, number: u64) -> Option<f64> {
-        self.open.filter(|open| open.number == number).map(|open| open.seen_at)
+    pub fn proposed_seen_at(&self, number: u64) -> Option<f64> {
+        self.proposed.filter(|proposed| proposed.number == number).map(|proposed| proposed.seen_at)
     }
 
     /// When the start of the proposed version's rollback was first seen committed; `None` if no version is being rolled
--- a/crates/dunepond-consensus/tests/errors.rs
+++ b/crates/dunepond-consensus/tests/errors.rs
@@ -37,7 +37,7 @@
         Quota(dunepond_quota::QuotaError::NoChange),
         Busy,
         Rebalance(Box::new(dunepond_rebalance::RebalanceError::NoMap)),
-        ConfigWhileOpen(1),
+        ConfigWhileProposed(1),
         StaleEpoch { stated: 1, known: 2 },
         OtherFleet,
         LeasesSuspended,
@@ -86,7 +86,7 @@
         | Quota(_)
         | Rebalance(_)
         | Busy
-        | ConfigWhileOpen(_)
+        | ConfigWhileProposed(_)
         | StaleEpoch { .. }
         | OtherFleet
         | LeasesSuspended
--- a/crates/dunepond-consensus/tests/scenarios/rollout.rs
+++ b/crates/dunepond-consensus/tests/scenarios/rollout.rs
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn new_config_waits_for_open_change_and_earlier_leases() {
+fn new_config_waits_for_proposed_version_and_earlier_leases() {
     let mut fleet = Fleet::with_map(3, 1, 32);
     fleet.propose(propose_with_fill(2)).unwrap();
     fleet.run_until(5.0, is_joint);
--- a/crates/dunepond-consensus/tests/upgrades.rs
+++ b/crates/dunepond-consensus/tests/upgrades.rs
@@ -51,7 +51,7 @@
     assert_eq!((state.active_number(), state.highest_number, state.proposed.is_none()), (1, 2, true));
     assert_eq!(state.voters.voters.iter().map(|voter| voter.name.as_str()).collect::<Vec<_>>(), ["n1"]);
     voter.propose(8.0, propose(&config_version(3, Some(shard_map(3, false))))).unwrap();
-    assert_eq!(voter.state().proposed.as_ref().map(|open| open.version.number), Some(3));
+    assert_eq!(voter.state().proposed.as_ref().map(|proposed| proposed.version.number), Some(3));
     let persisted = PersistedState::decode(PERSISTED).unwrap();
     let client = LeaseClient::new(consensus_config("n1", 1), Some(persisted), 0.0, 1);
     assert_eq!(
