--- a/crates/dunepond-consensus/src/decode.rs
+++ b/crates/dunepond-consensus/src/decode.rs
@@ -19,7 +19,7 @@
 pub(crate) fn replicated_state(bytes: &[u8]) -> Option<ReplicatedState> {
     let state =
         if codec::is_format1(bytes) { format1::replicated_state(bytes) } else { codec::decode(bytes) };
-    state?.with_proofs()
+    state?.with_verified_maps()
 }
 
 impl PersistedState {
--- a/crates/dunepond-consensus/src/lease_client/adoption.rs
+++ b/crates/dunepond-consensus/src/lease_client/adoption.rs
@@ -35,7 +35,7 @@
             && same_digest(&proposed, &self.proposed)
             && completed_fills == self.completed_fills;
         if !unchanged {
-            self.adopt_proofs(active.as_ref(), proposed.as_ref(), &completed_fills)?;
+            self.adopt_verified_maps(active.as_ref(), proposed.as_ref(), &completed_fills)?;
         }
         (self.active, self.proposed, self.completed_fills) = (active, proposed, completed_fills);
         self.index = grant.index;
@@ -68,20 +68,20 @@
     }
 
     /// Verifies the shard maps of both versions, and adopts the verified maps and the transition between them.
-    fn adopt_proofs(
+    fn adopt_verified_maps(
         &mut self,
         active: Option<&KnownVersion>,
         proposed: Option<&KnownVersion>,
         completed_fills: &BTreeSet<(u64, String)>,
     ) -> Result<(), Rejection> {
-        let proof = self.prove(active, completed_fills)?;
+        let active_map = self.verify_active_map(active, completed_fills)?;
         let validated = match proposed {
-            Some(known) => Some(self.validate(active, proof.as_ref(), &known.version)?),
+            Some(known) => Some(self.validate(active, active_map.as_ref(), &known.version)?),
             None => None,
         };
-        self.snapshot.active_map = proof;
+        self.snapshot.active_map = active_map;
         (self.snapshot.proposed_map, self.snapshot.transition) = match validated {
-            Some(validated) => (validated.proof, validated.transition),
+            Some(validated) => (validated.verified_map, validated.transition),
             None => (None, None),
         };
         Ok(())
@@ -92,17 +92,17 @@
     pub(super) fn validate(
         &self,
         active: Option<&KnownVersion>,
-        proof: Option<&VerifiedMap>,
+        active_map: Option<&VerifiedMap>,
         proposed: &ConfigVersion,
     ) -> Result<ValidatedProposal, Rejection> {
         let maps_enabled = self.snapshot.maps_enabled;
         let config = ConsensusConfig { max_changed_ratio: 1.0, maps_enabled, ..self.config.clone() };
-        validate_proposal(active.map(|known| &*known.version), proof, proposed, &config)
+        validate_proposal(active.map(|known| &*known.version), active_map, proposed, &config)
     }
 
     /// Verifies the shard map of the active version, and marks the replicas whose fills are complete; `None` if there
     /// is no map.
-    pub(super) fn prove(
+    pub(super) fn verify_active_map(
         &self,
         active: Option<&KnownVersion>,
         completed_fills: &BTreeSet<(u64, String)>,
@@ -111,11 +111,11 @@
         let Some(map) = &version.map else { return Ok(None) };
         version.check_rules()?;
         let is_known = self.active.as_ref().is_some_and(|known| known.digest == *digest);
-        let proof = match self.snapshot.active_map.as_ref().filter(|_| is_known) {
-            Some(proof) => proof.clone(),
+        let active_map = match self.snapshot.active_map.as_ref().filter(|_| is_known) {
+            Some(active_map) => active_map.clone(),
             None => maps::verify(map, &[], &self.config.map_requirements).map_err(Rejection::InvalidMap)?,
         };
-        Ok(Some(with_completed_fills(&proof, completed_fills)))
+        Ok(Some(with_completed_fills(&active_map, completed_fills)))
     }
 
     /// The version or versions on which this broker acts while the lease from this grant is valid.
--- a/crates/dunepond-consensus/src/lease_client/mod.rs
+++ b/crates/dunepond-consensus/src/lease_client/mod.rs
@@ -135,8 +135,10 @@
         let active = active.first().map(|version| KnownVersion::new(version));
         self.snapshot.maps_enabled |= active.iter().any(|known| known.version.map.is_some());
         let completed_fills = persisted.completed_fills.into_iter().collect();
-        let Ok(proof) = self.prove(active.as_ref(), &completed_fills) else { return self.refresh() };
-        (self.active, self.completed_fills, self.snapshot.active_map) = (active, completed_fills, proof);
+        let Ok(active_map) = self.verify_active_map(active.as_ref(), &completed_fills) else {
+            return self.refresh();
+        };
+        (self.active, self.completed_fills, self.snapshot.active_map) = (active, completed_fills, active_map);
         if let Some(proposed) = proposed.first() {
             self.restore_proposed(proposed);
         }
@@ -144,10 +146,10 @@
     }
 
     fn restore_proposed(&mut self, proposed: &Arc<ConfigVersion>) {
-        let proof = self.snapshot.active_map.as_ref();
-        let Ok(validated) = self.validate(self.active.as_ref(), proof, proposed) else { return };
+        let active_map = self.snapshot.active_map.as_ref();
+        let Ok(validated) = self.validate(self.active.as_ref(), active_map, proposed) else { return };
         self.proposed = Some(KnownVersion::new(proposed));
-        self.snapshot.proposed_map = validated.proof;
+        self.snapshot.proposed_map = validated.verified_map;
         self.snapshot.transition = validated.transition;
         self.snapshot.applicable_versions = ApplicableVersions::Joint;
     }
--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -129,7 +129,7 @@
     /// Verifies the shard maps of a decoded state again, since verified maps are not stored. Returns `None` if this
     /// build does not know a required part of the state, a version's digest differs or a map is invalid; the voter must
     /// not act on such a state.
-    pub(crate) fn with_proofs(mut self) -> Option<Self> {
+    pub(crate) fn with_verified_maps(mut self) -> Option<Self> {
         if !self.required_parts.is_empty() {
             return None;
         }
@@ -138,8 +138,8 @@
                 return None;
             }
             if let Some(map) = &version.map {
-                let proof = maps::verify(map, &[], &self.config.map_requirements).ok()?;
-                self.verified_map = Some(with_completed_fills(&proof, &self.completed_fills));
+                let verified_map = maps::verify(map, &[], &self.config.map_requirements).ok()?;
+                self.verified_map = Some(with_completed_fills(&verified_map, &self.completed_fills));
             }
         }
         if let Some(proposed) = &self.proposed {
--- a/crates/dunepond-consensus/src/replicated_state/rebalance.rs
+++ b/crates/dunepond-consensus/src/replicated_state/rebalance.rs
@@ -44,7 +44,7 @@
     /// step of that plan.
     pub(super) fn check_against_running_plan(&self, version: &ConfigVersion) -> Result<(), Rejection> {
         let digest = version.map.as_ref().map(|map| map.digest.as_str());
-        let active = self.verified_map.as_ref().map(|proof| proof.digest());
+        let active = self.verified_map.as_ref().map(|verified_map| verified_map.digest());
         let changed_map = digest.filter(|digest| active != Some(*digest));
         Ok(self.rebalance.check_version(version.number, changed_map)?)
     }
--- a/crates/dunepond-consensus/src/replicated_state/version_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ValidatedProposal {
     /// The verified shard map of the proposed version, if it has one.
-    pub proof: Option<VerifiedMap>,
+    pub verified_map: Option<VerifiedMap>,
     /// Transition from the active shard map to the proposed one, if both exist and they differ.
     pub transition: Option<MapTransition>,
 }
@@ -95,7 +95,7 @@
     let Some(map) = &version.map else {
         return match active_map {
             Some(_) => Err(Rejection::MapDropped(version.number)),
-            None => Ok(ValidatedProposal { proof: None, transition: None }),
+            None => Ok(ValidatedProposal { verified_map: None, transition: None }),
         };
     };
     if !config.maps_enabled {
@@ -107,23 +107,26 @@
     }
     let unchanged = active.and_then(|version| version.map.as_ref()) == Some(map);
     if unchanged {
-        return Ok(ValidatedProposal { proof: active_map.cloned(), transition: None });
+        return Ok(ValidatedProposal { verified_map: active_map.cloned(), transition: None });
     }
     let to = maps::verify(map, &[], &config.map_requirements).map_err(Rejection::InvalidMap)?;
     let Some(from) = active_map else {
-        return Ok(ValidatedProposal { proof: Some(to), transition: None });
+        return Ok(ValidatedProposal { verified_map: Some(to), transition: None });
     };
     let transition = maps::verify_transition(from, &to).map_err(Rejection::InvalidMap)?;
     let (changed, total) = (transition.changed_segments(), from.len().max(to.len()));
     if changed as f64 > config.max_changed_ratio * total as f64 {
         return Err(Rejection::TooManySegments { changed, total, max_ratio: config.max_changed_ratio });
     }
-    Ok(ValidatedProposal { proof: Some(transition.to().clone()), transition: Some(transition) })
+    Ok(ValidatedProposal { verified_map: Some(transition.to().clone()), transition: Some(transition) })
 }
 
 /// Returns the verified shard map with the replicas whose fills are complete marked as filled.
-pub(crate) fn with_completed_fills(proof: &VerifiedMap, fills: &BTreeSet<(u64, String)>) -> VerifiedMap {
-    proof.with_filled(fills.iter().map(|(segment, node)| (*segment, node.as_str())))
+pub(crate) fn with_completed_fills(
+    verified_map: &VerifiedMap,
+    fills: &BTreeSet<(u64, String)>,
+) -> VerifiedMap {
+    verified_map.with_filled(fills.iter().map(|(segment, node)| (*segment, node.as_str())))
 }
 
 impl ReplicatedState {
@@ -133,7 +136,7 @@
     }
 
     /// The verified shard map of the active version, if it has one.
-    pub fn map_proof(&self) -> Option<&VerifiedMap> {
+    pub fn verified_map(&self) -> Option<&VerifiedMap> {
         self.verified_map.as_ref()
     }
 
@@ -254,12 +257,14 @@
         let proposed = self.proposed.take().expect("the caller has checked that a change is open");
         self.record_end(&proposed.version, ChangeEnd::Activated);
         let proposal = self.proposal.take().expect("an open change has a validated proposal");
-        self.verified_map =
-            proposal.proof.map(|proof| with_completed_fills(&proof, &proposed.completed_fills));
+        self.verified_map = proposal
+            .verified_map
+            .map(|verified_map| with_completed_fills(&verified_map, &proposed.completed_fills));
         let fills = std::mem::take(&mut self.completed_fills).into_iter().chain(proposed.completed_fills);
-        if let Some(proof) = &self.verified_map {
-            let is_in_map =
-                |id: u64, node: &str| proof.segment(id).is_some_and(|segment| proof.is_filled(segment, node));
+        if let Some(verified_map) = &self.verified_map {
+            let is_in_map = |id: u64, node: &str| {
+                verified_map.segment(id).is_some_and(|segment| verified_map.is_filled(segment, node))
+            };
             self.completed_fills = fills.filter(|(id, node)| is_in_map(*id, node)).collect();
         }
         self.active = Some((proposed.version, proposed.digest));
--- a/crates/dunepond-consensus/tests/golden/runs.rs
+++ b/crates/dunepond-consensus/tests/golden/runs.rs
@@ -244,14 +244,15 @@
 
 /// A plan whose operations are valid for the active map, and its steps.
 fn plan_for_active_map(single: &SingleVoter, id: &str) -> (Plan, Vec<Step>) {
-    let proof = single.voter.state().map_proof().unwrap().clone();
+    let verified_map = single.voter.state().verified_map().unwrap().clone();
     let mut plan = plan(id);
-    let owner = |segment: u64| proof.segment(segment).unwrap().owner.clone();
+    let owner = |segment: u64| verified_map.segment(segment).unwrap().owner.clone();
     let new_owner = if owner(3) == "s3a" { "s3b" } else { "s3a" };
     plan.operations[1] = Operation::Move { segment: 1, from: owner(1), to: text("s2a") };
     plan.operations[2] = Operation::ChangeOwner { segment: 3, to: text(new_owner) };
     let steps =
-        order_steps(&plan, &proof, StepLimits { max_actions: 2, max_changed_ratio: 1.0 }, |_| false).unwrap();
+        order_steps(&plan, &verified_map, StepLimits { max_actions: 2, max_changed_ratio: 1.0 }, |_| false)
+            .unwrap();
     (plan, steps)
 }
 
@@ -292,7 +293,7 @@
     let state = single.voter.state();
     let running = state.rebalance().running.as_ref().unwrap();
     let batch = running.current_batch().unwrap();
-    let transition = batch.transition(state.map_proof().unwrap(), running.steps_done).unwrap();
+    let transition = batch.transition(state.verified_map().unwrap(), running.steps_done).unwrap();
     let (number, digest) = (state.highest_number + 1, text(transition.to().digest()));
     single.commit(Command::Rebalance(CommittedEntry::StepStarted { plan: plan(), turn: 0, number, digest }));
     check_state(single, "state-plan");
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -192,7 +192,7 @@
     plan: Plan,
     max_concurrent_actions: usize,
 ) -> Result<CommittedEntry, Rejection> {
-    let map = state.map_proof().ok_or(RebalanceError::NoMap)?;
+    let map = state.verified_map().ok_or(RebalanceError::NoMap)?;
     if let Some(running) = &state.rebalance().running {
         return Err(RebalanceError::OtherPlanRunning { running: running.plan.id.clone() }.into());
     }
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/steps.rs
@@ -114,7 +114,7 @@
         else {
             return info!("fleet: plan {id}: {entry:?}");
         };
-        let map = self.voter.as_ref().and_then(|voter| voter.state().map_proof());
+        let map = self.voter.as_ref().and_then(|voter| voter.state().verified_map());
         let changes = batch.changed_segments(map.map_or(0, |map| map.len()));
         let direction = if running.withdrawal.is_some() { "back" } else { "forward" };
         let is_move = |operation: &&Operation| matches!(operation, Operation::Move { .. });
