--- a/crates/dunepond-consensus/src/format1.rs
+++ b/crates/dunepond-consensus/src/format1.rs
@@ -51,7 +51,7 @@
     Config(ConsensusConfig),
     StartStage { number: u64 },
     RollbackCompleted { number: u64 },
-    VoterSlot { voter: String, slot: FolderStart },
+    VoterSlot { voter: String, folder_start: FolderStart },
 }
 
 #[derive(Deserialize)]
@@ -77,7 +77,7 @@
     settled_count: u64,
     settlements: VecDeque<Settlement1>,
     settlement_ids: BTreeSet<String>,
-    voter_slots: BTreeMap<String, FolderStart>,
+    folder_starts: BTreeMap<String, FolderStart>,
 }
 
 #[derive(Deserialize)]
@@ -104,7 +104,7 @@
         LogEntry1::Config(config) => LogEntry::Config(config),
         LogEntry1::StartStage { number } => LogEntry::StartStage { number },
         LogEntry1::RollbackCompleted { number } => LogEntry::RollbackCompleted { number },
-        LogEntry1::VoterSlot { voter, slot } => LogEntry::VoterSlot { voter, slot },
+        LogEntry1::VoterSlot { voter, folder_start } => LogEntry::VoterSlot { voter, folder_start },
     })
 }
 
@@ -125,7 +125,7 @@
 /// debt, since the ledger rejects it then.
 pub(crate) fn replicated_state(bytes: &[u8]) -> Option<ReplicatedState> {
     let old: ReplicatedState1 = decode(bytes)?;
-    let mut state = ReplicatedState::new(old.config, old.voter_slots);
+    let mut state = ReplicatedState::new(old.config, old.folder_starts);
     state.index = old.index;
     state.longest_lease_seconds = old.longest_lease_seconds;
     state.active = old.active.map(|(version, digest)| (Arc::new(version.0), digest));
--- a/crates/dunepond-consensus/src/log_entry.rs
+++ b/crates/dunepond-consensus/src/log_entry.rs
@@ -25,7 +25,7 @@
     VoterSlot {
         voter: String,
         #[serde(rename = "seat")]
-        slot: FolderStart,
+        folder_start: FolderStart,
     },
     /// The pending list of voters takes effect.
     #[serde(rename = "Voted")]
--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -73,7 +73,7 @@
     pub voters: VoterList,
     /// Each voter's data folder and the latest committed process start on it, by the voter's name.
     #[serde(rename = "seats")]
-    pub voter_slots: BTreeMap<String, FolderStart>,
+    pub folder_starts: BTreeMap<String, FolderStart>,
     /// Each broker's shares of fleet-wide quotas.
     #[serde(rename = "limits")]
     pub quota: QuotaLedger,
@@ -96,7 +96,7 @@
 }
 
 impl ReplicatedState {
-    pub(crate) fn new(config: ConsensusConfig, voter_slots: BTreeMap<String, FolderStart>) -> Self {
+    pub(crate) fn new(config: ConsensusConfig, folder_starts: BTreeMap<String, FolderStart>) -> Self {
         Self {
             fleet_id: 0,
             epoch: 0,
@@ -111,7 +111,7 @@
             highest_number: 0,
             history: VecDeque::new(),
             settlements: SettlementLog::default(),
-            voter_slots,
+            folder_starts,
             quota: QuotaLedger::default(),
             rebalance: PlanProgress::default(),
             required_parts: BTreeSet::new(),
@@ -206,8 +206,8 @@
                 self.config = config;
                 Ok(StateChange::Config)
             }
-            LogEntry::VoterSlot { voter, slot } => {
-                self.voter_slots.insert(voter.clone(), slot);
+            LogEntry::VoterSlot { voter, folder_start } => {
+                self.folder_starts.insert(voter.clone(), folder_start);
                 Ok(StateChange::VoterSlot(voter))
             }
             LogEntry::VotersReplaced(replacement) => Ok(self.replace_voters(replacement)),
--- a/crates/dunepond-consensus/src/replicated_state/voter_list.rs
+++ b/crates/dunepond-consensus/src/replicated_state/voter_list.rs
@@ -132,7 +132,7 @@
             self.voters.pending.as_ref().is_some_and(|pending| pending.number == replacement.number);
         let expected = self.voters.pending_replacement().unwrap_or_default();
         let leaving = expected.leaving.map(|name| {
-            let folder = self.voter_slots.get(&name).map(|slot| slot.folder_id);
+            let folder = self.folder_starts.get(&name).map(|folder_start| folder_start.folder_id);
             (name, folder)
         });
         let joining = replacement.joining.as_ref().map(|(name, _)| name);
@@ -146,9 +146,9 @@
     pub(super) fn replace_voters(&mut self, replacement: VoterReplacement) -> StateChange {
         let last_removed = replacement.leaving.and_then(|(name, folder)| Some((name, folder?)));
         if let Some((name, _)) = &last_removed {
-            self.voter_slots.remove(name);
+            self.folder_starts.remove(name);
         }
-        self.voter_slots.extend(replacement.joining);
+        self.folder_starts.extend(replacement.joining);
         let pending = self.voters.pending.take().expect("the caller has checked that a list is pending");
         self.voters =
             VoterList { number: pending.number, voters: pending.voters, pending: None, last_removed };
--- a/crates/dunepond-consensus/src/voter/envelope.rs
+++ b/crates/dunepond-consensus/src/voter/envelope.rs
@@ -15,7 +15,7 @@
     pub from: String,
     /// The sender's data folder, and the process start on it that sent the message.
     #[serde(rename = "seat")]
-    pub slot: FolderStart,
+    pub folder_start: FolderStart,
     /// Id of the fleet whose state the sender has; not meaningful unless `has_state`.
     #[serde(rename = "fleet")]
     pub fleet_id: u64,
@@ -72,11 +72,11 @@
     /// A later process start on the receiver's folder than the one that sent the hello, if the sender of this reply
     /// knows of one. The receiver then knows that its folder was restored from a copy.
     #[serde(rename = "seen")]
-    pub seen_slot: Option<FolderStart>,
+    pub seen_start: Option<FolderStart>,
     /// The receiver's folder and process start in the sender's state, which is applied up to `index`; `None` if that
     /// state contains none.
     #[serde(rename = "agreed")]
-    pub agreed_slot: Option<FolderStart>,
+    pub committed_start: Option<FolderStart>,
     /// Whether the receiver is in the list of voters in force or joins by the pending list, according to the sender's
     /// state.
     #[serde(rename = "wanted")]
--- a/crates/dunepond-consensus/src/voter/handshake.rs
+++ b/crates/dunepond-consensus/src/voter/handshake.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct PeerFolder {
     /// Id of the folder, and the process start on it that sent the message.
-    pub slot: FolderStart,
+    pub start: FolderStart,
     /// Whether the folder contains no state of the fleet.
     pub empty: bool,
 }
@@ -55,9 +55,16 @@
 impl Voter {
     /// Name of the voter whose folder has this id, if it is known.
     pub(super) fn name_of(&self, folder_id: u64) -> Option<String> {
-        let has_id = |slot: &FolderStart| slot.folder_id == folder_id;
-        let peer = self.peers.iter().find(|(_, peer)| peer.folder.is_some_and(|folder| has_id(&folder.slot)));
-        let committed = || self.state.voter_slots.iter().find(|(_, slot)| has_id(slot)).map(|(name, _)| name);
+        let has_id = |folder_start: &FolderStart| folder_start.folder_id == folder_id;
+        let peer =
+            self.peers.iter().find(|(_, peer)| peer.folder.is_some_and(|folder| has_id(&folder.start)));
+        let committed = || {
+            self.state
+                .folder_starts
+                .iter()
+                .find(|(_, folder_start)| has_id(folder_start))
+                .map(|(name, _)| name)
+        };
         let removed = || {
             let last_removed = self.state.voters.last_removed.as_ref();
             last_removed.filter(|(_, folder)| *folder == folder_id).map(|(name, _)| name)
@@ -116,7 +123,7 @@
             // A hello reply that is addressed to this voter's present data folder is accepted from any peer.
             Body::HelloReply(_) if to_this_folder => true,
             _ if self.has_state => {
-                self.state.voters.contains_or_joining(from) || self.is_member(envelope.slot.folder_id)
+                self.state.voters.contains_or_joining(from) || self.is_member(envelope.folder_start.folder_id)
             }
             Body::Hello { folder_empty: false, .. } => true,
             _ => to_this_folder || self.config.voters.contains(from),
@@ -139,7 +146,7 @@
             self.discard_folder("the fleet was recovered without this voter by an operator's order");
         } else if envelope.epoch < self.state.epoch {
             if matches!(envelope.body, Body::Hello { .. }) {
-                self.send_hello_reply(&envelope.from, envelope.slot, None);
+                self.send_hello_reply(&envelope.from, envelope.folder_start, None);
             }
             let (stated, known) = (envelope.epoch, self.state.epoch);
             return Err(ConsensusError::StaleEpoch { from, stated, known });
@@ -152,20 +159,25 @@
         self.reported_removed || (self.has_state && !self.is_member(self.folder.id))
     }
 
-    /// Sends a hello reply to the voter `to`, whose message was sent from the folder and process start in `slot`.
-    /// `seen` is a later process start on that folder, if this voter knows of one; it shows the sender that its folder
-    /// was restored from a copy.
-    pub(super) fn send_hello_reply(&mut self, to: &str, slot: FolderStart, seen: Option<FolderStart>) {
+    /// Sends a hello reply to the voter `to`, whose message was sent from the folder and process start in
+    /// `folder_start`. `seen` is a later process start on that folder, if this voter knows of one; it shows the sender
+    /// that its folder was restored from a copy.
+    pub(super) fn send_hello_reply(
+        &mut self,
+        to: &str,
+        folder_start: FolderStart,
+        seen: Option<FolderStart>,
+    ) {
         let reply = HelloReply {
             folder_empty: !self.has_state,
-            seen_slot: seen,
-            agreed_slot: self.state.voter_slots.get(to).copied(),
+            seen_start: seen,
+            committed_start: self.state.folder_starts.get(to).copied(),
             is_wanted: self.has_state && self.state.voters.contains_or_joining(to),
             voters: self.state.voters.voters.clone(),
             index: self.state.index,
             known_keys: self.known_keys.clone(),
         };
-        self.send(to, slot.folder_id, Body::HelloReply(reply));
+        self.send(to, folder_start.folder_id, Body::HelloReply(reply));
     }
 
     /// Records the folder and process start from which a message was sent. Returns `false`, so that the message is
@@ -175,50 +187,54 @@
         if envelope.to_folder != 0 && envelope.to_folder != self.folder.id {
             return false;
         }
-        let slot = envelope.slot;
-        let committed = self.state.voter_slots.get(&envelope.from).copied();
-        let committed = committed.filter(|committed| committed.folder_id == slot.folder_id);
+        let folder_start = envelope.folder_start;
+        let committed = self.state.folder_starts.get(&envelope.from).copied();
+        let committed = committed.filter(|committed| committed.folder_id == folder_start.folder_id);
         let peer = self.peers.entry(envelope.from.clone()).or_default();
-        let seen = later_start(peer.latest_starts.get(&slot.folder_id).copied(), committed);
-        if seen.is_some_and(|seen| is_earlier_start(slot, seen)) {
-            self.send_hello_reply(&envelope.from, slot, seen);
+        let seen = later_start(peer.latest_starts.get(&folder_start.folder_id).copied(), committed);
+        if seen.is_some_and(|seen| is_earlier_start(folder_start, seen)) {
+            self.send_hello_reply(&envelope.from, folder_start, seen);
             return false;
         }
-        if peer.latest_starts.len() == MAX_FOLDER_COUNT && !peer.latest_starts.contains_key(&slot.folder_id) {
+        if peer.latest_starts.len() == MAX_FOLDER_COUNT
+            && !peer.latest_starts.contains_key(&folder_start.folder_id)
+        {
             peer.latest_starts.pop_first();
         }
-        peer.latest_starts.insert(slot.folder_id, slot);
+        peer.latest_starts.insert(folder_start.folder_id, folder_start);
         let empty = match &envelope.body {
             Body::Hello { folder_empty, .. } => *folder_empty,
             Body::HelloReply(reply) => reply.folder_empty,
-            _ => peer.folder.is_some_and(|known| known.empty && known.slot.folder_id == slot.folder_id),
+            _ => peer
+                .folder
+                .is_some_and(|known| known.empty && known.start.folder_id == folder_start.folder_id),
         };
-        peer.folder = Some(PeerFolder { slot, empty });
+        peer.folder = Some(PeerFolder { start: folder_start, empty });
         true
     }
 
-    pub(super) fn handle_hello(&mut self, from: &str, slot: FolderStart, known_keys: Vec<String>) {
+    pub(super) fn handle_hello(&mut self, from: &str, folder_start: FolderStart, known_keys: Vec<String>) {
         if let Some(peer) = self.peers.get_mut(from) {
             peer.known_keys = known_keys;
         }
-        self.send_hello_reply(from, slot, None);
+        self.send_hello_reply(from, folder_start, None);
     }
 
     pub(super) fn handle_hello_reply(&mut self, now: f64, from: String, reply: HelloReply) {
-        let own = self.slot();
+        let own = self.folder_start();
         let is_later_start =
             |seen: FolderStart| seen.folder_id == own.folder_id && is_earlier_start(own, seen);
-        if reply.seen_slot.is_some_and(is_later_start) {
+        if reply.seen_start.is_some_and(is_later_start) {
             self.discard_folder("another voter has seen a later start of this folder");
             return;
         }
         let is_newer = self.has_state && reply.index > self.state.index;
-        let is_replaced = reply.agreed_slot.is_some_and(|agreed| agreed.folder_id != own.folder_id);
+        let is_replaced = reply.committed_start.is_some_and(|committed| committed.folder_id != own.folder_id);
         if is_newer && is_replaced {
             self.discard_folder("another folder of this broker has replaced it");
             return;
         }
-        if is_newer && reply.agreed_slot.is_none() {
+        if is_newer && reply.committed_start.is_none() {
             // The folder is retained until a list includes this voter again, since a membership change in progress may
             // still need this voter's vote.
             match reply.is_wanted {
@@ -259,9 +275,10 @@
         if self.has_state || self.has_stopped() || self.config.voters[0] != self.config.name {
             return;
         }
-        let Some(slots) = self.empty_slots() else { return };
-        let folder_ids: Vec<u64> = slots.values().map(|slot| slot.folder_id).collect();
-        let mut state = ReplicatedState::new(self.config.clone(), slots);
+        let Some(folder_starts) = self.empty_folder_starts() else { return };
+        let folder_ids: Vec<u64> =
+            folder_starts.values().map(|folder_start| folder_start.folder_id).collect();
+        let mut state = ReplicatedState::new(self.config.clone(), folder_starts);
         state.index = 1;
         state.fleet_id = self.rng.random::<u64>().max(1);
         state.epoch = 1;
@@ -278,14 +295,14 @@
 
     /// The folders and process starts of all voters in the configuration file, by the voter's name; `None` unless all
     /// have reported an empty folder.
-    fn empty_slots(&self) -> Option<BTreeMap<String, FolderStart>> {
-        let mut slots = BTreeMap::from([(self.config.name.clone(), self.slot())]);
+    fn empty_folder_starts(&self) -> Option<BTreeMap<String, FolderStart>> {
+        let mut folder_starts = BTreeMap::from([(self.config.name.clone(), self.folder_start())]);
         for name in self.config.voters.iter().filter(|name| **name != self.config.name) {
             let peer = self.peers.get(name)?;
             let folder = peer.folder.filter(|folder| folder.empty && peer.reported_empty)?;
-            slots.insert(name.clone(), folder.slot);
+            folder_starts.insert(name.clone(), folder.start);
         }
-        Some(slots)
+        Some(folder_starts)
     }
 
     /// Discards this voter's data folder because its content is obsolete. This broker continues as a new voter with an
@@ -330,11 +347,11 @@
     }
 }
 
-/// Whether `slot` is an earlier process start on its folder than `seen`, or has the same start count but another run
-/// id, so that one of the two was made on a copy of the folder.
-fn is_earlier_start(slot: FolderStart, seen: FolderStart) -> bool {
-    slot.start_count < seen.start_count
-        || (slot.start_count == seen.start_count && slot.run_id != seen.run_id)
+/// Whether `folder_start` is an earlier process start on its folder than `seen`, or has the same start count but
+/// another run id, so that one of the two was made on a copy of the folder.
+fn is_earlier_start(folder_start: FolderStart, seen: FolderStart) -> bool {
+    folder_start.start_count < seen.start_count
+        || (folder_start.start_count == seen.start_count && folder_start.run_id != seen.run_id)
 }
 
 /// The later one of two process starts on the same folder.
--- a/crates/dunepond-consensus/src/voter/housekeeping.rs
+++ b/crates/dunepond-consensus/src/voter/housekeeping.rs
@@ -29,7 +29,7 @@
         let Some(entry) = self.next_housekeeping_entry(now) else { return };
         self.observations.last_attempt_at = now;
         match entry {
-            LogEntry::VoterSlot { voter, slot } => self.write_slot(voter, slot),
+            LogEntry::VoterSlot { voter, folder_start } => self.write_folder_start(voter, folder_start),
             LogEntry::VotersReplaced(replacement) => self.write_replacement(replacement),
             // If the log accepts no further entry now, the leader tries again later.
             entry => drop(self.append(&entry)),
--- a/crates/dunepond-consensus/src/voter/membership.rs
+++ b/crates/dunepond-consensus/src/voter/membership.rs
@@ -12,29 +12,29 @@
     /// The next log entry that changes the voters or records their folders and that the leader has to write; `None` if
     /// none is due.
     pub(super) fn next_membership_entry(&self) -> Option<LogEntry> {
-        let changed = self.changed_slot();
-        let entry = changed.map(|(voter, slot)| LogEntry::VoterSlot { voter, slot });
+        let changed = self.changed_folder_start();
+        let entry = changed.map(|(voter, folder_start)| LogEntry::VoterSlot { voter, folder_start });
         entry.or_else(|| self.ready_replacement().map(LogEntry::VotersReplaced))
     }
 
     /// The name of a voter that runs on a new data folder or whose process was started again, with its present folder
     /// and process start; `None` if there is no such voter.
-    fn changed_slot(&self) -> Option<(String, FolderStart)> {
-        let own = (&self.config.name, self.slot(), false);
+    fn changed_folder_start(&self) -> Option<(String, FolderStart)> {
+        let own = (&self.config.name, self.folder_start(), false);
         let others = self.peers.iter().filter_map(|(name, peer)| {
             let folder = peer.folder.filter(|_| self.state.voters.contains(name))?;
-            Some((name, folder.slot, folder.empty))
+            Some((name, folder.start, folder.empty))
         });
         let mut all = std::iter::once(own).chain(others);
-        let changed = all.find(|(name, slot, empty)| match self.state.voter_slots.get(*name) {
-            Some(committed) if committed.folder_id == slot.folder_id => {
-                slot.start_count > committed.start_count
+        let changed = all.find(|(name, folder_start, empty)| match self.state.folder_starts.get(*name) {
+            Some(committed) if committed.folder_id == folder_start.folder_id => {
+                folder_start.start_count > committed.start_count
             }
             // A folder other than the committed one is only recorded if it is empty. If it is not, the voter learns
             // from the replies to its hellos that the folder is obsolete.
             _ => *empty,
         });
-        changed.map(|(name, slot, _)| (name.clone(), slot))
+        changed.map(|(name, folder_start, _)| (name.clone(), folder_start))
     }
 
     /// The replacement that brings the pending list of voters into force; `None` if no list is pending, or until the
@@ -44,12 +44,12 @@
         let joining = match pending.joining {
             Some(name) => {
                 let folder = self.peers.get(&name)?.folder.filter(|folder| folder.empty)?;
-                Some((name, folder.slot))
+                Some((name, folder.start))
             }
             None => None,
         };
         let leaving = pending.leaving.map(|name| {
-            let folder_id = self.state.voter_slots.get(&name).map(|slot| slot.folder_id);
+            let folder_id = self.state.folder_starts.get(&name).map(|folder_start| folder_start.folder_id);
             (name, folder_id)
         });
         let number = self.state.voters.pending.as_ref()?.number;
@@ -64,7 +64,7 @@
             let progress = self.node.raft.prs().get(id);
             id != own && progress.is_some_and(|progress| progress.recent_active)
         };
-        let mut folders = self.state.voter_slots.values().map(|slot| slot.folder_id);
+        let mut folders = self.state.folder_starts.values().map(|folder_start| folder_start.folder_id);
         if let Some(successor) = folders.find(|id| is_candidate(*id)) {
             self.node.transfer_leader(successor);
         }
@@ -82,21 +82,21 @@
         if removes_itself && self.transfer_leadership() {
             return;
         }
-        let joining = replacement.joining.as_ref().map(|(_, slot)| slot.folder_id);
+        let joining = replacement.joining.as_ref().map(|(_, folder_start)| folder_start.folder_id);
         let leaving = replacement.leaving.as_ref().and_then(|(_, folder_id)| *folder_id);
         self.write_membership(joining, leaving, &LogEntry::VotersReplaced(replacement));
     }
 
     /// Writes an entry with a voter's folder and process start. A new process start on the committed folder is a normal
     /// entry; a new folder is a membership change that replaces the old folder.
-    pub(super) fn write_slot(&mut self, voter: String, slot: FolderStart) {
-        let old = self.state.voter_slots.get(&voter).map(|slot| slot.folder_id);
-        let entry = LogEntry::VoterSlot { voter, slot };
-        if old == Some(slot.folder_id) {
+    pub(super) fn write_folder_start(&mut self, voter: String, folder_start: FolderStart) {
+        let old = self.state.folder_starts.get(&voter).map(|folder_start| folder_start.folder_id);
+        let entry = LogEntry::VoterSlot { voter, folder_start };
+        if old == Some(folder_start.folder_id) {
             // If the log accepts no further entry now, the leader tries again later.
             let _ = self.append(&entry);
         } else if self.node.raft.state == StateRole::Leader {
-            self.write_membership(Some(slot.folder_id), old, &entry);
+            self.write_membership(Some(folder_start.folder_id), old, &entry);
         }
     }
 
--- a/crates/dunepond-consensus/src/voter/mod.rs
+++ b/crates/dunepond-consensus/src/voter/mod.rs
@@ -355,7 +355,7 @@
     }
 
     /// This voter's data folder and the present process start on it.
-    fn slot(&self) -> FolderStart {
+    fn folder_start(&self) -> FolderStart {
         FolderStart {
             folder_id: self.folder.id,
             start_count: self.folder.start_count,
--- a/crates/dunepond-consensus/src/voter/ready.rs
+++ b/crates/dunepond-consensus/src/voter/ready.rs
@@ -219,7 +219,7 @@
     pub(super) fn send(&mut self, name: &str, to_folder: u64, body: Body) {
         let envelope = Envelope {
             from: self.config.name.clone(),
-            slot: self.slot(),
+            folder_start: self.folder_start(),
             fleet_id: self.state.fleet_id,
             epoch: self.state.epoch,
             has_state: self.has_state,
--- a/crates/dunepond-consensus/src/voter/receive.rs
+++ b/crates/dunepond-consensus/src/voter/receive.rs
@@ -33,14 +33,14 @@
     }
 
     fn dispatch(&mut self, now: f64, envelope: Envelope) -> Result<(), ConsensusError> {
-        let Envelope { from, slot, body, .. } = envelope;
+        let Envelope { from, folder_start, body, .. } = envelope;
         match body {
-            Body::Hello { known_keys, .. } => self.handle_hello(&from, slot, known_keys),
+            Body::Hello { known_keys, .. } => self.handle_hello(&from, folder_start, known_keys),
             Body::HelloReply(reply) => self.handle_hello_reply(now, from, reply),
             Body::Raft(Blob(bytes)) => {
                 let message =
                     Message::parse_from_bytes(&bytes).map_err(|_| ConsensusError::MalformedMessage(from))?;
-                self.step(slot, message);
+                self.step(folder_start, message);
             }
             Body::LeaseRequest(request) => self.accept_lease_request(now, request, Some(from)),
             Body::LeaseReply { broker, reply } => self.effects.replies.push((broker, reply)),
@@ -55,15 +55,15 @@
         if !self.has_state || envelope.from == self.config.name || !is_hello {
             return;
         }
-        self.send_hello_reply(&envelope.from, envelope.slot, None);
+        self.send_hello_reply(&envelope.from, envelope.folder_start, None);
         if self.unknown_senders.len() < MAX_UNKNOWN_SENDER_COUNT {
             self.unknown_senders.insert(envelope.from.clone());
         }
     }
 
     /// Passes a message on to the raft library.
-    fn step(&mut self, slot: FolderStart, message: Message) {
-        if !self.is_active() || message.from != slot.folder_id || message.to != self.folder.id {
+    fn step(&mut self, folder_start: FolderStart, message: Message) {
+        if !self.is_active() || message.from != folder_start.folder_id || message.to != self.folder.id {
             return;
         }
         let kind = message.get_msg_type();
--- a/crates/dunepond-consensus/src/voter/recovery.rs
+++ b/crates/dunepond-consensus/src/voter/recovery.rs
@@ -100,7 +100,7 @@
         state.voters.voters.retain(|voter| !order.lost_voters.contains(&voter.name));
         (state.voters.pending, state.voters.last_removed) = (None, None);
         state.voters.number += 1;
-        state.voter_slots = [(self.config.name.clone(), self.slot())].into();
+        state.folder_starts = [(self.config.name.clone(), self.folder_start())].into();
         state.highest_number = order.highest_number;
         state.epoch += 1;
         state.leases_suspended = true;
--- a/crates/dunepond-consensus/tests/scenarios/restarts.rs
+++ b/crates/dunepond-consensus/tests/scenarios/restarts.rs
@@ -118,6 +118,6 @@
     assert_active_everywhere(&mut fleet);
     let leader = fleet.leader().unwrap();
     assert!(fleet.run_until(5.0, |fleet| {
-        (0..5).all(|n| fleet.state(leader).voter_slots[&format!("n{}", n + 1)].start_count == 2)
+        (0..5).all(|n| fleet.state(leader).folder_starts[&format!("n{}", n + 1)].start_count == 2)
     }));
 }
