--- a/crates/dunepond-consensus/tests/model.rs
+++ b/crates/dunepond-consensus/tests/model.rs
@@ -448,7 +448,7 @@
 #[rstest]
 #[case::wait_without_queries(ModelConfig { wait_reduction: QUERY_AT_LEADER, ..CORRECT_CONFIG })]
 #[case::early_activation_by_new_leader(ModelConfig { always_ends_early: true, ..CORRECT_CONFIG })]
-fn weakened_rule_violates_property(#[case] config: ModelConfig) {
+fn weakened_protocol_rule_violates_property(#[case] config: ModelConfig) {
     assert_violation_found(config);
 }
 
@@ -457,6 +457,6 @@
 #[case::unconfirmed_replies(ModelConfig { without_quorum: true, ..CORRECT_CONFIG })]
 #[case::immediate_rollback(ModelConfig { stage: true, immediate_rollback: true, ..CORRECT_CONFIG })]
 #[ignore = "takes a minute"]
-fn weakened_rule_violates_property_in_longer_run(#[case] config: ModelConfig) {
+fn weakened_protocol_rule_violates_property_in_longer_run(#[case] config: ModelConfig) {
     assert_violation_found(config);
 }
