--- a/crates/dunepond-consensus/src/format1.rs
+++ b/crates/dunepond-consensus/src/format1.rs
@@ -11,8 +11,8 @@
 
 use crate::log_entry::LogEntry;
 use crate::{
-    Command, ConfigVersion, ConsensusConfig, OpenChange, PastChange, PersistedState, ReplicatedState,
-    RolloutStep, VoterSlot,
+    Command, ConfigVersion, ConsensusConfig, FolderStart, PastChange, PersistedState, ProposedChange,
+    ReplicatedState, RolloutStep,
 };
 
 /// A configuration version whose fields are encoded inline; later formats embed the packed configuration version as a
@@ -51,11 +51,11 @@
     Config(ConsensusConfig),
     StartStage { number: u64 },
     RollbackCompleted { number: u64 },
-    VoterSlot { voter: String, slot: VoterSlot },
+    VoterSlot { voter: String, folder_start: FolderStart },
 }
 
 #[derive(Deserialize)]
-struct OpenChange1 {
+struct ProposedChange1 {
     version: Version1,
     digest: String,
     step: RolloutStep,
@@ -71,13 +71,13 @@
     longest_lease_seconds: f64,
     active: Option<(Version1, String)>,
     completed_fills: BTreeSet<(u64, String)>,
-    open: Option<OpenChange1>,
+    proposed: Option<ProposedChange1>,
     highest_number: u64,
     history: VecDeque<PastChange>,
     settled_count: u64,
     settlements: VecDeque<Settlement1>,
     settlement_ids: BTreeSet<String>,
-    voter_slots: BTreeMap<String, VoterSlot>,
+    folder_starts: BTreeMap<String, FolderStart>,
 }
 
 #[derive(Deserialize)]
@@ -104,7 +104,7 @@
         LogEntry1::Config(config) => LogEntry::Config(config),
         LogEntry1::StartStage { number } => LogEntry::StartStage { number },
         LogEntry1::RollbackCompleted { number } => LogEntry::RollbackCompleted { number },
-        LogEntry1::VoterSlot { voter, slot } => LogEntry::VoterSlot { voter, slot },
+        LogEntry1::VoterSlot { voter, folder_start } => LogEntry::VoterSlot { voter, folder_start },
     })
 }
 
@@ -125,14 +125,14 @@
 /// debt, since the ledger rejects it then.
 pub(crate) fn replicated_state(bytes: &[u8]) -> Option<ReplicatedState> {
     let old: ReplicatedState1 = decode(bytes)?;
-    let mut state = ReplicatedState::new(old.config, old.voter_slots);
+    let mut state = ReplicatedState::new(old.config, old.folder_starts);
     state.index = old.index;
     state.longest_lease_seconds = old.longest_lease_seconds;
     state.active = old.active.map(|(version, digest)| (Arc::new(version.0), digest));
     state.completed_fills = old.completed_fills;
     state.highest_number = old.highest_number;
     state.history = old.history;
-    state.open = old.open.map(open_change);
+    state.proposed = old.proposed.map(proposed_change);
     let ids_complete = old.settlement_ids.len() as u64 <= old.settled_count;
     for entry in old.settlements.into_iter().filter(|_| ids_complete).map(settlement) {
         if state.settlements.check(&entry).is_ok() {
@@ -142,8 +142,8 @@
     Some(state)
 }
 
-fn open_change(old: OpenChange1) -> OpenChange {
-    OpenChange {
+fn proposed_change(old: ProposedChange1) -> ProposedChange {
+    ProposedChange {
         version: Arc::new(old.version.0),
         digest: old.digest,
         step: old.step,
--- a/crates/dunepond-consensus/src/lease_client/mod.rs
+++ b/crates/dunepond-consensus/src/lease_client/mod.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::active_config::{ConfigSnapshot, RolloutSide};
+use crate::active_config::{ApplicableVersions, ConfigSnapshot};
 use crate::config_version::known_keys;
 use crate::{
     ActiveConfig, ConfigVersion, ConsensusConfig, LeaseAnswer, LeaseGrant, LeaseReply, LeaseRequest,
@@ -64,7 +64,7 @@
 /// A broker's client for leases: it requests them, validates the grants and keeps the resulting [`ActiveConfig`].
 pub struct LeaseClient {
     config: ConsensusConfig,
-    incarnation: u64,
+    run_id: u64,
     rng: Pcg64Mcg,
     next_id: u64,
     /// Pending requests, the oldest one first.
@@ -95,11 +95,11 @@
     /// process start.
     pub fn new(config: ConsensusConfig, persisted: Option<PersistedState>, now: f64, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let incarnation = rng.random();
+        let run_id = rng.random();
         let first = rng.random_range(0..config.voters.len().max(1));
         let snapshot = ConfigSnapshot::unleased(config.maps_enabled, config.lease_seconds);
         let mut client = Self {
-            incarnation,
+            run_id,
             next_id: 1,
             pending: Vec::new(),
             next_request_at: now,
@@ -135,8 +135,10 @@
         let active = active.first().map(|version| KnownVersion::new(version));
         self.snapshot.maps_enabled |= active.iter().any(|known| known.version.map.is_some());
         let completed_fills = persisted.completed_fills.into_iter().collect();
-        let Ok(proof) = self.prove(active.as_ref(), &completed_fills) else { return self.refresh() };
-        (self.active, self.completed_fills, self.snapshot.active_proof) = (active, completed_fills, proof);
+        let Ok(active_map) = self.verify_active_map(active.as_ref(), &completed_fills) else {
+            return self.refresh();
+        };
+        (self.active, self.completed_fills, self.snapshot.active_map) = (active, completed_fills, active_map);
         if let Some(proposed) = proposed.first() {
             self.restore_proposed(proposed);
         }
@@ -144,12 +146,12 @@
     }
 
     fn restore_proposed(&mut self, proposed: &Arc<ConfigVersion>) {
-        let proof = self.snapshot.active_proof.as_ref();
-        let Ok(validated) = self.validate(self.active.as_ref(), proof, proposed) else { return };
+        let active_map = self.snapshot.active_map.as_ref();
+        let Ok(validated) = self.validate(self.active.as_ref(), active_map, proposed) else { return };
         self.proposed = Some(KnownVersion::new(proposed));
-        self.snapshot.proposed_proof = validated.proof;
+        self.snapshot.proposed_map = validated.verified_map;
         self.snapshot.transition = validated.transition;
-        self.snapshot.side = RolloutSide::Joint;
+        self.snapshot.applicable_versions = ApplicableVersions::Joint;
     }
 
     /// Sets whether this broker's nodes are overloaded; the next request reports it.
@@ -196,7 +198,7 @@
             sent_at: now,
             known_versions: known.map(|known| (known.version.number, known.digest.clone())).collect(),
             joint_version: self.joint_version(),
-            incarnation: self.incarnation,
+            run_id: self.run_id,
             known_settlements: self.known_settlements,
             demand: self.demand.clone().map(|report| self.with_acknowledged_shrink(report)),
             forwarded: false,
@@ -256,7 +258,7 @@
     /// Why the reply was not adopted.
     pub fn handle_reply(&mut self, now: f64, _from: &str, reply: LeaseReply) -> Result<(), Rejection> {
         self.observe_clock(now);
-        let is_for_us = reply.incarnation == self.incarnation;
+        let is_for_us = reply.run_id == self.run_id;
         let position = self.pending.iter().position(|request| request.id == reply.id && is_for_us);
         let Some(position) = position else { return Err(Rejection::UnexpectedReply(reply.id)) };
         let grant = match reply.answer {
@@ -408,8 +410,8 @@
 
     /// Random number drawn at the start of this broker's process, which distinguishes it from earlier processes of the
     /// same broker.
-    pub fn incarnation(&self) -> u64 {
-        self.incarnation
+    pub fn run_id(&self) -> u64 {
+        self.run_id
     }
 
     /// Lets this client act like a later build that also implements `keys`; for tests.
--- a/crates/dunepond-consensus/src/lease_messages.rs
+++ b/crates/dunepond-consensus/src/lease_messages.rs
@@ -26,7 +26,8 @@
     #[serde(rename = "joint")]
     pub joint_version: Option<u64>,
     /// Random number that the broker drew when its process started.
-    pub incarnation: u64,
+    #[serde(rename = "incarnation")]
+    pub run_id: u64,
     /// Number of entries of the [`crate::SettlementLog`] that the broker already has.
     #[serde(rename = "debts")]
     pub known_settlements: u64,
@@ -46,8 +47,9 @@
 pub struct LeaseReply {
     /// Id of the request.
     pub id: u64,
-    /// The `incarnation` of the request.
-    pub incarnation: u64,
+    /// The `run_id` of the request.
+    #[serde(rename = "incarnation")]
+    pub run_id: u64,
     /// The `sent_at` of the request.
     #[serde(rename = "sent")]
     pub sent_at: f64,
@@ -123,7 +125,7 @@
     pub leader: String,
     /// Random number that the leader drew when its process started.
     #[serde(rename = "run")]
-    pub leader_run: u64,
+    pub leader_run_id: u64,
     /// When the request arrived, in seconds on the leader's clock.
     #[serde(rename = "heard")]
     pub received_at: f64,
@@ -158,7 +160,7 @@
 
 impl LeaseReply {
     pub(crate) fn to(request: &LeaseRequest, answer: LeaseAnswer) -> Self {
-        Self { id: request.id, incarnation: request.incarnation, sent_at: request.sent_at, answer }
+        Self { id: request.id, run_id: request.run_id, sent_at: request.sent_at, answer }
     }
 
     /// Encodes the reply for the transport to another broker.
@@ -173,17 +175,17 @@
 }
 
 /// The leader that grants a lease, and when it received the request, in seconds on its clock.
-pub(crate) struct Grantor {
+pub(crate) struct GrantOrigin {
     pub leader: String,
-    pub leader_run: u64,
+    pub leader_run_id: u64,
     pub received_at: f64,
 }
 
 impl LeaseGrant {
-    pub(crate) fn new(state: &ReplicatedState, request: &LeaseRequest, grantor: Grantor) -> Self {
+    pub(crate) fn new(state: &ReplicatedState, request: &LeaseRequest, origin: GrantOrigin) -> Self {
         let active = state.active.iter().map(|(version, digest)| (version, digest));
-        let open = state.open.iter().map(|open| (&open.version, &open.digest));
-        let unknown = active.chain(open).filter(|(version, digest)| !request.knows(version, digest));
+        let proposed = state.proposed.iter().map(|proposed| (&proposed.version, &proposed.digest));
+        let unknown = active.chain(proposed).filter(|(version, digest)| !request.knows(version, digest));
         Self {
             lease_seconds: state.config.lease_seconds,
             required_parts: Vec::new(),
@@ -191,10 +193,10 @@
             epoch: state.epoch,
             index: state.index,
             active: state.active.as_ref().map(|(version, digest)| (version.number, digest.clone())),
-            proposed: state.open.as_ref().map(|open| ProposedVersion {
-                number: open.version.number,
-                digest: open.digest.clone(),
-                step: open.step,
+            proposed: state.proposed.as_ref().map(|proposed| ProposedVersion {
+                number: proposed.version.number,
+                digest: proposed.digest.clone(),
+                step: proposed.step,
             }),
             highest_number: state.highest_number,
             maps_enabled: state.config.maps_enabled,
@@ -204,9 +206,9 @@
             completed_fills: state.completed_fills.iter().cloned().collect(),
             settlements: state.settlements.updates_after(request.known_settlements),
             quota: state.quota.allocation_for(&request.broker),
-            leader: grantor.leader,
-            leader_run: grantor.leader_run,
-            received_at: grantor.received_at,
+            leader: origin.leader,
+            leader_run_id: origin.leader_run_id,
+            received_at: origin.received_at,
         }
     }
 }
--- a/crates/dunepond-consensus/src/replicated_state/mod.rs
+++ b/crates/dunepond-consensus/src/replicated_state/mod.rs
@@ -20,10 +20,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::log_entry::LogEntry;
-use crate::{Command, ConfigVersion, ConsensusConfig, Rejection, VoterSlot, codec};
+use crate::{Command, ConfigVersion, ConsensusConfig, FolderStart, Rejection, codec};
 pub use settlement_log::{SettlementLog, SettlementRecord, SettlementUpdate};
 pub use state_change::StateChange;
-pub use version_change::{ChangeEnd, OpenChange, PastChange, RolloutStep};
+pub use version_change::{ChangeEnd, PastChange, ProposedChange, RolloutStep};
 pub(crate) use version_change::{ValidatedProposal, validate_proposal, with_completed_fills};
 pub use voter_list::VoterList;
 
@@ -58,7 +58,8 @@
     #[serde(rename = "done")]
     pub completed_fills: BTreeSet<(u64, String)>,
     /// The proposed version and its progress, if there is one.
-    pub open: Option<OpenChange>,
+    #[serde(rename = "open")]
+    pub proposed: Option<ProposedChange>,
     /// Highest configuration version number ever proposed.
     #[serde(rename = "highest")]
     pub highest_number: u64,
@@ -72,7 +73,7 @@
     pub voters: VoterList,
     /// Each voter's data folder and the latest committed process start on it, by the voter's name.
     #[serde(rename = "seats")]
-    pub voter_slots: BTreeMap<String, VoterSlot>,
+    pub folder_starts: BTreeMap<String, FolderStart>,
     /// Each broker's shares of fleet-wide quotas.
     #[serde(rename = "limits")]
     pub quota: QuotaLedger,
@@ -87,7 +88,7 @@
     unknown_parts: BTreeMap<String, ciborium::Value>,
     /// The active shard map, as verified by this voter. It is derived from the active version, and not stored.
     #[serde(skip)]
-    proof: Option<VerifiedMap>,
+    verified_map: Option<VerifiedMap>,
     /// The proposed version's verified shard map and the transition to it. They are derived from the versions, and not
     /// stored.
     #[serde(skip)]
@@ -95,7 +96,7 @@
 }
 
 impl ReplicatedState {
-    pub(crate) fn new(config: ConsensusConfig, voter_slots: BTreeMap<String, VoterSlot>) -> Self {
+    pub(crate) fn new(config: ConsensusConfig, folder_starts: BTreeMap<String, FolderStart>) -> Self {
         Self {
             fleet_id: 0,
             epoch: 0,
@@ -106,16 +107,16 @@
             config,
             active: None,
             completed_fills: BTreeSet::new(),
-            open: None,
+            proposed: None,
             highest_number: 0,
             history: VecDeque::new(),
             settlements: SettlementLog::default(),
-            voter_slots,
+            folder_starts,
             quota: QuotaLedger::default(),
             rebalance: PlanProgress::default(),
             required_parts: BTreeSet::new(),
             unknown_parts: BTreeMap::new(),
-            proof: None,
+            verified_map: None,
             proposal: None,
         }
     }
@@ -128,7 +129,7 @@
     /// Verifies the shard maps of a decoded state again, since verified maps are not stored. Returns `None` if this
     /// build does not know a required part of the state, a version's digest differs or a map is invalid; the voter must
     /// not act on such a state.
-    pub(crate) fn with_proofs(mut self) -> Option<Self> {
+    pub(crate) fn with_verified_maps(mut self) -> Option<Self> {
         if !self.required_parts.is_empty() {
             return None;
         }
@@ -137,12 +138,12 @@
                 return None;
             }
             if let Some(map) = &version.map {
-                let proof = maps::verify(map, &[], &self.config.map_requirements).ok()?;
-                self.proof = Some(with_completed_fills(&proof, &self.completed_fills));
+                let verified_map = maps::verify(map, &[], &self.config.map_requirements).ok()?;
+                self.verified_map = Some(with_completed_fills(&verified_map, &self.completed_fills));
             }
         }
-        if let Some(open) = &self.open {
-            self.proposal = Some(self.validate(&open.version).ok()?);
+        if let Some(proposed) = &self.proposed {
+            self.proposal = Some(self.validate(&proposed.version).ok()?);
         }
         Some(self)
     }
@@ -161,8 +162,8 @@
             LogEntry::Command(command) => self.check_command(command),
             LogEntry::StartStage { number } => self.check_rollout(*number),
             LogEntry::RollbackCompleted { number } => self.check_rollback_completed(*number),
-            LogEntry::Config(_) => match &self.open {
-                Some(open) => Err(Rejection::ConfigWhileOpen(open.version.number)),
+            LogEntry::Config(_) => match &self.proposed {
+                Some(proposed) => Err(Rejection::ConfigWhileProposed(proposed.version.number)),
                 None => Ok(()),
             },
             LogEntry::VoterSlot { voter, .. } if !self.voters.contains(voter) => {
@@ -193,7 +194,7 @@
         self.index = index;
         if let LogEntry::Command(Command::Propose(version)) = entry {
             let proposal = self.check_proposal(&version)?;
-            return Ok(self.open_change(Arc::new(*version), proposal));
+            return Ok(self.propose(Arc::new(*version), proposal));
         }
         self.check(&entry)?;
         match entry {
@@ -205,8 +206,8 @@
                 self.config = config;
                 Ok(StateChange::Config)
             }
-            LogEntry::VoterSlot { voter, slot } => {
-                self.voter_slots.insert(voter.clone(), slot);
+            LogEntry::VoterSlot { voter, folder_start } => {
+                self.folder_starts.insert(voter.clone(), folder_start);
                 Ok(StateChange::VoterSlot(voter))
             }
             LogEntry::VotersReplaced(replacement) => Ok(self.replace_voters(replacement)),
--- a/crates/dunepond-consensus/src/replicated_state/version_change.rs
+++ b/crates/dunepond-consensus/src/replicated_state/version_change.rs
@@ -28,7 +28,7 @@
 
 /// A version that is proposed, and neither active nor withdrawn yet, and the progress of its rollout.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct OpenChange {
+pub struct ProposedChange {
     /// The proposed version.
     pub version: Arc<ConfigVersion>,
     /// Digest of the proposed version.
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ValidatedProposal {
     /// The verified shard map of the proposed version, if it has one.
-    pub proof: Option<VerifiedMap>,
+    pub verified_map: Option<VerifiedMap>,
     /// Transition from the active shard map to the proposed one, if both exist and they differ.
     pub transition: Option<MapTransition>,
 }
@@ -87,15 +87,15 @@
 /// Validates a proposed version against the active one. Voters and lease clients both use this function.
 pub(crate) fn validate_proposal(
     active: Option<&ConfigVersion>,
-    active_proof: Option<&VerifiedMap>,
+    active_map: Option<&VerifiedMap>,
     version: &ConfigVersion,
     config: &ConsensusConfig,
 ) -> Result<ValidatedProposal, Rejection> {
     version.check_rules()?;
     let Some(map) = &version.map else {
-        return match active_proof {
+        return match active_map {
             Some(_) => Err(Rejection::MapDropped(version.number)),
-            None => Ok(ValidatedProposal { proof: None, transition: None }),
+            None => Ok(ValidatedProposal { verified_map: None, transition: None }),
         };
     };
     if !config.maps_enabled {
@@ -107,23 +107,26 @@
     }
     let unchanged = active.and_then(|version| version.map.as_ref()) == Some(map);
     if unchanged {
-        return Ok(ValidatedProposal { proof: active_proof.cloned(), transition: None });
+        return Ok(ValidatedProposal { verified_map: active_map.cloned(), transition: None });
     }
     let to = maps::verify(map, &[], &config.map_requirements).map_err(Rejection::InvalidMap)?;
-    let Some(from) = active_proof else {
-        return Ok(ValidatedProposal { proof: Some(to), transition: None });
+    let Some(from) = active_map else {
+        return Ok(ValidatedProposal { verified_map: Some(to), transition: None });
     };
     let transition = maps::verify_transition(from, &to).map_err(Rejection::InvalidMap)?;
     let (changed, total) = (transition.changed_segments(), from.len().max(to.len()));
     if changed as f64 > config.max_changed_ratio * total as f64 {
         return Err(Rejection::TooManySegments { changed, total, max_ratio: config.max_changed_ratio });
     }
-    Ok(ValidatedProposal { proof: Some(transition.to().clone()), transition: Some(transition) })
+    Ok(ValidatedProposal { verified_map: Some(transition.to().clone()), transition: Some(transition) })
 }
 
 /// Returns the verified shard map with the replicas whose fills are complete marked as filled.
-pub(crate) fn with_completed_fills(proof: &VerifiedMap, fills: &BTreeSet<(u64, String)>) -> VerifiedMap {
-    proof.with_filled(fills.iter().map(|(segment, node)| (*segment, node.as_str())))
+pub(crate) fn with_completed_fills(
+    verified_map: &VerifiedMap,
+    fills: &BTreeSet<(u64, String)>,
+) -> VerifiedMap {
+    verified_map.with_filled(fills.iter().map(|(segment, node)| (*segment, node.as_str())))
 }
 
 impl ReplicatedState {
@@ -133,8 +136,8 @@
     }
 
     /// The verified shard map of the active version, if it has one.
-    pub fn map_proof(&self) -> Option<&VerifiedMap> {
-        self.proof.as_ref()
+    pub fn verified_map(&self) -> Option<&VerifiedMap> {
+        self.verified_map.as_ref()
     }
 
     /// The transition from the active shard map to the proposed one, with the fills that it requires and their source
@@ -145,22 +148,27 @@
 
     /// Number of fills that the proposed version requires and that are not complete; 0 if no version is proposed.
     pub fn missing_fills(&self) -> usize {
-        self.open.as_ref().map_or(0, |open| open.required_fills.difference(&open.completed_fills).count())
+        self.proposed
+            .as_ref()
+            .map_or(0, |proposed| proposed.required_fills.difference(&proposed.completed_fills).count())
     }
 
     /// The change to the proposed version, if that version has the given number; otherwise an error.
-    fn open_with_number(&self, number: u64) -> Result<&OpenChange, Rejection> {
-        self.open.as_ref().filter(|open| open.version.number == number).ok_or(Rejection::NotProposed(number))
+    fn proposed_with_number(&self, number: u64) -> Result<&ProposedChange, Rejection> {
+        self.proposed
+            .as_ref()
+            .filter(|proposed| proposed.version.number == number)
+            .ok_or(Rejection::NotProposed(number))
     }
 
     /// The change to the proposed version. The caller has checked that a version is proposed.
-    fn open_mut(&mut self) -> &mut OpenChange {
-        self.open.as_mut().expect("the caller has checked that a change is open")
+    fn proposed_mut(&mut self) -> &mut ProposedChange {
+        self.proposed.as_mut().expect("the caller has checked that a change is open")
     }
 
     pub(super) fn check_proposal(&self, version: &ConfigVersion) -> Result<ValidatedProposal, Rejection> {
-        if let Some(open) = &self.open {
-            return Err(Rejection::ChangeOpen { open: open.version.number });
+        if let Some(proposed) = &self.proposed {
+            return Err(Rejection::AlreadyProposed { number: proposed.version.number });
         }
         self.check_against_running_plan(version)?;
         let expected = self.highest_number + 1;
@@ -177,13 +185,13 @@
 
     pub(super) fn validate(&self, version: &ConfigVersion) -> Result<ValidatedProposal, Rejection> {
         let active = self.active.as_ref().map(|(version, _)| &**version);
-        validate_proposal(active, self.proof.as_ref(), version, &self.config)
+        validate_proposal(active, self.verified_map.as_ref(), version, &self.config)
     }
 
     pub(super) fn check_fill(&self, number: u64, segment: u64, holder: &str) -> Result<(), Rejection> {
-        let open = self.open_with_number(number)?;
+        let proposed = self.proposed_with_number(number)?;
         let fill = (segment, holder.to_string());
-        if open.required_fills.contains(&fill) && !open.completed_fills.contains(&fill) {
+        if proposed.required_fills.contains(&fill) && !proposed.completed_fills.contains(&fill) {
             return Ok(());
         }
         Err(Rejection::FillNotNeeded { number, segment, holder: fill.1 })
@@ -191,7 +199,7 @@
 
     /// Checks whether the version may enter its first stage or be activated.
     pub(super) fn check_rollout(&self, number: u64) -> Result<(), Rejection> {
-        if self.open_with_number(number)?.step == RolloutStep::RollingBack {
+        if self.proposed_with_number(number)?.step == RolloutStep::RollingBack {
             return Err(Rejection::RollingBack(number));
         }
         match self.missing_fills() {
@@ -201,20 +209,20 @@
     }
 
     pub(super) fn check_withdraw(&self, number: u64) -> Result<(), Rejection> {
-        match self.open_with_number(number)?.step {
+        match self.proposed_with_number(number)?.step {
             RolloutStep::RollingBack => Err(Rejection::RollingBack(number)),
             RolloutStep::Joint | RolloutStep::Staged(_) => Ok(()),
         }
     }
 
     pub(super) fn check_rollback_completed(&self, number: u64) -> Result<(), Rejection> {
-        match self.open_with_number(number)?.step {
+        match self.proposed_with_number(number)?.step {
             RolloutStep::RollingBack => Ok(()),
             RolloutStep::Joint | RolloutStep::Staged(_) => Err(Rejection::NotProposed(number)),
         }
     }
 
-    pub(super) fn open_change(
+    pub(super) fn propose(
         &mut self,
         version: Arc<ConfigVersion>,
         proposal: ValidatedProposal,
@@ -222,7 +230,7 @@
         let number = version.number;
         self.highest_number = number;
         let required_fills = proposal.transition.iter().flat_map(MapTransition::required_fills);
-        self.open = Some(OpenChange {
+        self.proposed = Some(ProposedChange {
             digest: version.digest(),
             version,
             step: RolloutStep::Joint,
@@ -235,28 +243,31 @@
     }
 
     pub(super) fn complete_fill(&mut self, number: u64, segment: u64, holder: String) -> StateChange {
-        self.open_mut().completed_fills.insert((segment, holder.clone()));
+        self.proposed_mut().completed_fills.insert((segment, holder.clone()));
         StateChange::FillCompleted { number, segment, holder }
     }
 
     pub(super) fn start_stage(&mut self, number: u64) -> StateChange {
-        let open = self.open_mut();
-        open.step = RolloutStep::Staged(open.version.first_stage_ratio.unwrap_or(1.0));
+        let proposed = self.proposed_mut();
+        proposed.step = RolloutStep::Staged(proposed.version.first_stage_ratio.unwrap_or(1.0));
         StateChange::Staged(number)
     }
 
     pub(super) fn activate(&mut self, number: u64) -> StateChange {
-        let open = self.open.take().expect("the caller has checked that a change is open");
-        self.record_end(&open.version, ChangeEnd::Activated);
+        let proposed = self.proposed.take().expect("the caller has checked that a change is open");
+        self.record_end(&proposed.version, ChangeEnd::Activated);
         let proposal = self.proposal.take().expect("an open change has a validated proposal");
-        self.proof = proposal.proof.map(|proof| with_completed_fills(&proof, &open.completed_fills));
-        let fills = std::mem::take(&mut self.completed_fills).into_iter().chain(open.completed_fills);
-        if let Some(proof) = &self.proof {
-            let is_in_map =
-                |id: u64, node: &str| proof.segment(id).is_some_and(|segment| proof.is_filled(segment, node));
+        self.verified_map = proposal
+            .verified_map
+            .map(|verified_map| with_completed_fills(&verified_map, &proposed.completed_fills));
+        let fills = std::mem::take(&mut self.completed_fills).into_iter().chain(proposed.completed_fills);
+        if let Some(verified_map) = &self.verified_map {
+            let is_in_map = |id: u64, node: &str| {
+                verified_map.segment(id).is_some_and(|segment| verified_map.is_filled(segment, node))
+            };
             self.completed_fills = fills.filter(|(id, node)| is_in_map(*id, node)).collect();
         }
-        self.active = Some((open.version, open.digest));
+        self.active = Some((proposed.version, proposed.digest));
         self.settlements.close_old_versions(number);
         self.rebalance.on_version_ended(number, VersionEnd::Activated);
         StateChange::Activated(number)
@@ -264,25 +275,25 @@
 
     /// Withdraws the version, or begins its rollback if some brokers may already act only on it.
     pub(super) fn withdraw_or_roll_back(&mut self, number: u64, reason: String) -> StateChange {
-        let open = self.open_mut();
-        if matches!(open.step, RolloutStep::Staged(_)) {
-            open.step = RolloutStep::RollingBack;
-            open.withdraw_reason = Some(reason);
+        let proposed = self.proposed_mut();
+        if matches!(proposed.step, RolloutStep::Staged(_)) {
+            proposed.step = RolloutStep::RollingBack;
+            proposed.withdraw_reason = Some(reason);
             return StateChange::RollingBack(number);
         }
         self.withdraw(number, reason)
     }
 
     pub(super) fn complete_rollback(&mut self, number: u64) -> StateChange {
-        let reason = self.open_mut().withdraw_reason.take().unwrap_or_default();
+        let reason = self.proposed_mut().withdraw_reason.take().unwrap_or_default();
         self.withdraw(number, reason)
     }
 
     fn withdraw(&mut self, number: u64, reason: String) -> StateChange {
-        let open = self.open.take().expect("the caller has checked that a change is open");
+        let proposed = self.proposed.take().expect("the caller has checked that a change is open");
         self.proposal = None;
         self.rebalance.on_version_ended(number, VersionEnd::Withdrawn(&reason));
-        self.record_end(&open.version, ChangeEnd::Withdrawn(reason));
+        self.record_end(&proposed.version, ChangeEnd::Withdrawn(reason));
         StateChange::Withdrawn(number)
     }
 
--- a/crates/dunepond-consensus/src/voter/lease_requests.rs
+++ b/crates/dunepond-consensus/src/voter/lease_requests.rs
@@ -9,7 +9,7 @@
 
 use super::Voter;
 use super::envelope::Body;
-use crate::lease_messages::Grantor;
+use crate::lease_messages::GrantOrigin;
 use crate::{Effects, LeaseAnswer, LeaseGrant, LeaseReply, LeaseRequest};
 
 /// Largest number of waiting requests; further ones are answered with [`LeaseAnswer::NoLeader`].
@@ -29,7 +29,7 @@
     confirmed_index: Option<u64>,
     /// When the confirmation of leadership in progress was started, on this voter's clock.
     confirming_since: f64,
-    /// The last lease of each broker process, by the broker's name and the random incarnation that the process drew
+    /// The last lease of each broker process, by the broker's name and the random run id that the process drew
     /// when it started.
     pub granted: BTreeMap<(String, u64), GrantedLease>,
     /// The last demand report of each broker, by its name.
@@ -95,19 +95,19 @@
         self.granted.iter().map(|((broker, _), lease)| (broker.as_str(), lease.overloaded))
     }
 
-    /// Records a lease that is granted at `now` and ends at `over_at` at the latest. `open` is the number of the
-    /// proposed version, if there is one.
-    fn record_lease(&mut self, now: f64, request: &LeaseRequest, over_at: f64, open: Option<u64>) {
+    /// Records a lease that is granted at `now` and ends at `over_at` at the latest. `proposed_number` is the
+    /// number of the proposed version, if there is one.
+    fn record_lease(&mut self, now: f64, request: &LeaseRequest, over_at: f64, proposed_number: Option<u64>) {
         let first = GrantedLease {
             over_at,
             joint: None,
             shrink: Acknowledged { number: 0, at: now },
             overloaded: false,
         };
-        let lease = self.granted.entry((request.broker.clone(), request.incarnation)).or_insert(first);
+        let lease = self.granted.entry((request.broker.clone(), request.run_id)).or_insert(first);
         lease.overloaded = request.overloaded;
         lease.over_at = lease.over_at.max(over_at);
-        let joint = request.joint_version.filter(|joint| Some(*joint) == open);
+        let joint = request.joint_version.filter(|joint| Some(*joint) == proposed_number);
         if joint != lease.joint.map(|acknowledged| acknowledged.number) {
             lease.joint = joint.map(|number| Acknowledged { number, at: now });
         }
@@ -221,12 +221,12 @@
     fn grant_lease(&mut self, now: f64, pending: PendingRequest) {
         let PendingRequest { request, via, received_at } = pending;
         let leader = self.config.name.clone();
-        let grantor = Grantor { leader, leader_run: self.folder.run_id, received_at };
-        let grant = LeaseGrant::new(&self.state, &request, grantor);
+        let origin = GrantOrigin { leader, leader_run_id: self.folder.run_id, received_at };
+        let grant = LeaseGrant::new(&self.state, &request, origin);
         let longest = grant.lease_seconds.max(self.state.longest_lease_seconds);
         let over_at = received_at + self.config.with_drift(longest);
-        let open = self.state.open.as_ref().map(|open| open.version.number);
-        self.lease_requests.record_lease(now, &request, over_at, open);
+        let proposed_number = self.state.proposed.as_ref().map(|proposed| proposed.version.number);
+        self.lease_requests.record_lease(now, &request, over_at, proposed_number);
         self.reply(via, &request, LeaseAnswer::Granted(Box::new(grant)));
     }
 }
--- a/crates/dunepond-consensus/src/voter/mod.rs
+++ b/crates/dunepond-consensus/src/voter/mod.rs
@@ -35,8 +35,8 @@
 use crate::log_storage::LogStorage;
 use crate::persistence::FolderIdentity;
 use crate::{
-    Command, ConfigVersion, ConsensusConfig, ConsensusError, Effects, LeaseRequest, Rejection,
-    ReplicatedState, RolloutStep, StoredVoter, VoterInfo, VoterSlot, WriteBatch, codec, decode,
+    Command, ConfigVersion, ConsensusConfig, ConsensusError, Effects, FolderStart, LeaseRequest, Rejection,
+    ReplicatedState, RolloutStep, StoredVoter, VoterInfo, WriteBatch, codec, decode,
 };
 use handshake::PeerVoter;
 use lease_requests::LeaseRequests;
@@ -224,9 +224,9 @@
             _ => None,
         };
         if proposed.is_some()
-            && let Some(open) = self.observations.uncommitted_proposal(self.state.index)
+            && let Some(number) = self.observations.uncommitted_proposal(self.state.index)
         {
-            return Err(Rejection::ChangeOpen { open });
+            return Err(Rejection::AlreadyProposed { number });
         }
         if let Command::Propose(version) = &command {
             self.check_keys_known_by_all(version)?;
@@ -248,8 +248,8 @@
             Command::Activate { number } => {
                 // An operator may end the first stage. If the version is not in that stage, only the leader knows when
                 // all brokers act on the joint configuration.
-                let open = self.state.open.as_ref();
-                let staged = open.is_some_and(|open| matches!(open.step, RolloutStep::Staged(_)));
+                let proposed = self.state.proposed.as_ref();
+                let staged = proposed.is_some_and(|proposed| matches!(proposed.step, RolloutStep::Staged(_)));
                 if staged { Ok(()) } else { Err(Rejection::LeaderOnly(*number)) }
             }
             Command::Quota(dunepond_quota::QuotaEntry::Release { broker, .. }) => {
@@ -355,8 +355,8 @@
     }
 
     /// This voter's data folder and the present process start on it.
-    fn slot(&self) -> VoterSlot {
-        VoterSlot {
+    fn folder_start(&self) -> FolderStart {
+        FolderStart {
             folder_id: self.folder.id,
             start_count: self.folder.start_count,
             run_id: self.folder.run_id,
--- a/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
+++ b/crates/dunepond-control-plane/src/control_loop/rebalancing/offers.rs
@@ -192,11 +192,11 @@
     plan: Plan,
     max_concurrent_actions: usize,
 ) -> Result<CommittedEntry, Rejection> {
-    let map = state.map_proof().ok_or(RebalanceError::NoMap)?;
+    let map = state.verified_map().ok_or(RebalanceError::NoMap)?;
     if let Some(running) = &state.rebalance().running {
         return Err(RebalanceError::OtherPlanRunning { running: running.plan.id.clone() }.into());
     }
-    if let Some(open) = &state.open {
+    if let Some(open) = &state.proposed {
         return Err(RebalanceError::VersionOpen { open: open.version.number }.into());
     }
     let limits =
